--- a/src/label/jt_follower.c
+++ b/src/label/jt_follower.c
@@ -3,25 +3,27 @@
 enum {
 	DEFAULT_WAIT_MS = 15000,
 	DEFAULT_RETRY_WAIT_MS = 500,
-	/* A watch tells a change within this time, or has missed it. */
-	WATCH_TELLS_MS = 500,
+	/* Time within which a watch reports a change; later, it has missed
+	 * it. */
+	WATCH_DELAY_MS = 500,
 	DEFAULT_PAUSE_MS = 400,
-	/* The same while many entries come back that flows wait for. */
-	LEARNING_PAUSE_MS = 50,
-	DEFAULT_RETRY_LEAST_MS = 100,
-	DEFAULT_RETRY_MOST_MS = 1600,
-	DOUBLINGS_MOST = 16,
-	/* A page that took so long shows that many ask at once; then some go
-	 * on, and the others give way for about so long. A list takes a strong
-	 * node far less time, and it tells others faster. */
+	/* Pause during the initial synchronisation, when flows wait for
+	 * entries. */
+	SYNC_PAUSE_MS = 50,
+	DEFAULT_RETRY_MIN_MS = 100,
+	DEFAULT_RETRY_MAX_MS = 1600,
+	MAX_DOUBLINGS = 16,
+	/* A page that takes this long shows that many nodes list at once. Some
+	 * of them continue; the others pause for about YIELD_MS, while stronger
+	 * nodes complete the listing and send it to their peers. */
 	SLOW_PAGE_MS = 100,
-	GO_ON_LEAST_PERMILLE = 125,
+	MIN_CONTINUE_PERMILLE = 125,
 	PERMILLE = 1000,
-	GIVE_WAY_MS = 600,
-	/* Between two checks of a node that does not watch, and for how long a
-	 * change that one of them shows may be under way by peers. */
+	YIELD_MS = 600,
+	/* Pause between two checks of a node that does not watch, and the time
+	 * that a change found by a check may take to arrive from peers. */
 	CHECK_PAUSE_MS = 700,
-	UNDER_WAY_MS = 150,
+	GOSSIP_DELAY_MS = 150,
 };
 
 void jt_follower_init(struct jt_follower *follower, uint64_t seed)
@@ -31,8 +33,8 @@
 		.wait_ms = DEFAULT_WAIT_MS,
 		.retry_wait_ms = DEFAULT_RETRY_WAIT_MS,
 		.pause_ms = DEFAULT_PAUSE_MS,
-		.retry_least_ms = DEFAULT_RETRY_LEAST_MS,
-		.retry_most_ms = DEFAULT_RETRY_MOST_MS,
+		.retry_least_ms = DEFAULT_RETRY_MIN_MS,
+		.retry_most_ms = DEFAULT_RETRY_MAX_MS,
 		.random = {.seed = seed},
 	};
 }
@@ -51,7 +53,7 @@
 
 void jt_follower_learning(struct jt_follower *follower, bool learning)
 {
-	follower->pause_ms = learning ? LEARNING_PAUSE_MS : DEFAULT_PAUSE_MS;
+	follower->pause_ms = learning ? SYNC_PAUSE_MS : DEFAULT_PAUSE_MS;
 }
 
 uint32_t jt_follower_wait_ms(const struct jt_follower *follower)
@@ -71,8 +73,8 @@
 		follower->due_ms = now_ms;
 }
 
-/* The store has answered. */
-static void answered(struct jt_follower *follower, uint64_t now_ms)
+/* Records a valid answer of the store. */
+static void record_answer(struct jt_follower *follower, uint64_t now_ms)
 {
 	follower->failures = 0;
 	follower->answered_ms = now_ms;
@@ -90,20 +92,21 @@
 		return false;
 	}
 	if (follower->missed != 0 && follower->missed <= at &&
-	    now_ms - watch_ms >= WATCH_TELLS_MS)
+	    now_ms - watch_ms >= WATCH_DELAY_MS)
 		return true;
 	follower->missed = at;
 	return false;
 }
 
-/* Wait twice as long after each failure, between a half and the whole. */
+/* Schedules a retry with exponential backoff and jitter, between half of the
+ * delay and all of it. */
 static void back_off(struct jt_follower *follower, uint64_t now_ms)
 {
 	uint32_t doublings = follower->failures;
 	uint64_t wait_ms;
 
-	if (doublings > DOUBLINGS_MOST)
-		doublings = DOUBLINGS_MOST;
+	if (doublings > MAX_DOUBLINGS)
+		doublings = MAX_DOUBLINGS;
 	wait_ms = (uint64_t)follower->retry_least_ms << doublings;
 	if (wait_ms > follower->retry_most_ms)
 		wait_ms = follower->retry_most_ms;
@@ -144,31 +147,33 @@
 	}
 	follower->catching_up = follower->missed > follower->revision;
 	follower->missed = at;
-	follower->due_ms = now_ms + (follower->catching_up ? 0 : UNDER_WAY_MS);
+	follower->due_ms =
+		now_ms + (follower->catching_up ? 0 : GOSSIP_DELAY_MS);
 }
 
-static void list_anew(struct jt_follower *follower)
+static void restart_listing(struct jt_follower *follower)
 {
 	follower->listed = false;
 	follower->paging = false;
 }
 
-/* Whether this node is one of those that go on. */
-static bool goes_on(struct jt_follower *follower)
+/* Decides at random, by its capacity, whether this node continues its listing
+ * while others pause. */
+static bool continues_listing(struct jt_follower *follower)
 {
 	uint32_t permille = follower->strength_permille;
 
-	if (permille < GO_ON_LEAST_PERMILLE)
-		permille = GO_ON_LEAST_PERMILLE;
+	if (permille < MIN_CONTINUE_PERMILLE)
+		permille = MIN_CONTINUE_PERMILLE;
 	return jt_random_next(&follower->random) % PERMILLE < permille;
 }
 
-/* Others ask for the same: what they learn comes from them soon. */
-static void give_way(struct jt_follower *follower, uint64_t now_ms)
+/* Pauses the listing: peers that list will send the result soon. */
+static void yield_listing(struct jt_follower *follower, uint64_t now_ms)
 {
 	follower->gave_way = true;
-	follower->due_ms = now_ms + GIVE_WAY_MS / 2 +
-			   jt_random_next(&follower->random) % GIVE_WAY_MS;
+	follower->due_ms = now_ms + YIELD_MS / 2 +
+			   jt_random_next(&follower->random) % YIELD_MS;
 }
 
 bool jt_follower_page(struct jt_follower *follower, enum jt_kv_status status,
@@ -181,18 +186,20 @@
 		back_off(follower, now_ms);
 		return false;
 	}
-	answered(follower, now_ms);
+	record_answer(follower, now_ms);
 	first = !follower->paging;
-	/* Pages form no snapshot: watch from the first one's revision. */
+	/* Pages are no consistent snapshot: watch from the first one's
+	 * revision. */
 	if (first)
 		follower->listing = at;
 	follower->paging = more;
 	follower->due_ms = now_ms;
 	if (more) {
-		/* Whoever has gone on past the first page goes on to the end.
-		 */
-		if (first && took_ms >= SLOW_PAGE_MS && !goes_on(follower))
-			give_way(follower, now_ms);
+		/* A node that continues past the first page continues to the
+		 * end. */
+		if (first && took_ms >= SLOW_PAGE_MS &&
+		    !continues_listing(follower))
+			yield_listing(follower, now_ms);
 		return false;
 	}
 	follower->listed = true;
@@ -205,13 +212,14 @@
 
 bool jt_follower_gives_way(struct jt_follower *follower, uint64_t now_ms)
 {
-	/* One that knew all before reads the store for others as well. */
+	/* A node that was synchronised before also reads the store on behalf of
+	 * others. */
 	if (follower->revision != 0 || follower->paging || follower->page_late)
 		return false;
 	follower->page_late = true;
-	if (goes_on(follower))
+	if (continues_listing(follower))
 		return false;
-	give_way(follower, now_ms);
+	yield_listing(follower, now_ms);
 	return true;
 }
 
@@ -245,14 +253,14 @@
 	follower->catching_up = false;
 	switch (status) {
 	case JT_KV_OK:
-		answered(follower, now_ms);
+		record_answer(follower, now_ms);
 		follower->as_of_ms = now_ms;
 		if (at > follower->revision)
 			follower->revision = at;
 		follower->due_ms = now_ms + (changes ? follower->pause_ms : 0);
 		break;
 	case JT_KV_COMPACTED:
-		list_anew(follower);
+		restart_listing(follower);
 		follower->due_ms = now_ms;
 		break;
 	default:
--- a/src/label/jt_follower.h
+++ b/src/label/jt_follower.h
@@ -1,12 +1,12 @@
 /*
- * How a node follows a key-value store: list once, then watch from that
- * revision on, or only check now and then that no change was missed. Pure: the
- * driver asks what to do next and tells what came of it.
+ * Follows a key-value store: lists it once, then watches from that revision on,
+ * or only checks from time to time that no change was missed. This module does
+ * no I/O: the driver asks for the next step and reports its result. Times are
+ * in milliseconds of the monotonic clock.
  *
- * Every kind of failure has its own way back: an answer that is lost or late
- * is asked for again from the same revision, a refusal waits longer each time
- * (with jitter, so that nodes do not return together), and history that is
- * gone leads to a new list.
+ * Each kind of failure has its own recovery: a lost or late answer is requested
+ * again from the same revision, a refused call is retried with exponential
+ * backoff and jitter, and a compacted history leads to a new full listing.
  */
 #ifndef JT_FOLLOWER_H
 #define JT_FOLLOWER_H
@@ -16,110 +16,119 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What a store call came to. */
+/* Result of a call to the store. */
 enum jt_kv_status {
 	JT_KV_OK,
-	JT_KV_COMPACTED,   /* the history asked for is gone */
-	JT_KV_THROTTLED,   /* too many calls */
-	JT_KV_UNAVAILABLE, /* the store did nothing */
-	JT_KV_LOST,	   /* no answer */
-	JT_KV_INVALID,	   /* an answer that makes no sense */
+	JT_KV_COMPACTED,   /* the requested history was compacted */
+	JT_KV_THROTTLED,   /* rejected: too many calls */
+	JT_KV_UNAVAILABLE, /* the store did not execute the call */
+	JT_KV_LOST,	   /* no answer was received */
+	JT_KV_INVALID,	   /* the answer is malformed */
 	JT_KV_STATUSES,
 };
 
+/* What the driver has to do next. */
 enum jt_follower_step {
+
 	JT_FOLLOWER_WAIT, /* until due_ms */
 	JT_FOLLOWER_LIST,
 	JT_FOLLOWER_WATCH,
-	JT_FOLLOWER_CHECK, /* ask for the store's revision only */
+	JT_FOLLOWER_CHECK, /* request only the store's revision */
 };
 
-/* How a node reads the store. */
+/* Mode in which a node reads the store. */
 enum jt_reading {
-	JT_READING_NOT,	    /* peers tell it what changes */
-	JT_READING_CHECKS,  /* they do, and it makes sure of it: cheap */
-	JT_READING_WATCHES, /* it hears of each change, and tells peers */
+	JT_READING_NOT,	    /* gets changes only from peers */
+	JT_READING_CHECKS,  /* gets changes from peers, checks the revision */
+	JT_READING_WATCHES, /* watches the store and sends changes to peers */
 };
 
 struct jt_follower {
 	enum jt_reading reading;
-	bool catching_up;	/* checks showed a change that nobody told */
-	uint32_t wait_ms;	/* how long the store may hold a watch */
+	bool catching_up;	/* a check found a change that no peer sent */
+	uint32_t wait_ms;	/* timeout of a watch at the store */
 	uint32_t retry_wait_ms; /* the same after a failure */
-	uint32_t pause_ms; /* between a watch's answer and the next watch, so
-			    * that changes come together */
+	uint32_t pause_ms; /* from an answer to the next watch, to batch changes
+			    */
 	uint32_t retry_least_ms;
 	uint32_t retry_most_ms;
-	uint64_t revision;	    /* all changes up to here are known */
-	uint64_t listing;	    /* the revision of a list's first page */
-	bool listed;		    /* a list is complete */
-	bool paging;		    /* a list has begun */
-	bool page_late;		    /* its first page was, once */
-	bool gave_way;		    /* to others that list */
-	uint32_t strength_permille; /* of this node: thousandths of a core */
-	uint32_t failures;	    /* in a row */
+	uint64_t revision; /* all changes up to here are known */
+	uint64_t listing;  /* the revision of the listing's first page */
+	bool listed;	   /* a listing is complete */
+	bool paging;	   /* a listing has begun */
+	bool page_late;	   /* its first page was late at least once */
+	bool gave_way;	   /* has paused in favour of other nodes that list */
+	uint32_t strength_permille; /* CPU capacity, 1000: one core */
+	uint32_t failures;	    /* consecutive */
 	uint64_t failures_ever;
 	uint64_t due_ms;
-	uint64_t answered_ms; /* last answer that made sense */
-	uint64_t as_of_ms;    /* all that the store had then is known */
-	uint64_t missed;      /* a revision that the watch has not told yet */
-	bool page_doubted;    /* a check beside the page under way failed */
+	uint64_t answered_ms; /* time of the last valid answer */
+	uint64_t as_of_ms;    /* the state is complete as of this time */
+	/* A revision seen by a check but not yet reported; 0: none. */
+	uint64_t missed;
+	bool page_doubted; /* the last check beside a page request was lost */
 	struct jt_random random;
 };
 
+/* Initializes the follower in mode JT_READING_WATCHES; @seed seeds the jitter.
+ */
 void jt_follower_init(struct jt_follower *follower, uint64_t seed);
+/* Returns the next step to take at @now_ms. */
 enum jt_follower_step jt_follower_next(const struct jt_follower *follower,
 				       uint64_t now_ms);
-/* Entries are coming back that packets wait for: changes are told sooner, a few
- * at a time. */
+/* Selects the shorter pause between watches during the initial synchronisation,
+ * when packets wait for entries. */
 void jt_follower_learning(struct jt_follower *follower, bool learning);
-/* How long the next watch may be held: briefly after a failure, so that the
- * way back shows soon. */
+/* Returns the timeout in milliseconds of the next watch. It is short after a
+ * failure, to detect the recovery soon. */
 uint32_t jt_follower_wait_ms(const struct jt_follower *follower);
-/* Go on after a while without following; all changes up to @revision are
- * known from elsewhere. */
+/* Resumes after a pause; all changes up to @revision are known from
+ * elsewhere. */
 void jt_follower_resume(struct jt_follower *follower, uint64_t revision,
 			uint64_t now_ms);
 /*
- * A short call beside a watch that is held came to @status, and told the
- * store's revision @at; the watch began at @watch_ms. True: the watch is not
- * to be trusted: give it up.
+ * Records the result of a revision check made while a watch is pending:
+ * @status, and the store's revision @at. The watch began at @watch_ms. Returns
+ * true if the watch has missed a change and should be cancelled.
  */
 bool jt_follower_checked(struct jt_follower *follower, enum jt_kv_status status,
 			 uint64_t at, uint64_t watch_ms, uint64_t now_ms);
-/* A page of a list, that took @took_ms to come. Where pages come slowly, many
- * nodes ask at once: most of them wait for what peers will know. True when it
- * was the last of a complete list. */
+/* Records a page of a listing that took @took_ms. Slow pages indicate that many
+ * nodes list at once; then most of them pause to get the state from peers
+ * instead. Returns true if this page completes the listing. */
 bool jt_follower_page(struct jt_follower *follower, enum jt_kv_status status,
 		      uint64_t at, bool more, uint64_t took_ms,
 		      uint64_t now_ms);
-/* A peer told all that it knew at @revision: as good as a list. True when the
- * follower goes on from there. */
+/* Records that a peer sent its full state at @revision, which replaces a
+ * listing. Returns true if the follower continues from there. */
 bool jt_follower_informed(struct jt_follower *follower, uint64_t revision,
 			  uint64_t now_ms);
-/* What a node that checks asked for: the store's revision @at. All changes up
- * to @known are known, from whomever. */
+/* Records the result of a revision check: the store's revision @at. All changes
+ * up to @known are known, from any source. */
 void jt_follower_asked(struct jt_follower *follower, enum jt_kv_status status,
 		       uint64_t at, uint64_t known, uint64_t now_ms);
-/* Read in another way from now on. */
+/* Changes the mode of reading. */
 void jt_follower_read(struct jt_follower *follower, enum jt_reading reading,
 		      uint64_t now_ms);
-/* A watch's answer. */
+/* Records the answer of a watch: the store's revision @at, and whether it
+ * reported @changes. */
 void jt_follower_watched(struct jt_follower *follower, enum jt_kv_status status,
 			 uint64_t at, bool changes, uint64_t now_ms);
 /*
- * A list's first page is long in coming: many nodes start and ask for the same.
- * True: give the call up, most nodes do so, once in their lives; what the
- * others get they tell.
+ * Records that the first page of a listing is late, a sign that many nodes
+ * start and list at once. Returns true if the call should be cancelled. Most
+ * nodes do so, at most once each; the remaining ones send the result to their
+ * peers.
  */
 bool jt_follower_gives_way(struct jt_follower *follower, uint64_t now_ms);
 /*
- * A short call beside a page that is long in coming came to @status. True: ask
- * for the page again. One that was asked for while the store could not be
- * reached gets no answer, also after the store is back.
+ * Records the result of a revision check made while a page is late. Returns
+ * true if the page should be requested again: a request sent during an outage
+ * gets no answer even after the store is back.
  */
 bool jt_follower_page_checked(struct jt_follower *follower,
 			      enum jt_kv_status status);
+/* Returns the name of the status, for logs. */
 const char *jt_kv_status_name(enum jt_kv_status status);
 
 #endif
--- a/src/label/jt_membership.c
+++ b/src/label/jt_membership.c
@@ -4,27 +4,28 @@
 #include <string.h>
 
 enum {
-	/* Silent for so long, and longer by as much for each so many peers:
-	 * where there are many, each is heard of less often. */
-	PEER_LOST_MS = 4000,
-	PEER_LOST_PEERS = 25,
-	PEER_FORGET_MS = 60000, /* and forgotten so long after that */
-	/* Where one digest tells of all peers, any of them is as good a target;
-	 * where there are more, most digests stay in their zone: one round in
-	 * so many has a target of any zone. */
-	FAR_ROUNDS = 8,
-	/* Nodes that send news to any zone, for each zone: the news misses a
-	 * zone once in some thousand times, and digests make up for it. */
-	NEWS_CROSSINGS = 8,
-	ZONES_MOST = 16,
-	/* Readers of the store there are at the least, over all zones. */
-	READERS_LEAST = 3,
-	/* A process that ended is back, and heard, within this time if its
-	 * machine starts it again. */
-	RESTART_MOST_MS = 1500,
-	/* How long a node may take to leave where the settings don't say. */
+	/* A peer is lost after PEER_TIMEOUT_MS without a message, plus as much
+	 * again for every PEER_TIMEOUT_PEERS known peers: in a large cluster
+	 * each one is heard from less often. */
+	PEER_TIMEOUT_MS = 4000,
+	PEER_TIMEOUT_PEERS = 25,
+	PEER_RETENTION_MS = 60000, /* a lost peer is removed after this time */
+	/* If the peers don't all fit into one digest, most digests stay within
+	 * the zone: on average, one target in CROSS_ZONE_ROUNDS is chosen from
+	 * any zone. */
+	CROSS_ZONE_ROUNDS = 8,
+	/* Expected number of nodes, for each zone, that forward an update to a
+	 * node of any zone. */
+	CROSS_ZONE_SENDERS = 8,
+	MAX_ZONES = 16,
+	/* Minimum number of store readers over all zones. */
+	MIN_READERS = 3,
+	/* Time within which a restarted process is heard from again. */
+	MAX_RESTART_MS = 1500,
+	/* Maximum duration of a leave if the settings set none. */
 	DEFAULT_LEAVE_LIMIT_MS = 6000,
-	/* One round in so many also tries a seed, or a peer that was lost. */
+	/* On average, one round in RETRY_ROUNDS also sends to any known
+	 * address, including seeds and lost peers. */
 	RETRY_ROUNDS = 4,
 };
 
@@ -55,9 +56,9 @@
 	return NULL;
 }
 
-/* Room for one more: the list grows up to its limit, then the peer that was
- * silent longest gives way. */
-static struct jt_peer *peer_room(struct jt_membership *membership)
+/* Allocates a slot for one more peer. A full list at its limit reuses the slot
+ * of the peer that has been silent longest. */
+static struct jt_peer *peer_allocate(struct jt_membership *membership)
 {
 	size_t oldest = 0;
 
@@ -87,7 +88,7 @@
 static struct jt_peer *peer_add(struct jt_membership *membership,
 				struct jt_address address)
 {
-	struct jt_peer *peer = peer_room(membership);
+	struct jt_peer *peer = peer_allocate(membership);
 
 	if (peer == NULL)
 		return NULL;
@@ -104,55 +105,60 @@
 		peer_add(membership, address);
 }
 
-/* How long a peer may be silent before it counts as lost. */
-static uint64_t lost_ms(const struct jt_membership *membership)
+/* Returns the silence in milliseconds after which a peer counts as lost. */
+static uint64_t peer_timeout_ms(const struct jt_membership *membership)
 {
-	return PEER_LOST_MS +
-	       PEER_LOST_MS * membership->count / PEER_LOST_PEERS;
+	return PEER_TIMEOUT_MS +
+	       PEER_TIMEOUT_MS * membership->count / PEER_TIMEOUT_PEERS;
 }
 
-/* What another node has heard of a third one. */
-static void peer_hearsay(struct jt_membership *membership,
-			 const jt_wire_peer *told, uint64_t now_ms)
+/* Records a peer as reported in the digest of another one. */
+static void peer_update_indirect(struct jt_membership *membership,
+				 const jt_wire_peer *reported, uint64_t now_ms)
 {
-	struct jt_address address = {told->address, (uint16_t)told->port};
-	uint64_t heard_ms = now_ms > told->age_ms ? now_ms - told->age_ms : 0;
+	struct jt_address address = {reported->address,
+				     (uint16_t)reported->port};
+	uint64_t heard_ms =
+		now_ms > reported->age_ms ? now_ms - reported->age_ms : 0;
 	struct jt_peer *peer;
 
-	if (told->id == membership->id || told->port > UINT16_MAX ||
+	if (reported->id == membership->id || reported->port > UINT16_MAX ||
 	    jt_address_same(address, membership->address) ||
-	    told->age_ms >= lost_ms(membership))
+	    reported->age_ms >= peer_timeout_ms(membership))
 		return;
 	peer = peer_find(membership, address);
 	if (peer == NULL) {
 		peer = peer_add(membership, address);
 		if (peer == NULL)
 			return;
-		peer->id = told->id;
-		peer->zone_id = told->zone;
+		peer->id = reported->id;
+		peer->zone_id = reported->zone;
 	}
 	if (peer->id == 0) {
-		peer->id = told->id;
-		peer->zone_id = told->zone;
+		peer->id = reported->id;
+		peer->zone_id = reported->zone;
 	}
 	if (heard_ms <= peer->heard_ms)
 		return;
-	if (peer->id == told->id)
-		peer->weight = told->weight;
+	if (peer->id == reported->id)
+		peer->weight = reported->weight;
 	peer->heard_ms = heard_ms;
 	peer->lost = false;
 }
 
-/* The process @from at @address was heard; NULL when that is this one, or
- * memory runs out. A process that is new there knows nothing yet. */
-static struct jt_peer *peer_heard(struct jt_membership *membership,
-				  uint64_t from, struct jt_address address,
-				  const jt_wire_standing *standing,
-				  uint64_t now_ms, bool *news)
+/* Records a message from process @from at @address; sets @is_new if the peer
+ * was new or had been lost. A new process at a known address starts with no
+ * revision. Returns NULL if the message is this node's own or memory runs
+ * out. */
+static struct jt_peer *peer_update_direct(struct jt_membership *membership,
+					  uint64_t from,
+					  struct jt_address address,
+					  const jt_wire_standing *standing,
+					  uint64_t now_ms, bool *is_new)
 {
 	struct jt_peer *peer;
 
-	*news = false;
+	*is_new = false;
 	if (from == membership->id ||
 	    jt_address_same(address, membership->address))
 		return NULL;
@@ -161,7 +167,7 @@
 		peer = peer_add(membership, address);
 	if (peer == NULL)
 		return NULL;
-	*news = !peer->heard || peer->id != from;
+	*is_new = !peer->heard || peer->id != from;
 	if (peer->id != from) {
 		peer->routing_version = 0;
 		peer->revision = 0;
@@ -183,10 +189,11 @@
 			    struct jt_address address,
 			    const jt_wire_standing *standing, uint64_t now_ms)
 {
-	bool news;
+	bool is_new;
 
-	(void)peer_heard(membership, from, address, standing, now_ms, &news);
-	return news;
+	(void)peer_update_direct(membership, from, address, standing, now_ms,
+				 &is_new);
+	return is_new;
 }
 
 bool jt_membership_digest(struct jt_membership *membership, uint64_t from,
@@ -201,22 +208,24 @@
 		.weight = digest->weight,
 	};
 	struct jt_peer *peer;
-	bool news;
+	bool is_new;
 
-	peer = peer_heard(membership, from, address, &standing, now_ms, &news);
+	peer = peer_update_direct(membership, from, address, &standing, now_ms,
+				  &is_new);
 	if (peer == NULL)
 		return false;
 	peer->routing_version = digest->routing_version;
 	peer->revision = digest->revision;
 	peer->places = digest->places;
 	for (u_int i = 0; i < digest->peers.peers_len; i++)
-		peer_hearsay(membership, &digest->peers.peers_val[i], now_ms);
-	return news;
+		peer_update_indirect(membership, &digest->peers.peers_val[i],
+				     now_ms);
+	return is_new;
 }
 
-/* A peer at random: one that lives, or any when @any. */
-static const struct jt_peer *peer_pick(struct jt_membership *membership,
-				       bool any)
+/* Returns a random live peer; with @any, also a seed or a lost one. */
+static const struct jt_peer *
+peer_pick_any_zone(struct jt_membership *membership, bool include_lost)
 {
 	size_t start;
 
@@ -227,7 +236,7 @@
 		const struct jt_peer *peer =
 			&membership->peers[(start + i) % membership->count];
 
-		if (any || jt_peer_lives(peer))
+		if (include_lost || jt_peer_lives(peer))
 			return peer;
 	}
 	return NULL;
@@ -246,8 +255,9 @@
 	return count + 1;
 }
 
-/* A peer of the own zone at random, any when there is none. */
-static const struct jt_peer *peer_pick_near(struct jt_membership *membership)
+/* Returns a random live peer of this zone, of any zone if there is none. */
+static const struct jt_peer *
+peer_pick_own_zone(struct jt_membership *membership)
 {
 	size_t start;
 
@@ -261,17 +271,17 @@
 		if (jt_peer_lives(peer) && peer->zone_id == membership->zone_id)
 			return peer;
 	}
-	return peer_pick(membership, false);
+	return peer_pick_any_zone(membership, false);
 }
 
-/* Whom to tell in a round, whatever was told before. */
+/* Picks the target of a digest, independent of earlier rounds. */
 static const struct jt_peer *peer_pick_round(struct jt_membership *membership)
 {
 	if (membership->count <= JT_DIRECTOR_MAX_PEERS ||
 	    !jt_mechanism_on(membership->without, JT_MECHANISM_NEAR_DIGESTS) ||
-	    jt_random_next(&membership->random) % FAR_ROUNDS == 0)
-		return peer_pick(membership, false);
-	return peer_pick_near(membership);
+	    jt_random_next(&membership->random) % CROSS_ZONE_ROUNDS == 0)
+		return peer_pick_any_zone(membership, false);
+	return peer_pick_own_zone(membership);
 }
 
 size_t jt_membership_round(struct jt_membership *membership,
@@ -281,25 +291,26 @@
 
 	if (jt_membership_live(membership) < JT_DIGEST_FANOUT ||
 	    jt_random_next(&membership->random) % RETRY_ROUNDS == 0)
-		count = target_add(targets, count, peer_pick(membership, true));
+		count = target_add(targets, count,
+				   peer_pick_any_zone(membership, true));
 	while (count < JT_DIGEST_FANOUT) {
-		size_t before = count;
+		size_t previous = count;
 
 		count = target_add(targets, count, peer_pick_round(membership));
-		if (count == before)
+		if (count == previous)
 			break;
 	}
 	return count;
 }
 
-/* How many zones the live peers and this node are in, ZONES_MOST at the most.
- */
-static size_t zones_known(const struct jt_membership *membership)
+/* Returns the number of zones of this node and its live peers, at most
+ * MAX_ZONES. */
+static size_t known_zone_count(const struct jt_membership *membership)
 {
-	uint32_t zones[ZONES_MOST] = {membership->zone_id};
+	uint32_t zones[MAX_ZONES] = {membership->zone_id};
 	size_t count = 1;
 
-	for (size_t i = 0; i < membership->count && count < ZONES_MOST; i++) {
+	for (size_t i = 0; i < membership->count && count < MAX_ZONES; i++) {
 		const struct jt_peer *peer = &membership->peers[i];
 		size_t zone = 0;
 
@@ -313,16 +324,18 @@
 	return count;
 }
 
-/* Whether this node sends news to any zone, so that it crosses over: of all
- * nodes, each of which sends it on once, some for each zone are enough. */
-static bool news_crosses(struct jt_membership *membership)
+/* Decides at random whether this node forwards an update to a peer of any zone.
+ * Every node forwards an update once, so that CROSS_ZONE_SENDERS of them are
+ * expected to do so for each zone. */
+static bool crosses_zones(struct jt_membership *membership)
 {
-	size_t crossings = NEWS_CROSSINGS * zones_known(membership);
+	size_t expected_senders =
+		CROSS_ZONE_SENDERS * known_zone_count(membership);
 
 	return !jt_mechanism_on(membership->without,
 				JT_MECHANISM_NEAR_DIGESTS) ||
 	       jt_random_next(&membership->random) % (membership->count + 1) <
-		       crossings;
+		       expected_senders;
 }
 
 size_t jt_membership_news_targets(struct jt_membership *membership,
@@ -330,23 +343,24 @@
 {
 	size_t count = 0;
 
-	if (news_crosses(membership))
-		count = target_add(targets, 0, peer_pick(membership, false));
-	/* A draw that comes twice is a target less: gossip may miss some. */
+	if (crosses_zones(membership))
+		count = target_add(targets, 0,
+				   peer_pick_any_zone(membership, false));
+	/* A peer drawn twice is one target less; gossip tolerates that. */
 	for (int i = (int)count; i < JT_NEWS_FANOUT; i++)
-		count = target_add(targets, count, peer_pick_near(membership));
+		count = target_add(targets, count,
+				   peer_pick_own_zone(membership));
 	return count;
 }
 
-/* Zones that have a node that can read the store, this node's own included,
- * as far as they matter. */
-static size_t reading_zones(const struct jt_membership *membership)
+/* Returns the number of zones with a node that can read the store, including
+ * this node's, at most MIN_READERS. */
+static size_t reader_zone_count(const struct jt_membership *membership)
 {
-	uint32_t zones[READERS_LEAST] = {membership->zone_id};
+	uint32_t zones[MIN_READERS] = {membership->zone_id};
 	size_t count = 1;
 
-	for (size_t i = 0; i < membership->count && count < READERS_LEAST;
-	     i++) {
+	for (size_t i = 0; i < membership->count && count < MIN_READERS; i++) {
 		const struct jt_peer *peer = &membership->peers[i];
 		bool known = false;
 
@@ -360,33 +374,34 @@
 	return count;
 }
 
-/* Peers that go before this node as readers, of its zone or of all. */
-static size_t readers_before(const struct jt_membership *membership,
-			     uint32_t own_weight, bool only_zone)
+/* Returns the number of store readers ranked before this node: higher capacity
+ * first, then lower id. */
+static size_t readers_ahead(const struct jt_membership *membership,
+			    uint32_t own_weight, bool own_zone_only)
 {
-	size_t before = 0;
+	size_t ahead = 0;
 
 	for (size_t i = 0; i < membership->count; i++) {
 		const struct jt_peer *peer = &membership->peers[i];
 
 		if (!jt_peer_lives(peer) || peer->weight == 0 ||
-		    (only_zone && peer->zone_id != membership->zone_id))
+		    (own_zone_only && peer->zone_id != membership->zone_id))
 			continue;
 		if (peer->weight > own_weight ||
 		    (peer->weight == own_weight && peer->id < membership->id))
-			before++;
+			ahead++;
 	}
-	return before;
+	return ahead;
 }
 
 bool jt_membership_reads_first(const struct jt_membership *membership,
 			       uint32_t own_weight)
 {
-	size_t zones = reading_zones(membership);
-	size_t readers = (READERS_LEAST + zones - 1) / zones;
+	size_t zones = reader_zone_count(membership);
+	size_t readers = (MIN_READERS + zones - 1) / zones;
 
 	return own_weight != 0 &&
-	       readers_before(membership, own_weight, true) < readers;
+	       readers_ahead(membership, own_weight, true) < readers;
 }
 
 enum jt_reading_turn
@@ -397,18 +412,18 @@
 		return JT_TURN_OF_ALL;
 	if (!jt_membership_reads_first(membership, own_weight))
 		return JT_TURN_NONE;
-	/* Where nodes are many, each zone has watchers of its own: what a peer
-	 * serves to all others may choke its link. */
+	/* In a large cluster each zone has its own watchers: a single one that
+	 * served all other nodes could saturate its link. */
 	if (membership->count > JT_DIRECTOR_MAX_PEERS ||
 	    !jt_mechanism_on(membership->without, JT_MECHANISM_ONE_WATCHER))
 		return JT_TURN_OF_ALL;
-	return readers_before(membership, own_weight, false) == 0
+	return readers_ahead(membership, own_weight, false) == 0
 		       ? JT_TURN_OF_ALL
 		       : JT_TURN_OF_ZONE;
 }
 
-/* Whether routers send packets to the peer, as far as is known: of one that
- * only others have heard, its weight tells. */
+/* Returns true if the peer is known to receive packets from routers. For a peer
+ * known only through others, a weight above 0 implies it. */
 static bool peer_ready(const struct jt_peer *peer)
 {
 	if (!jt_peer_lives(peer))
@@ -416,23 +431,23 @@
 	return peer->heard ? peer->ready : peer->weight > 0;
 }
 
-/* Whether the peer has left and did not come back as a new process. */
+/* Returns true if the peer has left and was not replaced by a new process. */
 static bool peer_removed(const struct jt_membership *membership,
 			 const struct jt_peer *peer, uint64_t now_ms)
 {
-	uint64_t most_ms = RESTART_MOST_MS;
+	uint64_t limit_ms = MAX_RESTART_MS;
 
-	/* A node that leaves tells its own zone several times a second; other
-	 * zones hear of it again only when its successor is ready. */
+	/* A leaving node sends to its own zone several times a second; other
+	 * zones hear from it again only when its successor is ready. */
 	if (peer->zone_id != membership->zone_id)
-		most_ms += membership->leave_limit_ms;
+		limit_ms += membership->leave_limit_ms;
 	return peer->leaving && !peer->ready &&
-	       now_ms - peer->heard_ms >= most_ms;
+	       now_ms - peer->heard_ms >= limit_ms;
 }
 
-/* Count a peer of this node's zone. */
-static void zone_count(const struct jt_membership *membership,
-		       const struct jt_peer *peer, struct jt_zone_view *view)
+/* Adds a peer of this node's zone to the counts. */
+static void zone_view_add(const struct jt_membership *membership,
+			  const struct jt_peer *peer, struct jt_zone_view *view)
 {
 	view->nodes++;
 	if (!peer_ready(peer))
@@ -459,7 +474,7 @@
 		if (peer_removed(membership, peer, now_ms))
 			view.removed++;
 		if (peer->zone_id == membership->zone_id)
-			zone_count(membership, peer, &view);
+			zone_view_add(membership, peer, &view);
 		else if (peer_ready(peer) && !peer->leaving)
 			view.elsewhere++;
 	}
@@ -480,13 +495,14 @@
 		struct jt_peer *peer = &membership->peers[i];
 		uint64_t silent_ms = now_ms - peer->heard_ms;
 
-		if (jt_peer_lives(peer) && silent_ms >= lost_ms(membership)) {
+		if (jt_peer_lives(peer) &&
+		    silent_ms >= peer_timeout_ms(membership)) {
 			peer->lost = true;
 			peer->heard = false;
 			return peer;
 		}
-		if (peer->id != 0 &&
-		    silent_ms >= lost_ms(membership) + PEER_FORGET_MS)
+		if (peer->id != 0 && silent_ms >= peer_timeout_ms(membership) +
+							  PEER_RETENTION_MS)
 			peer_forget(membership, i);
 		else
 			i++;
--- a/src/label/jt_membership.h
+++ b/src/label/jt_membership.h
@@ -1,13 +1,16 @@
 /*
- * Which other nodes there are, and what each of them knows.
+ * Gossip membership: tracks the other nodes and the revisions they have
+ * reached.
  *
- * Every node sends a digest to a few others several times a second, with some
- * of the peers it knows; so news of a node reaches all in a number of rounds
- * that grows with the logarithm of their number, and what one node sends does
- * not grow at all. A node that learns that a peer knows a later change, and
- * does not hear of it from the store in time, fetches it from that peer.
+ * Several times a second every node sends a digest of its own state, with a few
+ * of the peers that it knows, to a small number of peers. Updates reach all
+ * nodes in a number of rounds logarithmic in the cluster size, while the
+ * traffic of each node stays constant. A node that learns that a peer has a
+ * later revision, and does not receive the change from the store in time,
+ * fetches it from that peer.
  *
- * Pure: the driver sends what it is told to and reports what comes.
+ * This module does no I/O: the driver sends the messages and reports the ones
+ * received.
  */
 #ifndef JT_MEMBERSHIP_H
 #define JT_MEMBERSHIP_H
@@ -21,61 +24,65 @@
 #include <talloc.h>
 
 enum {
-	/* Peers known at once: twice the nodes to design for, 2.7 MB. */
+	/* Maximum number of known peers; bounds the memory of the list. */
 	JT_PEER_LIMIT = 38000,
-	JT_DIGEST_FANOUT = 2, /* peers told in each round */
-	JT_NEWS_FANOUT = 4,   /* peers that news is sent on to at once */
-	/* Peers that are asked where a flow is: whole zones up to some size,
-	 * beyond that a part of them. */
+	JT_DIGEST_FANOUT = 2, /* peers that get a digest in each round */
+	JT_NEWS_FANOUT = 4,   /* peers to which a gossip update is forwarded */
+	/* Maximum number of peers queried for the endpoint of a flow. */
 	JT_FLOW_FANOUT = 24,
-	JT_FLOW_FANOUT_FAR = 6, /* so many at least, of any zone */
+	/* With fewer targets than this, peers of other zones are added. */
+	JT_FLOW_FANOUT_FAR = 6,
 };
 
+/* What is known of another node. Times are in milliseconds of this node's
+ * monotonic clock. */
 struct jt_peer {
-	uint64_t id; /* of the process; 0: a seed that was not heard yet */
+	uint64_t id; /* of the process; 0: a seed not heard from yet */
 	struct jt_address address;
 	uint32_t zone_id;
-	uint32_t weight;   /* as a reader of the store; 0: not now */
-	uint64_t heard_ms; /* by anybody */
+	uint32_t weight;   /* capacity to read the store; 0: it can't now */
+	uint64_t heard_ms; /* last time that any node heard from it */
 	uint64_t routing_version;
 	uint64_t revision;
-	bool heard; /* directly, since it was last lost */
+	bool heard; /* this node has heard from it since it was last lost */
 	bool started;
-	bool places; /* new flows: it knows some endpoints */
+	bool places; /* accepts new flows: it knows some endpoints */
 	bool leaving;
-	bool ready; /* routers were told that it is */
+	bool ready; /* answers readiness checks with "ready" */
 	bool lost;
-	bool no_answer; /* to a fetch, and not heard since then */
+	bool no_answer; /* a fetch failed, and no message has come since then */
 };
 
-/* How a fetch from a peer ended. */
+/* Result of a fetch from a peer. */
 enum jt_fetch_end {
 	JT_FETCH_WORKED,
-	JT_FETCH_BUSY, /* the peer is asked by too many */
+	JT_FETCH_BUSY, /* the peer is serving too many fetches */
 	JT_FETCH_FAILED,
 };
 
-/* Whether the peer was heard lately, by this node or by another. */
+/* Returns true if this node or another one has heard from the peer recently. */
 static inline bool jt_peer_lives(const struct jt_peer *peer)
 {
 	return peer->id != 0 && !peer->lost;
 }
 
-/* What this node tells of itself. */
+/* State of this node as it is sent to peers. Times are in milliseconds of this
+ * node's monotonic clock. */
 struct jt_own_state {
 	uint64_t routing_version;
 	uint64_t revision;
 	bool started;
-	bool places; /* new flows: it knows some endpoints */
+	bool places; /* accepts new flows: it knows some endpoints */
 	bool leaving;
-	bool ready;		 /* routers were told that it is */
-	bool reading;		 /* the store tells it of changes */
-	uint32_t weight;	 /* as a reader of the store; 0: not now */
-	uint64_t store_as_of_ms; /* all that the store had then is known */
-	uint64_t store_reader;	 /* the node that read it */
+	bool ready;	 /* answers readiness checks with "ready" */
+	bool reading;	 /* receives changes from the store itself */
+	uint32_t weight; /* capacity to read the store; 0: it can't now */
+	uint64_t store_as_of_ms; /* the state is complete as of this time */
+	uint64_t store_reader;	 /* id of the node that read the store then */
 };
 
-/* How old what this node knows of the store is, as a message tells it. */
+/* Returns the age in milliseconds of this node's view of the store, capped at
+ * UINT32_MAX as in messages. */
 static inline uint32_t jt_own_store_age_ms(const struct jt_own_state *own,
 					   uint64_t now_ms)
 {
@@ -92,87 +99,97 @@
 	size_t count;
 	size_t capacity;
 	struct jt_random random;
-	uint64_t behind_ms; /* since when a peer knows more, 0: none does */
+	uint64_t behind_ms; /* when a peer was first seen ahead; 0: none is */
 	uint64_t fetch_next_ms;
 	bool fetching;
-	uint64_t fetching_from;	 /* the peer that is asked */
-	uint64_t leave_limit_ms; /* a node that leaves has ended by then */
-	uint32_t without;	 /* mechanisms that are off */
+	uint64_t fetching_from;	 /* id of the peer of the current fetch */
+	uint64_t leave_limit_ms; /* maximum duration of a leave */
+	uint32_t without;	 /* bit mask of disabled features */
 };
 
+/* Creates the membership of the node @id at @address, as a talloc child of
+ * @mem_ctx. Returns NULL if memory runs out. */
 struct jt_membership *jt_membership_create(TALLOC_CTX *mem_ctx, uint64_t id,
 					   struct jt_address address,
 					   uint32_t zone_id);
-/* A node may be at @address. */
+/* Adds a seed: an address at which a node may be reached. */
 void jt_membership_seed(struct jt_membership *membership,
 			struct jt_address address);
-/* A digest came from @from. True when the peer was new, or had been lost. */
+/* Records a digest received from @from. Returns true if the peer was new or had
+ * been lost. */
 bool jt_membership_digest(struct jt_membership *membership, uint64_t from,
 			  struct jt_address address,
 			  const jt_wire_digest *digest, uint64_t now_ms);
-/* The same for a peer that tells whether it takes flows. */
+/* Records an availability message; returns the same as jt_membership_digest. */
 bool jt_membership_standing(struct jt_membership *membership, uint64_t from,
 			    struct jt_address address,
 			    const jt_wire_standing *standing, uint64_t now_ms);
 /*
- * Choose whom to tell in this round; returns how many of @targets were set.
+ * Chooses the peers that get a digest in this round. Returns the number of
+ * @targets set.
  */
 size_t jt_membership_round(struct jt_membership *membership,
 			   struct jt_address targets[JT_DIGEST_FANOUT]);
-/* Choose whom to send news on to, most of them in this node's zone; returns
- * how many of @targets were set. */
+/* Chooses the peers to which a gossip update is forwarded, most of them in this
+ * node's zone. Returns the number of @targets set. */
 size_t jt_membership_news_targets(struct jt_membership *membership,
 				  struct jt_address targets[JT_NEWS_FANOUT]);
-/* Choose whom to ask for a flow that routers may have moved here: peers that
- * they do without, and others of this node's zone; of other zones where it has
- * few. Returns how many of @targets were set. */
+/* Chooses the peers to query for a flow that routers may have moved to this
+ * node: first peers of this node's zone that routers no longer use, then its
+ * other peers, then peers of other zones. Returns the number of @targets
+ * set. */
 size_t jt_membership_flow_targets(struct jt_membership *membership,
 				  struct jt_address targets[JT_FLOW_FANOUT]);
-/* What a digest tells of this node itself. */
+/* Fills in the part of a digest that describes this node, without peers. */
 void jt_membership_own_state(const struct jt_membership *membership,
 			     const struct jt_own_state *own, uint64_t now_ms,
 			     jt_wire_digest *digest);
-/* Whether this node is among the first of its zone that can read the store.
- * There are three such nodes in all, and one in each zone, at the least. */
+/* Returns true if this node is one of the preferred store readers of its zone.
+ * There is at least one in each zone, and at least three in total. */
 bool jt_membership_reads_first(const struct jt_membership *membership,
 			       uint32_t own_weight);
-/* The same, and whether it is the first of all, or of its zone where nodes are
- * many. */
+/* Returns the rank of this node among the store readers: of its zone, or of all
+ * nodes. In a large cluster each zone has its own watchers. */
 enum jt_reading_turn
 jt_membership_reading_turn(const struct jt_membership *membership,
 			   uint32_t own_weight);
-/* The other nodes, as one that leaves must see them. */
+/* Returns the counts of other nodes on which a leaving node bases its steps. */
 struct jt_zone_view jt_membership_zone(const struct jt_membership *membership,
 				       uint64_t now_ms);
-/* The digest for this round; its peers are talloc children of @mem_ctx. */
+/* Builds the digest for this round; its peers are talloc children of
+ * @mem_ctx. */
 void jt_membership_own_digest(struct jt_membership *membership,
 			      TALLOC_CTX *mem_ctx,
 			      const struct jt_own_state *own, uint64_t now_ms,
 			      jt_wire_digest *digest);
-/* The digest for a node of @zone_id that has just started: its peers are the
- * best to learn from, the strongest and the last heard. */
+/* Builds a digest for a node of @zone_id that has just started. Its peers are
+ * the best sources for a state transfer: high capacity, heard from recently.
+ * They are talloc children of @mem_ctx. */
 void jt_membership_source_digest(struct jt_membership *membership,
 				 TALLOC_CTX *mem_ctx,
 				 const struct jt_own_state *own,
 				 uint32_t zone_id, uint64_t now_ms,
 				 jt_wire_digest *digest);
-/* Whether a peer has started, as far as is known. */
+/* Returns true if at least one live peer is known to have started. */
 bool jt_membership_knows_source(const struct jt_membership *membership);
-/* The next peer that was lost and not yet told, NULL when there is none. */
+/* Returns the next peer that timed out and was not yet reported, NULL if there
+ * is none. Marks it as lost, and removes peers lost long ago. */
 const struct jt_peer *jt_membership_next_lost(struct jt_membership *membership,
 					      uint64_t now_ms);
 /*
- * The peer to fetch from now, NULL where none knows more or it is not due.
- * The driver must report the end of a fetch.
+ * Returns the peer to fetch from now, NULL if no peer is ahead or no fetch is
+ * due. The driver must report the end with jt_membership_fetched.
  */
 const struct jt_peer *jt_membership_fetch(struct jt_membership *membership,
 					  const struct jt_own_state *own,
 					  uint64_t now_ms);
+/* Records the end of the fetch that jt_membership_fetch started. */
 void jt_membership_fetched(struct jt_membership *membership,
 			   enum jt_fetch_end end, uint64_t now_ms);
-/* Peers that were heard lately. */
+/* Returns the number of live peers. */
 size_t jt_membership_live(const struct jt_membership *membership);
-/* Their ids, below @mem_ctx; returns how many, 0 when memory runs out. */
+/* Returns the number of live peers and sets @ids to their ids, an array owned
+ * by @mem_ctx. Returns 0 with NULL if memory runs out. */
 size_t jt_membership_ids(const struct jt_membership *membership,
 			 TALLOC_CTX *mem_ctx, uint64_t **ids);
 
--- a/src/label/jt_membership_digest.c
+++ b/src/label/jt_membership_digest.c
@@ -1,4 +1,4 @@
-/* What digests tell of a node and of its peers. */
+/* Builds the digests that describe this node and its peers. */
 #include "jt_membership_source.h"
 
 #include <string.h>
@@ -20,8 +20,8 @@
 	digest->store_reader = own->store_reader;
 }
 
-/* Begin a digest with this node's state and room for peers, which are talloc
- * children of @mem_ctx. False when memory runs out; it then tells none. */
+/* Starts a digest with this node's state and an array for peers owned by
+ * @mem_ctx. Returns false if memory runs out; the digest then has no peers. */
 static bool digest_begin(const struct jt_membership *membership,
 			 TALLOC_CTX *mem_ctx, const struct jt_own_state *own,
 			 uint64_t now_ms, jt_wire_digest *digest)
@@ -81,22 +81,22 @@
 	uint64_t rank;
 };
 
-/* Puts @peer in its place among the @count best sources, best first; returns
- * how many there are then. */
+/* Inserts @peer into the list of the @count best sources, best first. Returns
+ * the new length of the list. */
 static size_t source_insert(struct ranked_peer *best, size_t count,
 			    struct ranked_peer peer)
 {
-	size_t place = count;
+	size_t position = count;
 
-	while (place > 0 && best[place - 1].rank < peer.rank)
-		place--;
-	if (place == JT_DIRECTOR_MAX_PEERS)
+	while (position > 0 && best[position - 1].rank < peer.rank)
+		position--;
+	if (position == JT_DIRECTOR_MAX_PEERS)
 		return count;
 	if (count < JT_DIRECTOR_MAX_PEERS)
 		count++;
-	for (size_t i = count - 1; i > place; i--)
+	for (size_t i = count - 1; i > position; i--)
 		best[i] = best[i - 1];
-	best[place] = peer;
+	best[position] = peer;
 	return count;
 }
 
--- a/src/label/jt_membership_fetch.c
+++ b/src/label/jt_membership_fetch.c
@@ -1,29 +1,29 @@
-/* Which peer a node that is behind fetches from, and when. */
+/* Chooses when to fetch state and from which peer. */
 #include "jt_membership_source.h"
 
 enum {
-	/* How long the store may take to tell what a peer knows already, and
-	 * how long news of it may be under way to a node that does not read. */
-	BEHIND_READING_MS = 900,
-	BEHIND_MS = 60,
+	/* Time to wait for a change that a peer already has: from the store for
+	 * a node that reads it, by gossip for the others. */
+	STORE_DELAY_MS = 900,
+	GOSSIP_DELAY_MS = 60,
 	FETCH_PAUSE_MS = 100,
 	FETCH_FAILED_PAUSE_MS = 200,
-	/* In the mean: about as long as a link is busy with what it serves. */
+	/* Average pause after a peer reported that it is busy. */
 	FETCH_BUSY_PAUSE_MS = 60,
 };
 
-/* Whether the peer can tell a node that knows nothing some endpoints. */
-static bool tells_some(const struct jt_peer *peer)
+/* Returns true if the peer can send some endpoints, even if it has not
+ * started. */
+static bool has_some_endpoints(const struct jt_peer *peer)
 {
 	return peer->heard && peer->places && !peer->lost;
 }
 
-static bool knows_more(const struct jt_peer *peer,
-		       const struct jt_own_state *own)
+static bool is_ahead(const struct jt_peer *peer, const struct jt_own_state *own)
 {
 	if (!own->started)
 		return jt_peer_started(peer) ||
-		       (!own->places && tells_some(peer));
+		       (!own->places && has_some_endpoints(peer));
 	if (!peer->heard || peer->lost || !peer->started)
 		return false;
 	return peer->revision > own->revision ||
@@ -31,31 +31,32 @@
 }
 
 /*
- * A peer to learn everything from: at random, each as likely as it is good, so
- * that many nodes that start at once share the work among all that know.
+ * Returns a peer for a full state transfer. The choice is random, weighted by
+ * rank, so that many nodes starting together spread their load.
  */
-static const struct jt_peer *peer_source(struct jt_membership *membership,
+static const struct jt_peer *pick_source(struct jt_membership *membership,
 					 const struct jt_own_state *own,
 					 uint64_t now_ms)
 {
-	const struct jt_peer *chosen = NULL;
-	uint64_t sum = 0;
+	const struct jt_peer *selected = NULL;
+	uint64_t total = 0;
 
 	for (size_t i = 0; i < membership->count; i++) {
 		const struct jt_peer *peer = &membership->peers[i];
 		uint64_t rank;
 
-		if (!knows_more(peer, own) || peer->no_answer)
+		if (!is_ahead(peer, own) || peer->no_answer)
 			continue;
 		rank = jt_source_rank(peer, membership->zone_id, now_ms);
-		sum += rank;
-		if (jt_random_next(&membership->random) % sum < rank)
-			chosen = peer;
+		total += rank;
+		if (jt_random_next(&membership->random) % total < rank)
+			selected = peer;
 	}
-	return chosen;
+	return selected;
 }
 
-/* How gladly a peer is asked: one that answers, and of the own zone. */
+/* Ranks peers to fetch from: those that answer first, then those of this
+ * zone. */
 static int fetch_rank(const struct jt_membership *membership,
 		      const struct jt_peer *peer)
 {
@@ -63,10 +64,10 @@
 	       (peer->zone_id == membership->zone_id ? 1 : 0);
 }
 
-/* A live peer that knows more than this node: any of the best, so that those
- * that know most are not asked by all. */
-static const struct jt_peer *peer_ahead(struct jt_membership *membership,
-					const struct jt_own_state *own)
+/* Returns a random one of the best-ranked live peers that are ahead of this
+ * node, to spread the load. */
+static const struct jt_peer *pick_peer_ahead(struct jt_membership *membership,
+					     const struct jt_own_state *own)
 {
 	const struct jt_peer *best = NULL;
 	size_t start = 0;
@@ -77,7 +78,7 @@
 		const struct jt_peer *peer =
 			&membership->peers[(start + i) % membership->count];
 
-		if (!knows_more(peer, own))
+		if (!is_ahead(peer, own))
 			continue;
 		if (best == NULL ||
 		    fetch_rank(membership, peer) > fetch_rank(membership, best))
@@ -93,9 +94,9 @@
 	const struct jt_peer *peer = NULL;
 
 	if (!own->started)
-		peer = peer_source(membership, own, now_ms);
+		peer = pick_source(membership, own, now_ms);
 	if (peer == NULL)
-		peer = peer_ahead(membership, own);
+		peer = pick_peer_ahead(membership, own);
 	if (peer == NULL) {
 		membership->behind_ms = 0;
 		return NULL;
@@ -106,15 +107,16 @@
 		return NULL;
 	if (own->started &&
 	    now_ms - membership->behind_ms <
-		    (own->reading ? BEHIND_READING_MS : BEHIND_MS))
+		    (own->reading ? STORE_DELAY_MS : GOSSIP_DELAY_MS))
 		return NULL;
 	membership->fetching = true;
 	membership->fetching_from = peer->id;
 	return peer;
 }
 
-/* The peer gave no answer: rather ask others until it is heard again. */
-static void peer_no_answer(struct jt_membership *membership, uint64_t id)
+/* Marks a peer that did not answer, so that others are preferred until it is
+ * heard from again. */
+static void mark_no_answer(struct jt_membership *membership, uint64_t id)
 {
 	for (size_t i = 0; i < membership->count; i++) {
 		if (membership->peers[i].id == id)
@@ -145,5 +147,5 @@
 	if (end == JT_FETCH_WORKED)
 		membership->behind_ms = 0;
 	if (end == JT_FETCH_FAILED)
-		peer_no_answer(membership, membership->fetching_from);
+		mark_no_answer(membership, membership->fetching_from);
 }
--- a/src/label/jt_membership_flow.c
+++ b/src/label/jt_membership_flow.c
@@ -1,23 +1,25 @@
-/* Whom to ask for a flow that routers may have moved to this node. */
+/* Chooses the peers to query for a flow that routers may have moved to this
+ * node. */
 #include "jt_membership.h"
 
-/* The order in which peers are asked. */
+/* The order in which peers are queried. */
 enum rank {
-	RANK_ZONE_UNUSED, /* of this node's zone; routers do without it */
-	RANK_ZONE,
-	RANK_FAR_UNUSED, /* of another zone */
-	RANK_FAR,	 /* only where there are few others */
-	RANKS,
+	RANK_OWN_ZONE_UNUSED, /* this node's zone, not used by routers */
+	RANK_OWN_ZONE,
+	RANK_OTHER_ZONE_UNUSED, /* another zone, not used by routers */
+	RANK_OTHER_ZONE, /* another zone; only up to JT_FLOW_FANOUT_FAR targets
+			    in total */
+	RANK_COUNT,
 };
 
-static enum rank rank_of(const struct jt_membership *membership,
-			 const struct jt_peer *peer)
+static enum rank peer_rank(const struct jt_membership *membership,
+			   const struct jt_peer *peer)
 {
-	bool near = peer->zone_id == membership->zone_id;
+	bool own_zone = peer->zone_id == membership->zone_id;
 
 	if (peer->leaving || !peer->ready)
-		return near ? RANK_ZONE_UNUSED : RANK_FAR_UNUSED;
-	return near ? RANK_ZONE : RANK_FAR;
+		return own_zone ? RANK_OWN_ZONE_UNUSED : RANK_OTHER_ZONE_UNUSED;
+	return own_zone ? RANK_OWN_ZONE : RANK_OTHER_ZONE;
 }
 
 size_t jt_membership_flow_targets(struct jt_membership *membership,
@@ -28,18 +30,19 @@
 	if (membership->count == 0)
 		return 0;
 	start = jt_random_next(&membership->random) % membership->count;
-	for (int rank = 0; rank < RANKS; rank++) {
-		size_t most =
-			rank == RANK_FAR ? JT_FLOW_FANOUT_FAR : JT_FLOW_FANOUT;
+	for (int rank = 0; rank < RANK_COUNT; rank++) {
+		size_t limit = rank == RANK_OTHER_ZONE ? JT_FLOW_FANOUT_FAR
+						       : JT_FLOW_FANOUT;
 
-		for (size_t i = 0; i < membership->count && count < most; i++) {
+		for (size_t i = 0; i < membership->count && count < limit;
+		     i++) {
 			const struct jt_peer *peer =
 				&membership->peers[(start + i) %
 						   membership->count];
 
-			/* One that has not started has placed nothing. */
+			/* A peer that has not started has assigned no flows. */
 			if (jt_peer_lives(peer) && peer->started &&
-			    rank_of(membership, peer) == (enum rank)rank)
+			    peer_rank(membership, peer) == (enum rank)rank)
 				targets[count++] = peer->address;
 		}
 	}
--- a/src/label/jt_membership_source.h
+++ b/src/label/jt_membership_source.h
@@ -1,21 +1,21 @@
-/* How good a peer is to learn from; shared by the files of membership. */
+/* Ranking of peers as sources of a state transfer. */
 #ifndef JT_MEMBERSHIP_SOURCE_H
 #define JT_MEMBERSHIP_SOURCE_H
 
 #include "jt_membership.h"
 
 enum {
-	/* A peer that was heard of so long ago is half as good to learn from
-	 * as one that was heard just now: it may have ended since. Of many
-	 * peers each is heard of every few seconds. */
-	SOURCE_HALF_MS = 2000,
-	/* A source of the own zone counts for so many of other zones. */
-	SOURCE_NEAR = 32,
-	/* Keeps the rank of the weakest source above 0. */
-	SOURCE_UNIT = 1000,
+	/* A peer last heard from this long ago has half the rank of one heard
+	 * from just now: it may have ended since then. */
+	SOURCE_HALF_RANK_AGE_MS = 2000,
+	/* Factor by which a source of the same zone is preferred. */
+	SOURCE_OWN_ZONE_FACTOR = 32,
+	/* Scales ranks so that the lowest one stays above 0. */
+	SOURCE_RANK_SCALE = 1000,
 };
 
-/* Who can read the store has started, even where only others tell of it. */
+/* Returns true if the peer has started. For a peer known only through others, a
+ * weight above 0 implies it. */
 static inline bool jt_peer_started(const struct jt_peer *peer)
 {
 	return jt_peer_lives(peer) &&
@@ -23,9 +23,8 @@
 }
 
 /*
- * How good a source the peer is for a node of @zone_id that knows nothing: to
- * tell all is work, so the stronger a peer and the likelier it lives, the
- * better.
+ * Returns the rank of the peer as a source for a node of @zone_id that has no
+ * state: higher capacity, a recent message and the same zone raise it.
  */
 static inline uint64_t jt_source_rank(const struct jt_peer *peer,
 				      uint32_t zone_id, uint64_t now_ms)
@@ -34,9 +33,9 @@
 	uint64_t age_ms = now_ms - peer->heard_ms;
 
 	if (peer->zone_id == zone_id)
-		weight *= SOURCE_NEAR;
-	return 1 + weight * SOURCE_UNIT * SOURCE_HALF_MS /
-			   (SOURCE_HALF_MS + age_ms);
+		weight *= SOURCE_OWN_ZONE_FACTOR;
+	return 1 + weight * SOURCE_RANK_SCALE * SOURCE_HALF_RANK_AGE_MS /
+			   (SOURCE_HALF_RANK_AGE_MS + age_ms);
 }
 
 #endif
--- a/src/label/jt_reader.c
+++ b/src/label/jt_reader.c
@@ -1,46 +1,50 @@
 #include "jt_reader.h"
 
 enum {
-	/* The jitter is at most this part of the limit. */
-	JITTER_PART = 4,
-	/* A peer that knew no more so lately speaks for the others. */
-	AS_OLD_MS = 1000,
-	/* Where the store is away from all, one node tries in that time: 40
-	 * tries a second see it back soon, and hardly load it. */
-	TRY_SHARE_MS = 25,
-	/* No node tries again sooner, on the average, than in half of it. */
-	TRY_LEAST_MS = 1600,
-	/* Knowledge is fresh again when it is younger than this part. */
-	FRESH_PART = 2,
-	/* A node that has begun to read does so for a while, and one whose
-	 * watch fails watches on for as long. */
-	HOLD_MS = 1000,
-	/* What a list costs at the least, in thousandths of a core times
-	 * milliseconds, and how long it may take before waiting pays. */
-	LIST_COST = 10 * 1000,
-	LIST_MS = 100,
-	START_WAIT_MOST_MS = 1000,
-	/* A node that knows some endpoints by peers places flows already: peers
-	 * have that long to list the rest and tell it. */
-	PEERS_LIST_MS = 1500,
-	/* A live peer has answered by then. */
+	/* The jitter is at most the limit divided by this. */
+	JITTER_DIVISOR = 4,
+	/* A report of no newer state counts for the other peers, too, for this
+	 * long. */
+	PEERS_NO_NEWER_MS = 1000,
+	/* While the store is unreachable for all nodes, one node on average
+	 * retries per interval of this length. */
+	RETRY_INTERVAL_MS = 25,
+	/* Minimum range of the random retry delay of a node. */
+	RETRY_MIN_MS = 1600,
+	/* State is fresh again when it is younger than the limit divided by
+	 * this. */
+	FRESH_DIVISOR = 2,
+	/* Minimum time for which a node reads, and for which it keeps watching
+	 * after a failed watch. */
+	MIN_READING_MS = 1000,
+	/* Minimum cost of a full listing, in thousandths of a core times
+	 * milliseconds, and the duration from which waiting for peers pays
+	 * off. */
+	LISTING_COST = 10 * 1000,
+	LISTING_MS = 100,
+	MAX_START_WAIT_MS = 1000,
+	/* Time for peers to list the store and send the rest to a node that
+	 * knows some endpoints and already accepts new flows. */
+	PEERS_LISTING_MS = 1500,
+	/* Time within which a live peer answers. */
 	PEER_ANSWER_MS = 15,
-	/* Nobody sends packets yet when the whole system starts: seeds have
-	 * that long to list, then the others do so one after the other. */
+	/* There is no traffic yet when the whole system starts: the seeds have
+	 * this long to list the store, then the others do so at random
+	 * times. */
 	FIRST_START_SEEDS_MS = 1000,
 	FIRST_START_MS = 2000,
-	/* A node knows enough of its peers to be the one that watches. Longer,
-	 * and changes just after all were restarted would come late; where all
-	 * start for the first time, there is time. */
+	/* Time after which a node knows enough of its peers to watch. A longer
+	 * time would delay changes just after a restart of all nodes; on the
+	 * first start there is no such need. */
 	WATCH_AFTER_MS = 300,
 	WATCH_AFTER_FIRST_START_MS = 2500,
 };
 
-/* A new jitter for each time that this node steps in. */
+/* Draws a new jitter, once for each time that this node begins to read. */
 static void jitter_draw(struct jt_reader *reader)
 {
 	reader->jitter_ms = jt_random_next(&reader->random) %
-			    (reader->limit_ms / JITTER_PART + 1);
+			    (reader->limit_ms / JITTER_DIVISOR + 1);
 }
 
 void jt_reader_init(struct jt_reader *reader, uint64_t limit_ms, uint64_t seed)
@@ -75,45 +79,47 @@
 	jt_reader_heard(reader, as_of_ms, from);
 }
 
-/* Whether peers lately knew no more of the store than this node does. */
-static bool peers_as_old(const struct jt_reader *reader, uint64_t now_ms)
+/* Returns true if peers recently reported no newer state than this node has. */
+static bool peers_are_no_newer(const struct jt_reader *reader, uint64_t now_ms)
 {
-	return reader->as_old_ms != 0 && now_ms - reader->as_old_ms < AS_OLD_MS;
+	return reader->as_old_ms != 0 &&
+	       now_ms - reader->as_old_ms < PEERS_NO_NEWER_MS;
 }
 
 void jt_reader_failed(struct jt_reader *reader, size_t nodes, uint64_t now_ms)
 {
-	uint64_t spread_ms = (uint64_t)nodes * TRY_SHARE_MS;
+	uint64_t spread_ms = (uint64_t)nodes * RETRY_INTERVAL_MS;
 
-	/* Not long ago somebody could read it: this node goes on as it is for a
-	 * while, whoever has the turn now. A store that drops its history ends
-	 * all watches, and its cheap checks are seconds behind meanwhile: only
-	 * another watch shows that. */
+	/* The store was read not long ago: keep the current mode for a while,
+	 * whichever node is preferred now. A store that compacts its history
+	 * ends all watches, and its revision checks lag by seconds meanwhile;
+	 * only a new watch shows that. */
 	if (now_ms - reader->heard_ms <= reader->limit_ms) {
-		reader->hold_until_ms = now_ms + HOLD_MS;
+		reader->hold_until_ms = now_ms + MIN_READING_MS;
 		return;
 	}
-	if (!peers_as_old(reader, now_ms))
+	if (!peers_are_no_newer(reader, now_ms))
 		return;
-	if (spread_ms < TRY_LEAST_MS)
-		spread_ms = TRY_LEAST_MS;
+	if (spread_ms < RETRY_MIN_MS)
+		spread_ms = RETRY_MIN_MS;
 	reader->try_after_ms =
 		now_ms + jt_random_next(&reader->random) % spread_ms;
 }
 
-static bool wanted(const struct jt_reader *reader, enum jt_reading_turn turn,
-		   bool started, uint64_t now_ms)
+static bool should_read(const struct jt_reader *reader,
+			enum jt_reading_turn turn, bool started,
+			uint64_t now_ms)
 {
 	uint64_t age_ms = now_ms - reader->heard_ms;
 
 	if (turn != JT_TURN_NONE || !started)
 		return true;
-	if (now_ms < reader->try_after_ms && peers_as_old(reader, now_ms))
+	if (now_ms < reader->try_after_ms && peers_are_no_newer(reader, now_ms))
 		return false;
 	if (reader->reading == JT_READING_NOT)
 		return age_ms > reader->limit_ms + reader->jitter_ms;
-	return age_ms > reader->limit_ms / FRESH_PART ||
-	       now_ms - reader->began_ms < HOLD_MS;
+	return age_ms > reader->limit_ms / FRESH_DIVISOR ||
+	       now_ms - reader->began_ms < MIN_READING_MS;
 }
 
 enum jt_reading jt_reader_decide(struct jt_reader *reader,
@@ -123,7 +129,7 @@
 	if (reader->reading == JT_READING_WATCHES &&
 	    now_ms < reader->hold_until_ms)
 		return reader->reading;
-	if (!wanted(reader, turn, started, now_ms)) {
+	if (!should_read(reader, turn, started, now_ms)) {
 		reader->reading = JT_READING_NOT;
 		return reader->reading;
 	}
@@ -140,13 +146,13 @@
 
 uint64_t jt_reader_start_wait_ms(uint32_t weight)
 {
-	uint64_t list_ms = LIST_COST / (weight ? weight : 1);
+	uint64_t listing_ms = LISTING_COST / (weight ? weight : 1);
 
-	if (list_ms <= LIST_MS)
+	if (listing_ms <= LISTING_MS)
 		return 0;
-	if (list_ms - LIST_MS > START_WAIT_MOST_MS)
-		return START_WAIT_MOST_MS;
-	return list_ms - LIST_MS;
+	if (listing_ms - LISTING_MS > MAX_START_WAIT_MS)
+		return MAX_START_WAIT_MS;
+	return listing_ms - LISTING_MS;
 }
 
 uint64_t jt_reader_first_wait_ms(struct jt_reader *reader, uint32_t weight,
@@ -168,10 +174,10 @@
 bool jt_reader_list_waits(struct jt_reader *reader, size_t nodes,
 			  uint64_t now_ms)
 {
-	uint64_t spread_ms = (uint64_t)nodes * TRY_SHARE_MS;
+	uint64_t spread_ms = (uint64_t)nodes * RETRY_INTERVAL_MS;
 
 	if (reader->list_after_ms == 0)
-		reader->list_after_ms = now_ms + PEERS_LIST_MS;
+		reader->list_after_ms = now_ms + PEERS_LISTING_MS;
 	if (now_ms >= reader->list_after_ms && !reader->list_spread) {
 		reader->list_spread = true;
 		reader->list_after_ms =
--- a/src/label/jt_reader.h
+++ b/src/label/jt_reader.h
@@ -1,18 +1,18 @@
 /*
- * Which nodes read the store, without any agreement on it.
+ * Decides which nodes read the store, without agreement among them.
  *
- * One node watches the store and tells the others (news at once, digests for
- * whoever missed them). A few in each zone check, for a tenth of the price,
- * that no change was missed, and fetch what was. Every node decides for
- * itself, from what it believes of its peers, so two nodes that believe
- * different things are two readers for a while, which does no harm: revisions
- * order everything.
+ * One node watches the store and passes changes on by gossip; digests cover
+ * lost messages. A few nodes in each zone check the store's revision, which is
+ * cheaper, and fetch changes that were missed. Every node decides from its own
+ * view of its peers. Nodes with different views may both read for a while,
+ * which is harmless because revisions order all changes.
  *
- * Each node also knows how old its knowledge is: a reader tells when the store
- * last answered it, and that time travels with the digests. A node whose
- * knowledge grows too old, for whatever reason, checks the store itself.
+ * Each node also tracks the age of its state: a reader reports when the store
+ * last answered, and digests carry that time. A node whose state grows too old
+ * checks the store itself.
  *
- * Pure: the driver reports and asks.
+ * This module does no I/O: the driver reports events and asks for decisions.
+ * Times are in milliseconds of the monotonic clock.
  */
 #ifndef JT_READER_H
 #define JT_READER_H
@@ -23,81 +23,85 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Where a node stands among those that can read the store. */
+/* Rank of a node among those that can read the store. */
 enum jt_reading_turn {
 	JT_TURN_NONE,
-	JT_TURN_OF_ZONE, /* among the first of its zone */
-	JT_TURN_OF_ALL,	 /* the first of all */
+	JT_TURN_OF_ZONE, /* one of the preferred readers of its zone */
+	JT_TURN_OF_ALL,	 /* the preferred watcher */
 };
 
 struct jt_reader {
-	uint64_t limit_ms;   /* older knowledge makes a node read by itself */
-	uint64_t jitter_ms;  /* of this node, so that not all begin at once */
-	uint64_t own_ms;     /* all that the store had then was read here */
-	uint64_t heard_ms;   /* all that it had then is known from peers */
-	uint64_t heard_from; /* the node that read it */
-	uint64_t began_ms;   /* since when this node reads */
-	uint64_t watch_after_ms; /* and how long it only checks at first */
-	uint64_t as_old_ms;	 /* a peer's knowledge was no newer then */
-	uint64_t hold_until_ms; /* its watch failed: it watches on until then */
-	uint64_t try_after_ms;	/* the store gave no answer: not before then */
+	uint64_t limit_ms;   /* maximum age of state not read by this node */
+	uint64_t jitter_ms;  /* random addition to limit_ms */
+	uint64_t own_ms;     /* as of when this node has read the store */
+	uint64_t heard_ms;   /* as of when peers have read the store */
+	uint64_t heard_from; /* id of the node that read it at heard_ms */
+	uint64_t began_ms;   /* when this node began to read */
+	uint64_t watch_after_ms; /* initial time without a watch */
+	uint64_t as_old_ms;	 /* when a peer last reported no newer state */
+	uint64_t hold_until_ms;	 /* keep watching until then */
+	uint64_t try_after_ms;	 /* don't read before then */
 	enum jt_reading reading;
-	/* A node that knows some endpoints leaves the list to peers so long;
-	 * and whether that is the time of its own among all nodes. */
+	/* A node that knows some endpoints doesn't list the store before
+	 * list_after_ms; list_spread is set once that time is randomized over
+	 * all nodes. */
 	uint64_t list_after_ms;
 	bool list_spread;
 	struct jt_random random;
 };
 
-/* Knowledge older than @limit_ms is too old. */
+/* Initializes the reader. State older than @limit_ms is too old; @seed seeds
+ * the random delays. */
 void jt_reader_init(struct jt_reader *reader, uint64_t limit_ms, uint64_t seed);
-/* This node has read all that the store had at @as_of_ms. */
+/* Records that this node has read the store as of @as_of_ms. */
 void jt_reader_read(struct jt_reader *reader, uint64_t as_of_ms);
-/* A peer that knows no more than this node has all that @from read then. */
+/* Records a report of a peer that is not ahead of this node: this node has
+ * all that @from had read as of @as_of_ms. */
 void jt_reader_heard(struct jt_reader *reader, uint64_t as_of_ms,
 		     uint64_t from);
-/* The same, as a peer tells it now: one that has nothing newer to tell shows
- * that this node is no worse off than others. */
+/* The same for a report that a peer sends at @now_ms. A report that is not
+ * newer shows that peers are no more up to date than this node. */
 void jt_reader_told(struct jt_reader *reader, uint64_t as_of_ms, uint64_t from,
 		    uint64_t now_ms);
 /*
- * The store gave this node no answer. Where knowledge is still fresh a node
- * that watches does so for a while longer. Where it is old and peers are no
- * better off, the store is away from all: of @nodes nodes one tries in each
- * share of time, and tells the others when it answers again.
+ * Records that the store did not answer. While its state is fresh, a watching
+ * node keeps watching for some time. If the state is old and peers have no
+ * newer one, the store is unreachable for all: the nodes, @nodes in number,
+ * spread their retries, and the first that succeeds informs the others.
  */
 void jt_reader_failed(struct jt_reader *reader, size_t nodes, uint64_t now_ms);
 /*
- * How to read the store now. @turn: where this node stands among those that
- * can; @started: it knows routing and endpoints.
+ * Decides how to read the store now. @turn: the rank of this node among the
+ * readers; @started: it knows the routing and the endpoints.
  */
 enum jt_reading jt_reader_decide(struct jt_reader *reader,
 				 enum jt_reading_turn turn, bool started,
 				 uint64_t now_ms);
 /*
- * How long a node that has just begun waits for peers that know everything
- * before it lists the store. To read a whole list costs a weak node far more
- * than to learn the same from a peer. @weight: in thousandths of a core.
+ * Returns the time in milliseconds that a starting node waits for peers that
+ * have the full state before it lists the store. A full listing costs a weak
+ * node far more than a transfer from a peer. @weight: capacity in thousandths
+ * of a core.
  */
 uint64_t jt_reader_start_wait_ms(uint32_t weight);
 /*
- * The same for any node: long enough for a live peer to answer, and where the
- * whole system starts for the first time (@first_start), long enough for one
- * that has read the store to tell. Those that all others know (@is_seed) read
- * it first.
+ * The same with a minimum: long enough for a live peer to answer and, when the
+ * whole system starts for the first time (@first_start), for a node that has
+ * listed the store to report. Seeds (@is_seed) list the store first.
  */
 uint64_t jt_reader_first_wait_ms(struct jt_reader *reader, uint32_t weight,
 				 bool first_start, bool is_seed);
-/* "not", "checks" or "watches". */
+/* Returns "not", "checks" or "watches". */
 const char *jt_reading_name(enum jt_reading reading);
-/* As of when the store is known, and by whose reading. */
+/* Returns the time as of which this node knows the store's content, and sets
+ * @from to the id of the node that read it. */
 uint64_t jt_reader_as_of(const struct jt_reader *reader, uint64_t own_id,
 			 uint64_t *from);
 
 /*
- * Whether a node that has not started, but knows some endpoints by its peers,
- * still leaves the list of all to them. After a while such nodes, of @nodes
- * that are known, begin one after the other.
+ * Returns true if a node that has not started, but knows some endpoints from
+ * peers, still waits for peers to list the store. After that time the nodes,
+ * @nodes in number, list it at random times.
  */
 bool jt_reader_list_waits(struct jt_reader *reader, size_t nodes,
 			  uint64_t now_ms);
