--- a/src/label/jt_failure_news.c
+++ b/src/label/jt_failure_news.c
@@ -4,18 +4,17 @@
 
 enum {
 	PERMILLE = 1000,
-	/* What is seen in so long goes into one message. */
-	GATHER_MS = 50,
-	/* The same where not all peers can be told. */
-	GATHER_LONG_MS = 200,
-	/* Datagrams a second for long, and at once after a quiet time: they
-	 * have 60 to 250 bytes, so that some 7 KB/s go out at the most. */
+	/* Time over which failures are collected for one message. */
+	COLLECT_MS = 50,
+	/* The same if the rate limit doesn't allow a message to all peers. */
+	COLLECT_MAX_MS = 200,
+	/* Rate and burst of the limit on datagrams sent. */
 	DATAGRAMS_PER_S = 30,
-	DATAGRAMS_AT_ONCE = 400,
+	DATAGRAMS_BURST = 400,
 };
 
-/* The place of the endpoint with the fewest failures. */
-static size_t least_owed(const struct jt_failure_news *news)
+/* Returns the index of the pending report with the fewest failures. */
+static size_t fewest_failures_slot(const struct jt_failure_news *news)
 {
 	size_t least = 0;
 
@@ -27,8 +26,9 @@
 	return least;
 }
 
-/* The place of the endpoint, or where it may stand. */
-static size_t owed_place(const struct jt_failure_news *news, uint32_t label)
+/* Returns the index of the endpoint's pending report, or of a free slot; the
+ * latter is JT_FAILURE_LIMIT if all are in use. */
+static size_t pending_slot(const struct jt_failure_news *news, uint32_t label)
 {
 	for (size_t i = 0; i < news->count; i++) {
 		if (news->owed[i].label == label)
@@ -40,45 +40,44 @@
 void jt_failure_news_failed(struct jt_failure_news *news, uint32_t label,
 			    double requests)
 {
-	size_t place = owed_place(news, label);
+	size_t slot = pending_slot(news, label);
 
-	if (place == JT_FAILURE_LIMIT)
-		place = least_owed(news);
-	if (place == news->count)
+	if (slot == JT_FAILURE_LIMIT)
+		slot = fewest_failures_slot(news);
+	if (slot == news->count)
 		news->count++;
-	if (news->owed[place].label != label)
-		news->owed[place] =
-			(struct jt_endpoint_failure){.label = label};
-	news->owed[place].failed_permille += (uint32_t)(requests * PERMILLE);
+	if (news->owed[slot].label != label)
+		news->owed[slot] = (struct jt_endpoint_failure){.label = label};
+	news->owed[slot].failed_permille += (uint32_t)(requests * PERMILLE);
 	news->failed = true;
 }
 
 void jt_failure_news_served(struct jt_failure_news *news, uint32_t label)
 {
-	size_t place = owed_place(news, label);
+	size_t slot = pending_slot(news, label);
 
-	if (place == JT_FAILURE_LIMIT)
+	if (slot == JT_FAILURE_LIMIT)
 		return;
-	if (place == news->count)
+	if (slot == news->count)
 		news->owed[news->count++] =
 			(struct jt_endpoint_failure){.label = label};
-	news->owed[place].served_permille += PERMILLE;
+	news->owed[slot].served_permille += PERMILLE;
 }
 
 bool jt_failure_news_due(struct jt_failure_news *news, uint64_t nodes,
 			 uint64_t now_ms)
 {
-	uint64_t gathered_ms = now_ms - news->told_ms;
+	uint64_t collected_ms = now_ms - news->told_ms;
 
-	if (!news->failed || nodes < 2 || gathered_ms < GATHER_MS)
+	if (!news->failed || nodes < 2 || collected_ms < COLLECT_MS)
 		return false;
 	news->datagrams +=
 		(double)(now_ms - news->as_of_ms) * DATAGRAMS_PER_S / 1000;
 	news->as_of_ms = now_ms;
-	if (news->datagrams > DATAGRAMS_AT_ONCE)
-		news->datagrams = DATAGRAMS_AT_ONCE;
+	if (news->datagrams > DATAGRAMS_BURST)
+		news->datagrams = DATAGRAMS_BURST;
 	return news->datagrams >= (double)(nodes - 1) ||
-	       (gathered_ms >= GATHER_LONG_MS && news->datagrams >= 1);
+	       (collected_ms >= COLLECT_MAX_MS && news->datagrams >= 1);
 }
 
 size_t jt_failure_news_take(
--- a/src/label/jt_failure_news.h
+++ b/src/label/jt_failure_news.h
@@ -1,12 +1,12 @@
 /*
- * What this node has seen of endpoints that fail requests, and peers are still
- * to be told of. Each of many nodes sees few requests of an endpoint: only
- * together they see soon which one fails.
+ * Collects failed and served requests of endpoints, to report them to peers. In
+ * a large cluster each node sees few requests of an endpoint; only the reports
+ * of all nodes reveal a failing one soon.
  *
- * Messages are bounded: several endpoints go into one, and where there are more
- * of them than a node can bear, each is told to some of the peers. What was
- * served is told with what failed, so that who hears only a part of it still
- * learns the failing part.
+ * The rate of messages is limited: one message covers several endpoints, and if
+ * the limit doesn't allow a message to every peer, only some peers get it.
+ * Served requests are reported along with the failed ones, so that a peer that
+ * gets only some of the messages still sees the correct failure rate.
  */
 #ifndef JT_FAILURE_NEWS_H
 #define JT_FAILURE_NEWS_H
@@ -14,24 +14,25 @@
 #include "jaspertrack/director-t.h"
 
 struct jt_failure_news {
-	struct jt_endpoint_failure owed[JT_FAILURE_LIMIT];
+	struct jt_endpoint_failure owed[JT_FAILURE_LIMIT]; /* pending reports */
 	size_t count;
-	bool failed;	  /* a failure is among them */
-	double datagrams; /* that may be sent now */
-	uint64_t as_of_ms;
-	uint64_t told_ms;
+	bool failed;	   /* at least one pending report has a failure */
+	double datagrams;  /* messages that the rate limit allows now */
+	uint64_t as_of_ms; /* last update of datagrams */
+	uint64_t told_ms;  /* last report */
 };
 
-/* So many requests failed at the endpoint. */
+/* Records @requests failed requests at the endpoint. */
 void jt_failure_news_failed(struct jt_failure_news *news, uint32_t label,
 			    double requests);
-/* One was served, which is told together with the next failure. */
+/* Records a served request; it is reported along with the next failure. */
 void jt_failure_news_served(struct jt_failure_news *news, uint32_t label);
-/* Whether peers of so many @nodes, this one too, are to be told now. */
+/* Returns true if a report is due, in a cluster of @nodes nodes including this
+ * one. */
 bool jt_failure_news_due(struct jt_failure_news *news, uint64_t nodes,
 			 uint64_t now_ms);
-/* What so many @peers are to be told; returns how many of @failures were set.
- */
+/* Takes the pending reports. Returns the number of @failures set, and sets
+ * @peers to the number of peers to send them to. */
 size_t jt_failure_news_take(
 	struct jt_failure_news *news, uint64_t nodes, uint64_t now_ms,
 	struct jt_endpoint_failure failures[JT_FAILURE_LIMIT], size_t *peers);
--- a/src/label/jt_follower.c
+++ b/src/label/jt_follower.c
@@ -82,19 +82,20 @@
 }
 
 bool jt_follower_checked(struct jt_follower *follower, enum jt_kv_status status,
-			 uint64_t at, uint64_t watch_ms, uint64_t now_ms)
+			 uint64_t store_revision, uint64_t watch_ms,
+			 uint64_t now_ms)
 {
 	if (status != JT_KV_OK)
 		return true;
 	follower->answered_ms = now_ms;
-	if (at <= follower->revision) {
+	if (store_revision <= follower->revision) {
 		follower->as_of_ms = now_ms;
 		return false;
 	}
-	if (follower->missed != 0 && follower->missed <= at &&
+	if (follower->missed != 0 && follower->missed <= store_revision &&
 	    now_ms - watch_ms >= WATCH_DELAY_MS)
 		return true;
-	follower->missed = at;
+	follower->missed = store_revision;
 	return false;
 }
 
@@ -129,7 +130,8 @@
 }
 
 void jt_follower_asked(struct jt_follower *follower, enum jt_kv_status status,
-		       uint64_t at, uint64_t known, uint64_t now_ms)
+		       uint64_t store_revision, uint64_t known_revision,
+		       uint64_t now_ms)
 {
 	if (status != JT_KV_OK) {
 		back_off(follower, now_ms);
@@ -137,16 +139,16 @@
 	}
 	follower->failures = 0;
 	follower->answered_ms = now_ms;
-	if (known > follower->revision)
-		follower->revision = known;
-	if (at <= follower->revision) {
+	if (known_revision > follower->revision)
+		follower->revision = known_revision;
+	if (store_revision <= follower->revision) {
 		follower->missed = 0;
 		follower->as_of_ms = now_ms;
 		follower->due_ms = now_ms + CHECK_PAUSE_MS;
 		return;
 	}
 	follower->catching_up = follower->missed > follower->revision;
-	follower->missed = at;
+	follower->missed = store_revision;
 	follower->due_ms =
 		now_ms + (follower->catching_up ? 0 : GOSSIP_DELAY_MS);
 }
@@ -177,7 +179,8 @@
 }
 
 bool jt_follower_page(struct jt_follower *follower, enum jt_kv_status status,
-		      uint64_t at, bool more, uint64_t took_ms, uint64_t now_ms)
+		      uint64_t store_revision, bool more, uint64_t took_ms,
+		      uint64_t now_ms)
 {
 	bool first;
 
@@ -191,7 +194,7 @@
 	/* Pages are no consistent snapshot: watch from the first one's
 	 * revision. */
 	if (first)
-		follower->listing = at;
+		follower->listing = store_revision;
 	follower->paging = more;
 	follower->due_ms = now_ms;
 	if (more) {
@@ -226,10 +229,10 @@
 bool jt_follower_page_checked(struct jt_follower *follower,
 			      enum jt_kv_status status)
 {
-	bool again = status == JT_KV_OK && follower->page_doubted;
+	bool retry = status == JT_KV_OK && follower->page_doubted;
 
 	follower->page_doubted = status == JT_KV_LOST;
-	return again;
+	return retry;
 }
 
 bool jt_follower_informed(struct jt_follower *follower, uint64_t revision,
@@ -248,15 +251,15 @@
 }
 
 void jt_follower_watched(struct jt_follower *follower, enum jt_kv_status status,
-			 uint64_t at, bool changes, uint64_t now_ms)
+			 uint64_t store_revision, bool changes, uint64_t now_ms)
 {
 	follower->catching_up = false;
 	switch (status) {
 	case JT_KV_OK:
 		record_answer(follower, now_ms);
 		follower->as_of_ms = now_ms;
-		if (at > follower->revision)
-			follower->revision = at;
+		if (store_revision > follower->revision)
+			follower->revision = store_revision;
 		follower->due_ms = now_ms + (changes ? follower->pause_ms : 0);
 		break;
 	case JT_KV_COMPACTED:
--- a/src/label/jt_follower.h
+++ b/src/label/jt_follower.h
@@ -29,7 +29,6 @@
 
 /* What the driver has to do next. */
 enum jt_follower_step {
-
 	JT_FOLLOWER_WAIT, /* until due_ms */
 	JT_FOLLOWER_LIST,
 	JT_FOLLOWER_WATCH,
@@ -48,8 +47,7 @@
 	bool catching_up;	/* a check found a change that no peer sent */
 	uint32_t wait_ms;	/* timeout of a watch at the store */
 	uint32_t retry_wait_ms; /* the same after a failure */
-	uint32_t pause_ms; /* from an answer to the next watch, to batch changes
-			    */
+	uint32_t pause_ms;	/* pause before the next watch */
 	uint32_t retry_least_ms;
 	uint32_t retry_most_ms;
 	uint64_t revision; /* all changes up to here are known */
@@ -70,8 +68,7 @@
 	struct jt_random random;
 };
 
-/* Initializes the follower in mode JT_READING_WATCHES; @seed seeds the jitter.
- */
+/* Initializes the follower to watch the store; @seed seeds the jitter. */
 void jt_follower_init(struct jt_follower *follower, uint64_t seed);
 /* Returns the next step to take at @now_ms. */
 enum jt_follower_step jt_follower_next(const struct jt_follower *follower,
@@ -87,33 +84,36 @@
 void jt_follower_resume(struct jt_follower *follower, uint64_t revision,
 			uint64_t now_ms);
 /*
- * Records the result of a revision check made while a watch is pending:
- * @status, and the store's revision @at. The watch began at @watch_ms. Returns
- * true if the watch has missed a change and should be cancelled.
+ * Records the result of a revision check made while a watch is pending; the
+ * watch began at @watch_ms. Returns true if the watch has missed a change and
+ * should be cancelled.
  */
 bool jt_follower_checked(struct jt_follower *follower, enum jt_kv_status status,
-			 uint64_t at, uint64_t watch_ms, uint64_t now_ms);
+			 uint64_t store_revision, uint64_t watch_ms,
+			 uint64_t now_ms);
 /* Records a page of a listing that took @took_ms. Slow pages indicate that many
  * nodes list at once; then most of them pause to get the state from peers
  * instead. Returns true if this page completes the listing. */
 bool jt_follower_page(struct jt_follower *follower, enum jt_kv_status status,
-		      uint64_t at, bool more, uint64_t took_ms,
+		      uint64_t store_revision, bool more, uint64_t took_ms,
 		      uint64_t now_ms);
 /* Records that a peer sent its full state at @revision, which replaces a
  * listing. Returns true if the follower continues from there. */
 bool jt_follower_informed(struct jt_follower *follower, uint64_t revision,
 			  uint64_t now_ms);
-/* Records the result of a revision check: the store's revision @at. All changes
- * up to @known are known, from any source. */
+/* Records the result of a revision check. All changes up to @known_revision are
+ * known, from any source. */
 void jt_follower_asked(struct jt_follower *follower, enum jt_kv_status status,
-		       uint64_t at, uint64_t known, uint64_t now_ms);
+		       uint64_t store_revision, uint64_t known_revision,
+		       uint64_t now_ms);
 /* Changes the mode of reading. */
 void jt_follower_read(struct jt_follower *follower, enum jt_reading reading,
 		      uint64_t now_ms);
-/* Records the answer of a watch: the store's revision @at, and whether it
- * reported @changes. */
+/* Records the answer of a watch at @store_revision; @changes is true if it
+ * reported any. */
 void jt_follower_watched(struct jt_follower *follower, enum jt_kv_status status,
-			 uint64_t at, bool changes, uint64_t now_ms);
+			 uint64_t store_revision, bool changes,
+			 uint64_t now_ms);
 /*
  * Records that the first page of a listing is late, a sign that many nodes
  * start and list at once. Returns true if the call should be cancelled. Most
--- a/src/label/jt_knowledge.c
+++ b/src/label/jt_knowledge.c
@@ -5,9 +5,10 @@
 #include <string.h>
 
 enum {
-	/* Entries told at once, some 31 kB: a link of 20 Mbit/s carries them in
-	 * 12 ms, so that many peers that ask at once share it fairly. */
-	ENTRIES_AT_ONCE = 512,
+	/* Maximum number of entries in one message, unless a single slice has
+	 * more. It keeps messages small, so that peers that fetch at the same
+	 * time share the link fairly. */
+	MAX_ENTRIES_PER_MESSAGE = 512,
 };
 
 static bool parts_write(TALLOC_CTX *mem_ctx, const struct jt_route *route,
@@ -41,14 +42,14 @@
 		return false;
 	for (size_t i = 0; i < routing->route_count; i++) {
 		const struct jt_route *route = &routing->routes[i];
-		jt_wire_route *to = &wire->routes.routes_val[i];
-
-		to->name = (char *)route->name;
-		to->address = route->address.ip;
-		to->port = route->address.port;
-		to->priority = route->priority;
-		to->target_ms = route->target_ms;
-		if (!parts_write(mem_ctx, route, to))
+		jt_wire_route *wire_route = &wire->routes.routes_val[i];
+
+		wire_route->name = (char *)route->name;
+		wire_route->address = route->address.ip;
+		wire_route->port = route->address.port;
+		wire_route->priority = route->priority;
+		wire_route->target_ms = route->target_ms;
+		if (!parts_write(mem_ctx, route, wire_route))
 			return false;
 	}
 	for (size_t i = 0; i < routing->service_count; i++) {
@@ -65,8 +66,8 @@
 	return true;
 }
 
-/* How much longer the incarnation is cold: less than its entry said when it
- * came. */
+/* Returns the remaining time in milliseconds for which the incarnation is cold,
+ * which is less than its entry said on arrival. */
 static uint32_t cold_left_ms(const struct jt_incarnation *in, uint64_t now_ms)
 {
 	return now_ms < in->cold_until_ms
@@ -74,8 +75,9 @@
 		       : 0;
 }
 
-/* Entries of the slice that changed after @since. */
-static size_t slice_count(const struct jt_endpoint_slice *slice, uint64_t since)
+/* Returns the number of entries of the slice that changed after @since. */
+static size_t slice_changed_count(const struct jt_endpoint_slice *slice,
+				  uint64_t since)
 {
 	const struct jt_incarnation *in;
 	size_t count = 0;
@@ -119,7 +121,8 @@
 	};
 }
 
-/* Writes the slice's entries that changed after @since; returns how many. */
+/* Writes the slice's entries that changed after @since; returns their
+ * number. */
 static size_t slice_write(const struct jt_endpoint_slice *slice, uint64_t since,
 			  uint64_t now_ms, jt_wire_entry *entries)
 {
@@ -136,8 +139,8 @@
 	return count;
 }
 
-/* The first slice after those that are told at once, with how many @entries
- * those have. */
+/* Returns the end of the range of slices from @first on that fits into one
+ * message, and sets @entries to the number of its entries. */
 static uint32_t slices_end(const struct jt_endpoint_table *table,
 			   uint32_t first, uint64_t since, size_t *entries)
 {
@@ -145,28 +148,31 @@
 
 	*entries = 0;
 	while (end < JT_DIRECTOR_SLICES) {
-		size_t more = slice_count(&table->slices[end], since);
+		size_t slice_entries =
+			slice_changed_count(&table->slices[end], since);
 
-		if (*entries > 0 && *entries + more > ENTRIES_AT_ONCE)
+		if (*entries > 0 &&
+		    *entries + slice_entries > MAX_ENTRIES_PER_MESSAGE)
 			break;
-		*entries += more;
+		*entries += slice_entries;
 		end++;
 	}
 	return end;
 }
 
-/* Tell the entries that changed after @since, from slice @first on, as many as
- * are told at once; @end is the first slice after them. */
+/* Writes the entries that changed after @since, from slice @first on, as far as
+ * they fit into one message. Sets @end to the slice after the last one. Returns
+ * false if memory runs out. */
 static bool entries_write(TALLOC_CTX *mem_ctx,
 			  const struct jt_endpoint_table *table, uint32_t first,
 			  uint64_t since, uint64_t now_ms,
 			  jt_wire_knowledge *knowledge, uint32_t *end)
 {
 	jt_wire_entry *entries;
-	size_t room, count = 0;
+	size_t max_count, count = 0;
 
-	*end = slices_end(table, first, since, &room);
-	entries = talloc_zero_array(mem_ctx, jt_wire_entry, room + 1);
+	*end = slices_end(table, first, since, &max_count);
+	entries = talloc_zero_array(mem_ctx, jt_wire_entry, max_count + 1);
 	if (entries == NULL)
 		return false;
 	for (uint32_t i = first; i < *end; i++)
@@ -177,11 +183,12 @@
 	return true;
 }
 
-/* Some entries of a node that does not know all yet: from any slice of the
- * first half on, so that nodes know different ones, and half of them at the
- * least where there are few. */
-static bool some_write(TALLOC_CTX *mem_ctx, const struct jt_director *director,
-		       uint64_t now_ms, jt_wire_knowledge *knowledge)
+/* Writes some entries of a node that has not started. The first slice is any of
+ * the first half, so that requests get different entries and, where there are
+ * few, at least half of them. */
+static bool partial_entries_write(TALLOC_CTX *mem_ctx,
+				  const struct jt_director *director,
+				  uint64_t now_ms, jt_wire_knowledge *knowledge)
 {
 	uint32_t first = (uint32_t)(now_ms % (JT_DIRECTOR_SLICES / 2)), end;
 
@@ -242,7 +249,8 @@
 				       knowledge->slice, knowledge->since,
 				       now_ms, knowledge,
 				       &knowledge->slice_next)
-		       : some_write(mem_ctx, director, now_ms, knowledge);
+		       : partial_entries_write(mem_ctx, director, now_ms,
+					       knowledge);
 }
 
 bool jt_knowledge_slices(TALLOC_CTX *mem_ctx,
--- a/src/label/jt_knowledge_fetch.c
+++ b/src/label/jt_knowledge_fetch.c
@@ -15,7 +15,7 @@
 jt_knowledge_fetch_need(struct jt_knowledge_fetch *fetch,
 			const struct jt_own_state *own)
 {
-	/* What came would tell nothing new any more. */
+	/* The slices received so far hold nothing new any more. */
 	bool outdated = own->started && own->revision >= fetch->revision;
 
 	if (!fetch->begun || outdated)
@@ -27,10 +27,11 @@
 	};
 }
 
-/* What is not known to one of the peers counts as unknown: one that told all
- * anew told nothing of what came and went since the fetch began. */
-static void gap_take(struct jt_knowledge_fetch *fetch,
-		     const jt_wire_knowledge *knowledge)
+/* Adds the listing gap of a sender. A sender that sent all entries instead of
+ * the changes did not send what was created and removed since the fetch began,
+ * which is a gap as well. */
+static void gap_merge(struct jt_knowledge_fetch *fetch,
+		      const jt_wire_knowledge *knowledge)
 {
 	struct jt_list_gap gap = {knowledge->gap_from, knowledge->gap_to};
 
@@ -63,7 +64,7 @@
 		fetch->revision = knowledge->revision;
 	if (knowledge->learning_ms > fetch->learning_ms)
 		fetch->learning_ms = knowledge->learning_ms;
-	gap_take(fetch, knowledge);
+	gap_merge(fetch, knowledge);
 	if (as_of_ms < fetch->store_as_of_ms) {
 		fetch->store_as_of_ms = as_of_ms;
 		fetch->store_reader = knowledge->store_reader;
--- a/src/label/jt_leave.c
+++ b/src/label/jt_leave.c
@@ -1,14 +1,14 @@
 #include "jt_leave.h"
 
 enum {
-	/* Peers that are told to leave in the same moment hear of each other
-	 * within this time. */
+	/* Time within which nodes that begin to leave at the same moment learn
+	 * of each other. */
 	SETTLE_MS = 50,
-	/* Part of the limit for which a node waits for its turn. */
+	/* Part of the limit for which a node waits for other nodes. */
 	WAIT_PERCENT = 45,
-	/* Routers take a node out after so many refusals. */
-	REFUSALS_OUT = 2,
-	/* No packet for so long: routers have taken the node out. */
+	/* Routers stop using a node after this many refusals. */
+	MIN_REFUSALS = 2,
+	/* Without packets for this long, routers no longer use the node. */
 	QUIET_MS = 250,
 };
 
@@ -31,38 +31,41 @@
 		leave->refusals++;
 }
 
-/* Whether routers do without this node where @in others of the zone are in.
- * Other zones take over from a zone of one node. */
-static bool enough(const struct jt_zone_view *zone, size_t in)
+/* Returns true if routers don't need this node while @in_use other nodes of the
+ * zone are in use. If it is the only node of its zone, the other zones take
+ * over. */
+static bool zone_can_spare_node(const struct jt_zone_view *zone, size_t in_use)
 {
 	if (zone->nodes == 0)
 		return zone->elsewhere > 0;
-	return in * 2 >= zone->nodes + 1;
+	return in_use * 2 >= zone->nodes + 1;
 }
 
-static bool waits_on(const struct jt_leave *leave,
-		     const struct jt_zone_view *zone, uint64_t limit_ms,
-		     uint64_t now_ms)
+static bool should_wait(const struct jt_leave *leave,
+			const struct jt_zone_view *zone, uint64_t limit_ms,
+			uint64_t now_ms)
 {
 	uint64_t waited_ms = now_ms - leave->began_ms;
 
 	if (waited_ms < SETTLE_MS)
 		return true;
-	return !enough(zone, zone->serving + zone->waiting - zone->before) &&
+	return !zone_can_spare_node(zone, zone->serving + zone->waiting -
+						  zone->before) &&
 	       waited_ms < limit_ms * WAIT_PERCENT / 100;
 }
 
-static bool ends(const struct jt_leave *leave, const struct jt_zone_view *zone,
-		 uint64_t limit_ms, uint64_t now_ms)
+static bool should_end(const struct jt_leave *leave,
+		       const struct jt_zone_view *zone, uint64_t limit_ms,
+		       uint64_t now_ms)
 {
 	if (now_ms - leave->began_ms >= limit_ms)
 		return true;
 	if (zone->removed > 0)
 		return false;
-	/* Those that wait do so until this node is back. */
-	return leave->refusals >= REFUSALS_OUT &&
+	/* Waiting nodes stay until this node is back. */
+	return leave->refusals >= MIN_REFUSALS &&
 	       now_ms - leave->packet_ms >= QUIET_MS &&
-	       enough(zone, zone->serving + zone->waiting);
+	       zone_can_spare_node(zone, zone->serving + zone->waiting);
 }
 
 enum jt_leave_stage jt_leave_step(struct jt_leave *leave,
@@ -70,10 +73,10 @@
 				  uint64_t limit_ms, uint64_t now_ms)
 {
 	if (leave->stage == JT_LEAVE_WAITS &&
-	    !waits_on(leave, zone, limit_ms, now_ms))
+	    !should_wait(leave, zone, limit_ms, now_ms))
 		leave->stage = JT_LEAVE_UNREADY;
 	if (leave->stage == JT_LEAVE_UNREADY &&
-	    ends(leave, zone, limit_ms, now_ms))
+	    should_end(leave, zone, limit_ms, now_ms))
 		leave->stage = JT_LEAVE_ENDS;
 	return leave->stage;
 }
--- a/src/label/jt_list_gaps.c
+++ b/src/label/jt_list_gaps.c
@@ -1,6 +1,7 @@
 #include "jt_list_gaps.h"
 
-/* Whether something can have come and gone between the two revisions. */
+/* Returns true if an entry can have been created and removed between the two
+ * revisions. */
 static bool is_gap(struct jt_list_gap gap)
 {
 	return gap.to > gap.from + 1;
@@ -17,7 +18,8 @@
 	if (!is_gap(gap))
 		return;
 	if (gap.to <= gaps->newest.to) {
-		/* One of a time that this node has heard of from others. */
+		/* An older gap: if it begins before the newest one, changes up
+		 * to its end may be missing. */
 		if (gap.from < gaps->newest.from)
 			jt_list_gaps_forget(gaps, gap.to);
 		return;
--- a/src/label/jt_list_gaps.h
+++ b/src/label/jt_list_gaps.h
@@ -1,9 +1,10 @@
 /*
- * Which changes a node can't tell a peer one by one. Whoever takes a whole list
- * knows what is there, and not what came and went since it last knew all; a
- * peer that knows such an entry must not hear that nothing else has changed.
+ * Tracks listing gaps: revision ranges whose changes this node did not observe
+ * one by one. A node that takes a full listing knows the current entries, but
+ * not those created and removed since its last complete state. A peer that has
+ * such an entry must not be told that no other entry has changed.
  *
- * Pure. Revisions are the store's.
+ * This module does no I/O. Revisions are those of the store.
  */
 #ifndef JT_LIST_GAPS_H
 #define JT_LIST_GAPS_H
@@ -12,17 +13,17 @@
 
 struct jt_list_gaps {
 	struct jt_list_gap newest;
-	uint64_t forgotten; /* before it, changes may be missing anywhere */
+	uint64_t forgotten; /* before this revision, changes may be missing */
 };
 
-/* A gap of this node, or of a peer whose knowledge it takes over. */
+/* Adds a gap of this node, or of a peer whose state it takes over. */
 void jt_list_gaps_add(struct jt_list_gaps *gaps, struct jt_list_gap gap);
-/* An entry that had changed at that revision is forgotten. */
+/* Records that an entry last changed at @revision was dropped. */
 void jt_list_gaps_forget(struct jt_list_gaps *gaps, uint64_t revision);
-/* Whether all changes after @since are known. */
+/* Returns true if all changes after @since are known one by one. */
 bool jt_list_gaps_know(const struct jt_list_gaps *gaps, uint64_t since);
-/* The gap that one who knew all up to @since takes over along with what this
- * node knows. */
+/* Returns the gap that a peer with all changes up to @since takes over with
+ * this node's state; both bounds are 0 if there is none. */
 struct jt_list_gap jt_list_gaps_after(const struct jt_list_gaps *gaps,
 				      uint64_t since);
 
--- a/src/label/jt_membership.c
+++ b/src/label/jt_membership.c
@@ -223,7 +223,7 @@
 	return is_new;
 }
 
-/* Returns a random live peer; with @any, also a seed or a lost one. */
+/* Returns a random live peer; with @include_lost, also a seed or a lost one. */
 static const struct jt_peer *
 peer_pick_any_zone(struct jt_membership *membership, bool include_lost)
 {
--- a/src/label/jt_membership_flow.c
+++ b/src/label/jt_membership_flow.c
@@ -7,8 +7,8 @@
 	RANK_OWN_ZONE_UNUSED, /* this node's zone, not used by routers */
 	RANK_OWN_ZONE,
 	RANK_OTHER_ZONE_UNUSED, /* another zone, not used by routers */
-	RANK_OTHER_ZONE, /* another zone; only up to JT_FLOW_FANOUT_FAR targets
-			    in total */
+	/* Another zone; only up to JT_FLOW_FANOUT_FAR targets in total. */
+	RANK_OTHER_ZONE,
 	RANK_COUNT,
 };
 
--- a/src/label/jt_peer_loads.c
+++ b/src/label/jt_peer_loads.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-enum { REPORT_AGE_MS = 10000 };
+enum { REPORT_MAX_AGE_MS = 10000 };
 
 static int loads_destructor(struct jt_peer_loads *peers)
 {
@@ -62,19 +62,19 @@
 	talloc_free(sum);
 }
 
-static void report_drop(struct jt_peer_loads *peers, size_t place)
+static void report_drop(struct jt_peer_loads *peers, size_t slot)
 {
-	struct jt_peer_report *report = peers->reports[place];
+	struct jt_peer_report *report = peers->reports[slot];
 
 	if (report == NULL)
 		return;
 	for (size_t i = 0; i < report->count; i++)
 		sum_remove(peers, &report->loads[i]);
-	TALLOC_FREE(peers->reports[place]);
+	TALLOC_FREE(peers->reports[slot]);
 	peers->report_count--;
 }
 
-/* Drop outdated reports, and note when the next one will be. */
+/* Drops expired reports and updates the next time of expiry. */
 static void reports_expire(struct jt_peer_loads *peers, uint64_t now_ms)
 {
 	peers->outdated_ms = UINT64_MAX;
@@ -84,7 +84,7 @@
 
 		if (report == NULL)
 			continue;
-		outdated_ms = report->told_ms + REPORT_AGE_MS + 1;
+		outdated_ms = report->told_ms + REPORT_MAX_AGE_MS + 1;
 		if (now_ms >= outdated_ms)
 			report_drop(peers, i);
 		else if (outdated_ms < peers->outdated_ms)
@@ -92,8 +92,9 @@
 	}
 }
 
-/* The peer's report, or the place of the one that is oldest. */
-static size_t report_place(const struct jt_peer_loads *peers, uint64_t peer)
+/* Returns the index of the peer's report, or else that of a free slot or of the
+ * oldest report. */
+static size_t report_slot(const struct jt_peer_loads *peers, uint64_t peer)
 {
 	size_t oldest = 0;
 
@@ -115,10 +116,10 @@
 			const struct jt_endpoint_load *loads, size_t count,
 			uint64_t now_ms)
 {
-	size_t place = report_place(peers, peer);
+	size_t slot = report_slot(peers, peer);
 	struct jt_peer_report *report;
 
-	report_drop(peers, place);
+	report_drop(peers, slot);
 	report = talloc_zero(peers, struct jt_peer_report);
 	if (report == NULL)
 		return;
@@ -129,16 +130,17 @@
 	report->count = count;
 	if (count > 0)
 		memcpy(report->loads, loads, count * sizeof(*loads));
-	peers->reports[place] = report;
+	peers->reports[slot] = report;
 	peers->report_count++;
 	for (size_t i = 0; i < count; i++)
 		sum_add(peers, &report->loads[i]);
 	reports_expire(peers, now_ms);
 }
 
-/* What the reports say of the endpoint, NULL when that is nothing. */
-static const struct jt_load_sum *sum_now(struct jt_peer_loads *peers,
-					 uint32_t label, uint64_t now_ms)
+/* Returns the sum of the unexpired reports for the endpoint, NULL if there are
+ * none. */
+static const struct jt_load_sum *current_sum(struct jt_peer_loads *peers,
+					     uint32_t label, uint64_t now_ms)
 {
 	if (now_ms >= peers->outdated_ms)
 		reports_expire(peers, now_ms);
@@ -148,7 +150,7 @@
 double jt_peer_loads_mean(struct jt_peer_loads *peers, uint32_t label,
 			  uint64_t now_ms)
 {
-	const struct jt_load_sum *sum = sum_now(peers, label, now_ms);
+	const struct jt_load_sum *sum = current_sum(peers, label, now_ms);
 
 	return sum != NULL ? (double)sum->flows / (double)peers->report_count
 			   : 0;
@@ -157,7 +159,7 @@
 double jt_peer_loads_work(struct jt_peer_loads *peers, uint32_t label,
 			  uint64_t now_ms)
 {
-	const struct jt_load_sum *sum = sum_now(peers, label, now_ms);
+	const struct jt_load_sum *sum = current_sum(peers, label, now_ms);
 
 	return sum != NULL ? (double)sum->work_permille / JT_WORK_UNIT /
 				     (double)peers->report_count
--- a/src/label/jt_peer_loads.h
+++ b/src/label/jt_peer_loads.h
@@ -1,9 +1,10 @@
 /*
- * What peers told of their shares of the endpoints' flows.
+ * Keeps the reports of peers about their flows at each endpoint.
  *
- * A node balances its own flows plus the mean of its peers': where an endpoint
- * has less than others by some flows of each node, each node gives it just its
- * part of the difference, so that late reports make no herd.
+ * A node balances the sum of its own flows and its peers' mean. If an endpoint
+ * has fewer flows than others, each node assigns it only its own part of the
+ * difference, so that delayed reports don't cause all nodes to overshoot at
+ * once.
  */
 #ifndef JT_PEER_LOADS_H
 #define JT_PEER_LOADS_H
@@ -12,16 +13,18 @@
 
 #include <uthash.h>
 
-enum { JT_PEER_LOADS_LIMIT = 16 }; /* peers remembered, the newest ones */
+/* Maximum number of reports; the newest are kept. */
+enum { JT_PEER_LOADS_LIMIT = 16 };
 
+/* The latest report of one peer. */
 struct jt_peer_report {
 	uint64_t peer;
-	uint64_t told_ms;
+	uint64_t told_ms; /* when it was received */
 	size_t count;
 	struct jt_endpoint_load loads[JT_LOAD_LIMIT];
 };
 
-/* The flows of all reports at one endpoint. */
+/* Sum of all reports for one endpoint. */
 struct jt_load_sum {
 	uint32_t label;
 	uint64_t flows;
@@ -32,20 +35,24 @@
 struct jt_peer_loads {
 	struct jt_peer_report *reports[JT_PEER_LOADS_LIMIT];
 	size_t report_count;
-	uint64_t outdated_ms;	  /* when the oldest report will be */
-	struct jt_load_sum *sums; /* hash by label; kept with the reports, since
-				   * each new flow asks for every endpoint */
+	uint64_t outdated_ms; /* time at which the oldest report expires */
+	/* Hash by label, updated with each report to make lookups cheap. */
+	struct jt_load_sum *sums;
 };
 
+/* Creates an empty set of reports as a talloc child of @mem_ctx; NULL if memory
+ * runs out. */
 struct jt_peer_loads *jt_peer_loads_create(TALLOC_CTX *mem_ctx);
+/* Replaces the report of @peer by a copy of @loads, at most JT_LOAD_LIMIT of
+ * them. */
 void jt_peer_loads_take(struct jt_peer_loads *peers, uint64_t peer,
 			const struct jt_endpoint_load *loads, size_t count,
 			uint64_t now_ms);
-/* The mean of the peers' flows at the endpoint, by reports that are not
- * outdated; 0 when there are none. */
+/* Returns the mean number of flows that peers have at the endpoint, from
+ * reports that have not expired; 0 if there are none. */
 double jt_peer_loads_mean(struct jt_peer_loads *peers, uint32_t label,
 			  uint64_t now_ms);
-/* The same for the requests that the endpoint got from them lately. */
+/* The same for the recent load of the endpoint, in requests. */
 double jt_peer_loads_work(struct jt_peer_loads *peers, uint32_t label,
 			  uint64_t now_ms);
 
--- a/src/label/jt_reader.c
+++ b/src/label/jt_reader.c
@@ -3,8 +3,7 @@
 enum {
 	/* The jitter is at most the limit divided by this. */
 	JITTER_DIVISOR = 4,
-	/* A report of no newer state counts for the other peers, too, for this
-	 * long. */
+	/* Time for which one report of no newer state stands for all peers. */
 	PEERS_NO_NEWER_MS = 1000,
 	/* While the store is unreachable for all nodes, one node on average
 	 * retries per interval of this length. */
@@ -18,8 +17,8 @@
 	 * after a failed watch. */
 	MIN_READING_MS = 1000,
 	/* Minimum cost of a full listing, in thousandths of a core times
-	 * milliseconds, and the duration from which waiting for peers pays
-	 * off. */
+	 * milliseconds, and the longest listing for which a node doesn't wait
+	 * for peers. */
 	LISTING_COST = 10 * 1000,
 	LISTING_MS = 100,
 	MAX_START_WAIT_MS = 1000,
--- a/src/label/jt_reader.h
+++ b/src/label/jt_reader.h
@@ -31,12 +31,12 @@
 };
 
 struct jt_reader {
-	uint64_t limit_ms;   /* maximum age of state not read by this node */
-	uint64_t jitter_ms;  /* random addition to limit_ms */
-	uint64_t own_ms;     /* as of when this node has read the store */
-	uint64_t heard_ms;   /* as of when peers have read the store */
-	uint64_t heard_from; /* id of the node that read it at heard_ms */
-	uint64_t began_ms;   /* when this node began to read */
+	uint64_t limit_ms;	 /* maximum age of the state */
+	uint64_t jitter_ms;	 /* random addition to limit_ms */
+	uint64_t own_ms;	 /* as of when this node has read the store */
+	uint64_t heard_ms;	 /* as of when peers have read the store */
+	uint64_t heard_from;	 /* id of the node that read it at heard_ms */
+	uint64_t began_ms;	 /* when this node began to read */
 	uint64_t watch_after_ms; /* initial time without a watch */
 	uint64_t as_old_ms;	 /* when a peer last reported no newer state */
 	uint64_t hold_until_ms;	 /* keep watching until then */
