--- a/include/jaspertrack/cell-t.h
+++ b/include/jaspertrack/cell-t.h
@@ -1,5 +1,5 @@
 /*
- * The cell state: what all nodes of a cell agree on, one epoch at a time.
+ * The cell state on which all nodes of a cell agree; each epoch has one.
  */
 #ifndef JASPERTRACK_CELL_T_H
 #define JASPERTRACK_CELL_T_H
@@ -19,23 +19,24 @@
 	uint32_t service_id;
 	struct jt_address address;
 	enum jt_endpoint_state state;
-	uint32_t capacity; /* connections or slots, by the service's kind */
+	uint32_t capacity; /* connections or slots, depending on the service */
 };
 
 /*
  * Placement table of one service.
  *
- * A flow without a record belongs to the default endpoint of its bucket.
- * A bucket is exceptional while flows of it may have records elsewhere;
- * packets of exceptional buckets pass through the bucket's owner.
+ * A flow without a record is forwarded to the default endpoint of its
+ * bucket. A bucket is exceptional if its flows may have records that name
+ * another endpoint; its packets pass through the bucket's owner.
  */
 struct jt_table {
 	uint32_t service_id;
-	uint32_t defaults[JT_BUCKETS];
+	uint32_t defaults[JT_BUCKETS];	    /* endpoint ids; 0: none */
 	uint16_t default_index[JT_BUCKETS]; /* into jt_cell_state.endpoints */
 	uint16_t owner[JT_BUCKETS];	    /* into jt_cell_state.members */
 	uint16_t replica[JT_BUCKETS];
-	uint8_t sticky[JT_BUCKET_BITMAP]; /* records outlived their cause */
+	uint8_t sticky[JT_BUCKET_BITMAP]; /* stays exceptional until declared
+					     clean */
 	uint8_t exceptional[JT_BUCKET_BITMAP];
 };
 
--- a/include/jaspertrack/cell.h
+++ b/include/jaspertrack/cell.h
@@ -1,13 +1,13 @@
-/* Functions over the agreed cell state; all are pure. */
+/* Pure functions on the agreed cell state. */
 #ifndef JASPERTRACK_CELL_H
 #define JASPERTRACK_CELL_H
 
 #include "jaspertrack/cell-t.h"
 
 /*
- * The state that @proposal makes of @base under @config. @base is NULL for
- * a cell's first state. Every node that applies the same proposal to the
- * same base gets the same bytes. NULL when memory runs out.
+ * Creates the state that follows from applying @proposal to @base with
+ * @config; @base is NULL for a cell's first state. The result depends on the
+ * arguments only. It refers to @config. Returns NULL if out of memory.
  */
 struct jt_cell_state *jt_cell_apply(TALLOC_CTX *mem_ctx, uint64_t cell,
 				    const struct jt_cell_state *base,
@@ -15,32 +15,37 @@
 				    const struct jt_config *config,
 				    unsigned break_mechanism);
 
-/* Whole state as a message body, allocated below @mem_ctx. */
+/* Encodes @state as a message body, allocated below @mem_ctx. Returns 0, or
+ * -1 if out of memory. */
 int jt_cell_to_wire(TALLOC_CTX *mem_ctx, const struct jt_cell_state *state,
 		    jt_wire_state *wire);
+/* Decodes a state that refers to @config. Returns NULL if it is invalid or if
+ * out of memory. */
 struct jt_cell_state *jt_cell_from_wire(TALLOC_CTX *mem_ctx,
 					const jt_wire_state *wire,
 					const struct jt_config *config);
 
-/* Index of a member or endpoint, JT_NO_MEMBER / JT_NO_ENDPOINT if none. */
+/* Return the index of a member or endpoint, or JT_NO_MEMBER / JT_NO_ENDPOINT.
+ */
 uint16_t jt_cell_member(const struct jt_cell_state *state, uint64_t id);
 uint16_t jt_cell_endpoint(const struct jt_cell_state *state, uint32_t id);
-/* Table of a service, NULL if the state has none. */
+/* Returns the table of a service, or NULL. */
 const struct jt_table *jt_cell_table(const struct jt_cell_state *state,
 				     uint32_t service_id);
-/* The owner and replica that a key has among the members. */
+/* Computes the owner and the replica of @key by rendezvous hashing. */
 void jt_cell_owners(const struct jt_cell_state *state, uint64_t key,
 		    uint16_t *owner, uint16_t *replica);
 
-/* The configured address that a flow's packets name, NULL if unknown. */
+/* Returns the virtual address that a flow is sent to, or NULL if unknown. */
 const struct jt_address_config *
 jt_config_address(const struct jt_config *config,
 		  const struct jt_flow_key *key);
-/* The service of that id, or NULL. */
+/* Returns the service with this id, or NULL. */
 const struct jt_service_config *
 jt_config_service(const struct jt_config *config, uint32_t service_id);
+/* Returns the bucket that the 5-tuple is hashed to. */
 uint16_t jt_flow_bucket(const struct jt_flow_key *key);
-/* True when flows of the bucket are always placed by load. */
+/* Returns true if flows of the bucket are always placed by load. */
 bool jt_bucket_is_free(size_t bucket, uint32_t free_permille);
 
 static inline bool jt_bit_get(const uint8_t *bitmap, size_t bit)
--- a/include/jaspertrack/core.h
+++ b/include/jaspertrack/core.h
@@ -1,6 +1,6 @@
 /*
- * The decision library: which endpoint gets each flow, who owns which
- * bucket, and how the nodes of a cell agree on both.
+ * The decision library: chooses the endpoint of each flow and the owner of
+ * each bucket, and agrees on both with the other nodes of the cell.
  */
 #ifndef JASPERTRACK_CORE_H
 #define JASPERTRACK_CORE_H
@@ -8,73 +8,78 @@
 #include "jaspertrack/cell.h"
 #include "jaspertrack/core-t.h"
 
-/* Fill @options with the default times and limits. */
+/* Sets @options to the default times and limits. */
 void jt_core_options_init(struct jt_core_options *options);
 
 /*
- * Make a node that belongs to no cell yet.
- * Returns NULL when memory runs out. Freed with @mem_ctx.
+ * Creates a node that belongs to no cell yet, as a talloc child of @mem_ctx.
+ * Returns NULL if out of memory.
  */
 struct jt_core *jt_core_create(TALLOC_CTX *mem_ctx,
 			       const struct jt_core_options *options);
 
 /*
- * Handle one event; what must be done is appended to @actions.
- * Time must not go backwards between calls on one core.
+ * Handles one event and appends the resulting actions to @actions.
+ * The time of the events of one core must not decrease.
  */
 void jt_core_handle(struct jt_core *core, const struct jt_event *event,
 		    struct jt_actions *actions);
 
-/* An empty list of actions, NULL when memory runs out. */
+/* Creates an empty list of actions. Returns NULL if out of memory. */
 struct jt_actions *jt_actions_create(TALLOC_CTX *mem_ctx);
-/* Forget the actions and free their messages. */
+/* Removes all actions and frees their messages. */
 void jt_actions_clear(struct jt_actions *actions);
 
 /*
- * What @request makes of the witness's @record, which it changes in place.
- * True when it is granted. A proposal taken in is referred to, not copied.
+ * Applies @request to the witness's @record in place. Returns true if the
+ * request is granted. An accepted proposal is referenced, not copied.
  */
 bool jt_witness_apply(struct jt_witness_record *record,
 		      const struct jt_witness_request *request);
 
-/* Views for drivers; pointers are good until the next event. */
+/* Accessors for drivers; returned pointers are valid until the next event. */
 const struct jt_cell_state *jt_core_state(const struct jt_core *core);
 const struct jt_core_counters *jt_core_counters(const struct jt_core *core);
 const struct jt_config *jt_core_config(const struct jt_core *core,
 				       uint64_t revision);
 const struct jt_config *jt_core_newest_config(const struct jt_core *core);
 uint64_t jt_core_node_id(const struct jt_core *core);
-/* True while this node may forward: a member with a valid lease. */
+/* Returns true if this node is a member with a valid lease. */
 bool jt_core_ready(const struct jt_core *core, uint64_t now_ms);
-/* When the lease runs out, by the driver's clock; 0 without a lease. */
+/* Returns when the lease expires, in ms of the driver's clock; 0: no lease. */
 uint64_t jt_core_lease_until(const struct jt_core *core);
 bool jt_core_coordinator(const struct jt_core *core);
-/* True where a packet of @bucket must pass through its owner. */
+/* Returns true if packets of @bucket must pass through its owner. */
 bool jt_core_bucket_relayed(const struct jt_core *core, size_t service,
 			    size_t bucket);
-/* Revision that is served on every member as far as this node knows. */
+/* Returns the newest revision that is known to be active on all members. */
 uint64_t jt_core_revision_everywhere(const struct jt_core *core);
 size_t jt_core_flow_count(const struct jt_core *core);
-/* Open flows of the whole cell at @endpoint_id by this node's knowledge. */
+/* Return the cell's open flows at an endpoint, and of a group at a service,
+ * as far as they were reported to this node. */
 uint32_t jt_core_endpoint_open(const struct jt_core *core,
 			       uint32_t endpoint_id);
 uint32_t jt_core_share_open(const struct jt_core *core, uint32_t service_id,
 			    uint32_t group_id);
-/* The endpoint a packet of @key would go to now; 0 if it would be refused.
- * @recorded tells whether a flow record decides. Changes nothing. */
+/*
+ * Returns the endpoint of the flow's record, or else the default endpoint of
+ * its bucket; 0 if there is neither. Sets @recorded to true if there is a
+ * record, and @owner to the owner of the bucket.
+ */
 uint32_t jt_core_explain(const struct jt_core *core,
 			 const struct jt_flow_key *key, bool *recorded,
 			 uint64_t *owner);
-/* Whether this node watches the store: one member of each zone does, and
- * whoever belongs to no cell yet. */
+/* Returns true if this node watches the store: one member of each zone does,
+ * and each node that belongs to no cell. */
 bool jt_core_reads_store(const struct jt_core *core);
-/* A copy below @mem_ctx, NULL when memory runs out. */
+/* Copies @proposal as a talloc child of @mem_ctx. Returns NULL if out of
+ * memory. */
 jt_wire_proposal *jt_proposal_copy(TALLOC_CTX *mem_ctx,
 				   const jt_wire_proposal *proposal);
-/* Which endpoints this node probes: true for the two probers of each. */
+/* Returns true if this node is one of the two that probe the endpoint. */
 bool jt_core_probes(const struct jt_core *core, uint32_t endpoint_id);
-/* How long to wait between two probes of one endpoint, so that this node's
- * part of all probes keeps to its bytes; @least_ms for few endpoints. */
+/* Returns the interval between two probes of an endpoint, in ms: at least
+ * @least_ms, and long enough to stay within the probe bandwidth budget. */
 uint64_t jt_core_probe_pause(const struct jt_core *core, uint64_t least_ms);
 
 #endif
--- a/include/jaspertrack/types-t.h
+++ b/include/jaspertrack/types-t.h
@@ -1,8 +1,8 @@
 /*
- * Plain value types shared by every layer: flow keys, socket addresses and
- * the checked configuration that the decision library works from.
+ * Value types shared by every layer: flow keys, socket addresses and the
+ * validated configuration.
  *
- * All addresses are IPv4 in host byte order; ports are host order too.
+ * Addresses are IPv4; addresses and ports are in host byte order.
  */
 #ifndef JASPERTRACK_TYPES_T_H
 #define JASPERTRACK_TYPES_T_H
@@ -13,15 +13,14 @@
 
 enum {
 	JT_NAME_SIZE = 64,
-	/* Hash buckets of one service; a bitmap of them is 128 bytes. */
-	JT_BUCKETS = 1024,
-	JT_BUCKET_BITMAP = JT_BUCKETS / 8,
+	JT_BUCKETS = 1024,		   /* hash buckets of one service */
+	JT_BUCKET_BITMAP = JT_BUCKETS / 8, /* bytes, one bit a bucket */
 };
 
-/* IANA protocol numbers that are carried. */
+/* IANA protocol numbers of the forwarded protocols. */
 enum { JT_PROTOCOL_TCP = 6, JT_PROTOCOL_UDP = 17 };
 
-/* TCP header flags as they stand on the wire (RFC 9293). */
+/* Flags of the TCP header (RFC 9293). */
 enum {
 	JT_TCP_FIN = 0x01,
 	JT_TCP_SYN = 0x02,
@@ -34,13 +33,13 @@
 	uint16_t port;
 };
 
-/* Field by field: the padding is not compared. */
+/* Compares the fields; padding bytes are ignored. */
 static inline bool jt_address_same(struct jt_address a, struct jt_address b)
 {
 	return a.ip == b.ip && a.port == b.port;
 }
 
-/* The 5-tuple of a flow as the caller's packets carry it. */
+/* The 5-tuple of a flow, as sent by the client. */
 struct jt_flow_key {
 	uint32_t source;
 	uint32_t destination;
@@ -49,17 +48,17 @@
 	uint8_t protocol;
 };
 
-/* What a flow of the service takes up at its endpoint. */
+/* Which limit of its endpoint a flow of the service counts against. */
 enum jt_service_kind {
-	JT_SERVICE_STREAM,  /* one of the endpoint's connections */
-	JT_SERVICE_REQUEST, /* one of the endpoint's slots */
+	JT_SERVICE_STREAM,  /* the endpoint's connection limit */
+	JT_SERVICE_REQUEST, /* the endpoint's request slots */
 };
 
 struct jt_service_config {
 	uint32_t id; /* hash of the name; never 0 */
 	char name[JT_NAME_SIZE];
 	enum jt_service_kind kind;
-	/* Part of the buckets placed by load alone, in thousandths. */
+	/* Fraction of the buckets placed by load, in thousandths. */
 	uint32_t free_permille;
 };
 
@@ -68,7 +67,7 @@
 	char name[JT_NAME_SIZE];
 	uint32_t service; /* index into jt_config.services */
 	struct jt_address address;
-	struct jt_address health; /* HTTP health and load page */
+	struct jt_address health; /* address of its HTTP health and load page */
 	uint32_t slots;
 	uint32_t connections;
 	bool draining;
@@ -79,7 +78,7 @@
 	char name[JT_NAME_SIZE];
 };
 
-/* A service address that callers use; names one service and one group. */
+/* A virtual address that clients connect to, for one service and group. */
 struct jt_address_config {
 	char name[JT_NAME_SIZE];
 	struct jt_address address;
@@ -94,7 +93,7 @@
 	uint32_t weight;
 };
 
-/* A whole checked configuration; immutable once built. */
+/* A validated configuration; immutable once built. */
 struct jt_config {
 	uint64_t revision;
 	struct jt_service_config *services;
