--- a/src/core/jt_core.c
+++ b/src/core/jt_core.c
@@ -1,4 +1,4 @@
-/* Events, actions, configurations and the views that drivers read. */
+/* Event dispatch, actions, configurations and accessors for drivers. */
 #include "jt_core_private.h"
 
 #include <stdlib.h>
@@ -69,7 +69,7 @@
 			actions, actions->items, struct jt_action, capacity);
 
 		if (items == NULL)
-			abort(); /* talloc has no memory left to say so */
+			abort(); /* no memory to report the error */
 		actions->items = items;
 		actions->capacity = capacity;
 	}
@@ -107,8 +107,8 @@
 }
 
 /*
- * As jt_core_send(), through a member that says it hears @to where this
- * node does not. Only for messages that are sent again until answered.
+ * As jt_core_send(), but through a member that can reach @to if this node
+ * suspects it. For messages that are retransmitted until acknowledged.
  */
 jt_wire_body *jt_core_send_around(struct jt_core *core,
 				  struct jt_actions *actions,
@@ -177,9 +177,10 @@
 	       (core->tentative && core->tentative->config == config);
 }
 
-/* Configurations are kept by reference; an older revision never replaces. */
-static void core_take_config(struct jt_core *core,
-			     const struct jt_config *config)
+/* Adds a configuration to the cache, evicting the oldest unused one. Keeps a
+ * reference to @config. */
+static void core_add_config(struct jt_core *core,
+			    const struct jt_config *config)
 {
 	size_t slot = JT_CONFIG_MEMORY;
 
@@ -208,8 +209,8 @@
 	core->fetch_ms = 0;
 }
 
-static void core_found(struct jt_core *core, uint64_t cell,
-		       struct jt_actions *actions)
+static void core_create_cell(struct jt_core *core, uint64_t cell,
+			     struct jt_actions *actions)
 {
 	jt_wire_proposal *proposal;
 	struct jt_cell_state *state;
@@ -239,7 +240,7 @@
 static void core_message(struct jt_core *core, const jt_wire_message *message,
 			 struct jt_actions *actions);
 
-/* A copy that outlives the message of the event. */
+/* Copies a message, since the event's one is freed after the event. */
 static jt_wire_message *message_copy(TALLOC_CTX *mem_ctx,
 				     const jt_wire_message *from)
 {
@@ -259,9 +260,10 @@
 	return copy;
 }
 
-/* Hand on a message for a member that its sender can't reach; once only. */
-static void core_detour(struct jt_core *core, const jt_wire_detour *detour,
-			struct jt_actions *actions)
+/* Relays a message to a member that its sender can't reach, one hop only. */
+static void core_relay_message(struct jt_core *core,
+			       const jt_wire_detour *detour,
+			       struct jt_actions *actions)
 {
 	const struct jt_peer *peer = jt_peer_find(core, detour->to);
 	jt_wire_body *body;
@@ -326,12 +328,12 @@
 		jt_agree_message(core, message->from, body, actions);
 		break;
 	case JT_WIRE_DETOUR:
-		core_detour(core, &body->jt_wire_body_u.detour, actions);
+		core_relay_message(core, &body->jt_wire_body_u.detour, actions);
 		break;
 	case JT_WIRE_RELAY:
 	case JT_WIRE_CONFIG_REQUEST:
 	case JT_WIRE_CONFIG:
-		break; /* the driver's */
+		break; /* handled by the driver */
 	}
 }
 
@@ -361,7 +363,7 @@
 		core_message(core, event->u.message, actions);
 		break;
 	case JT_EVENT_CONFIG:
-		core_take_config(core, event->u.config);
+		core_add_config(core, event->u.config);
 		break;
 	case JT_EVENT_HEALTH:
 		jt_counts_health(core, &event->u.health, 0);
@@ -371,7 +373,7 @@
 				event->u.candidates.count);
 		break;
 	case JT_EVENT_FOUND:
-		core_found(core, event->u.cell, actions);
+		core_create_cell(core, event->u.cell, actions);
 		break;
 	case JT_EVENT_WITNESS:
 		jt_agree_witness(core, event->u.witness, actions);
--- a/src/core/jt_forward.c
+++ b/src/core/jt_forward.c
@@ -1,9 +1,9 @@
 /*
- * What happens to one packet.
+ * Forwarding of a packet.
  *
- * Most packets go straight to the default endpoint of their bucket, from
- * whichever node they reach. First and last packets of a flow, and all
- * packets of exceptional buckets, pass through the bucket's owner.
+ * Any node forwards most packets directly to the default endpoint of their
+ * bucket. Packets with SYN, FIN or RST, and all packets of exceptional
+ * buckets, pass through the bucket's owner.
  */
 #include "jt_core_private.h"
 
@@ -20,7 +20,8 @@
 	return count;
 }
 
-/* States in play in which the bucket is exceptional; *all counts them all. */
+/* Returns the number of live states in which the bucket is exceptional;
+ * @all is set to the number of live states. */
 static size_t exceptional_states(const struct jt_core *core,
 				 uint32_t service_id, uint16_t bucket,
 				 size_t *all)
@@ -39,7 +40,7 @@
 	return count;
 }
 
-/* A service that some state does not know has no plain bucket in it. */
+/* All buckets are exceptional in a state without the service. */
 bool jt_bucket_exceptional_any(const struct jt_core *core, uint32_t service_id,
 			       uint16_t bucket)
 {
@@ -100,9 +101,10 @@
 	core->counters.relayed++;
 }
 
-/* A member that this node hears, and that says it hears @unreachable. */
-static const struct jt_member *detour(const struct jt_core *core,
-				      uint16_t unreachable, uint32_t salt)
+/* Returns a live member that does not suspect @unreachable, or NULL. @salt
+ * spreads the choice among several members. */
+static const struct jt_member *relay_member(const struct jt_core *core,
+					    uint16_t unreachable, uint32_t salt)
 {
 	const struct jt_cell_state *state = core->current;
 
@@ -128,7 +130,7 @@
 
 	if (member == JT_NO_MEMBER || !jt_peer_suspect(core, id))
 		return NULL;
-	return detour(core, member, 0);
+	return relay_member(core, member, 0);
 }
 
 static void relay_to_owner(struct jt_core *core, const struct jt_packet *packet,
@@ -138,7 +140,7 @@
 
 	if (jt_peer_suspect(core, member->id)) {
 		const struct jt_member *through =
-			detour(core, owner, packet->key.source_port);
+			relay_member(core, owner, packet->key.source_port);
 
 		if (through != NULL)
 			member = through;
@@ -146,10 +148,10 @@
 	relay_to(core, packet, member, actions);
 }
 
-/* A node on its way out, or cut off, still knows whom to ask. */
-static void forward_as_outsider(struct jt_core *core,
-				const struct jt_packet *packet,
-				struct jt_actions *actions)
+/* Relays a packet to a member if this node is leaving, otherwise drops it. */
+static void forward_without_lease(struct jt_core *core,
+				  const struct jt_packet *packet,
+				  struct jt_actions *actions)
 {
 	const struct jt_member *member;
 
@@ -158,7 +160,7 @@
 		jt_core_drop(core, actions, packet->token, JT_REASON_NO_LEASE);
 		return;
 	}
-	member = detour(core, JT_NO_MEMBER, packet->key.source_port);
+	member = relay_member(core, JT_NO_MEMBER, packet->key.source_port);
 	if (member == NULL) {
 		jt_core_drop(core, actions, packet->token, JT_REASON_NO_LEASE);
 		return;
@@ -172,10 +174,10 @@
 	const struct jt_address_config *address;
 	const struct jt_table *table;
 	uint16_t bucket, owner;
-	bool exceptional, ends;
+	bool exceptional, flow_boundary;
 
 	if (!jt_lease_valid(core)) {
-		forward_as_outsider(core, packet, actions);
+		forward_without_lease(core, packet, actions);
 		return;
 	}
 	address = jt_config_address(core->current->config, &packet->key);
@@ -188,8 +190,9 @@
 	table = &core->current->tables[address->service];
 	exceptional =
 		jt_bucket_exceptional_any(core, table->service_id, bucket);
-	ends = packet->tcp_flags & (JT_TCP_SYN | JT_TCP_FIN | JT_TCP_RST);
-	if (!exceptional && !ends) {
+	flow_boundary =
+		packet->tcp_flags & (JT_TCP_SYN | JT_TCP_FIN | JT_TCP_RST);
+	if (!exceptional && !flow_boundary) {
 		forward_default(core, packet, table, bucket, actions);
 		return;
 	}
--- a/src/core/jt_owner.c
+++ b/src/core/jt_owner.c
@@ -1,9 +1,9 @@
 /*
- * Packets of the buckets this node owns.
+ * Packets of the buckets that this node owns.
  *
- * The first packet of every flow comes to its bucket's owner, which admits
- * the group, chooses the endpoint and, where that differs from the bucket's
- * default, keeps a record here and at the replica before the packet goes on.
+ * The first packet of a flow reaches the owner of its bucket, which applies
+ * admission control and selects the endpoint. If that is not the bucket's
+ * default, the record is replicated before the packet is forwarded.
  */
 #include "jt_core_private.h"
 
@@ -36,7 +36,7 @@
 	const struct jt_cell_state *states[3];
 	size_t count = jt_states_in_play(core, states);
 
-	/* A newcomer owns nothing before its first barrier. */
+	/* A node that just joined owns no bucket before its first barrier. */
 	if (!core->activated && core->previous == NULL)
 		return false;
 	for (size_t i = 0; i < count; i++) {
@@ -57,7 +57,7 @@
 	return core->current->config->services[address->service].id;
 }
 
-/* Slots are few: each request has a record, so that no owner forgets one. */
+/* Each request has a replicated record, so that a new owner can count it. */
 bool jt_service_counts_slots(const struct jt_core *core,
 			     const struct jt_address_config *address)
 {
@@ -114,7 +114,7 @@
 	return jt_peer_find(core, states[0]->members[replica].id);
 }
 
-/* Keep the packet until the replica has acknowledged @sequence. */
+/* Holds the packet until the replica acknowledges @sequence. */
 static void hold_packet(struct jt_core *core, const struct jt_flow_key *key,
 			uint64_t peer_id, uint32_t sequence, uint64_t token,
 			struct jt_actions *actions)
@@ -139,8 +139,9 @@
 }
 
 /*
- * Send the record to the replica and hold the packet until it has it. A
- * flow may not start before: if this node died, nobody would know it.
+ * Sends the record to the replica and holds the packet until it is
+ * acknowledged. If the flow started earlier, it would lose its endpoint when
+ * this node fails.
  */
 static void replicate_and_hold(struct jt_core *core, struct jt_flow *flow,
 			       struct jt_peer *peer,
@@ -157,10 +158,11 @@
 		    packet->token, actions);
 }
 
-/* The first packet again, while its record is still on its way. */
-static void hold_again(struct jt_core *core, struct jt_flow *flow,
-		       uint32_t service_id, const struct jt_packet *packet,
-		       struct jt_actions *actions)
+/* Handles a retransmitted SYN whose record is not acknowledged yet. */
+static void hold_retransmitted(struct jt_core *core, struct jt_flow *flow,
+			       uint32_t service_id,
+			       const struct jt_packet *packet,
+			       struct jt_actions *actions)
 {
 	const struct jt_peer *peer =
 		replica_peer(core, service_id, flow->bucket);
@@ -213,7 +215,7 @@
 	}
 	flow->flags |= JT_FLOW_REPLICATED;
 	if (peer == NULL || jt_peer_suspect(core, peer->member.id)) {
-		/* Not waited for, but the replica gets it when it can. */
+		/* Queues the record, but doesn't wait for the replica. */
 		if (peer != NULL) {
 			jt_flow_to_wire(core, flow, &record);
 			jt_channel_add(core, peer, &record, false);
@@ -245,18 +247,18 @@
 	jt_channel_add(core, peer, &record, false);
 }
 
-static bool opens(const struct jt_packet *packet)
+static bool is_opening(const struct jt_packet *packet)
 {
 	return (packet->tcp_flags & JT_TCP_SYN) &&
 	       !(packet->tcp_flags & JT_TCP_ACK);
 }
 
 /*
- * A first packet sent again long after: its place was given up meanwhile.
- * It must stay with its endpoint, so it waits until there is room.
+ * Counts a flow again whose SYN is retransmitted after it was uncounted.
+ * Returns false if its endpoint, which it must keep, has no capacity.
  */
-static bool count_again(struct jt_core *core, struct jt_flow *flow,
-			uint32_t service_id)
+static bool recount_reopened(struct jt_core *core, struct jt_flow *flow,
+			     uint32_t service_id)
 {
 	if (!jt_place_has_room(core, flow->endpoint_id))
 		return false;
@@ -265,9 +267,9 @@
 }
 
 /*
- * The record of a flow that a SYN opens, or NULL if it needs a new one: one
- * that is closing makes room, one that never started is placed again where
- * its endpoint leaves meanwhile.
+ * Returns the record of the flow that a SYN opens, or NULL if it needs a
+ * new one. Removes a closing record, and a pending one whose endpoint no longer
+ * accepts new flows.
  */
 static struct jt_flow *find_opening(struct jt_core *core, struct jt_flow *flow,
 				    uint32_t service_id)
@@ -286,8 +288,8 @@
 	return NULL;
 }
 
-/* A packet of a flow without a record: it is on its default endpoint. */
-static void forward_by_default(struct jt_core *core,
+/* Forwards a packet of a flow without a record to the default endpoint. */
+static void forward_unrecorded(struct jt_core *core,
 			       const struct jt_packet *packet,
 			       const struct jt_address_config *address,
 			       uint16_t bucket, struct jt_actions *actions)
@@ -310,15 +312,16 @@
 			      struct jt_actions *actions)
 {
 	if (flow->flags & JT_FLOW_PENDING) {
-		if (opens(packet))
-			hold_again(core, flow, service_id, packet, actions);
+		if (is_opening(packet))
+			hold_retransmitted(core, flow, service_id, packet,
+					   actions);
 		else
 			jt_core_drop(core, actions, packet->token,
 				     JT_REASON_PENDING);
 		return;
 	}
-	if (opens(packet) && !(flow->flags & JT_FLOW_COUNTED) &&
-	    !count_again(core, flow, service_id)) {
+	if (is_opening(packet) && !(flow->flags & JT_FLOW_COUNTED) &&
+	    !recount_reopened(core, flow, service_id)) {
 		jt_core_drop(core, actions, packet->token,
 			     JT_REASON_NO_CAPACITY);
 		return;
@@ -341,19 +344,19 @@
 		return;
 	}
 	flow = jt_flow_table_find(core->flows, &packet->key);
-	if (opens(packet))
+	if (is_opening(packet))
 		flow = find_opening(core, flow, service_id);
 	if (flow != NULL)
 		forward_by_record(core, packet, flow, service_id, actions);
-	else if (opens(packet))
+	else if (is_opening(packet))
 		open_flow(core, packet, address, bucket, actions);
 	else
-		forward_by_default(core, packet, address, bucket, actions);
+		forward_unrecorded(core, packet, address, bucket, actions);
 }
 
 /* Held packets */
 
-/* The replica has acknowledged: the flow may start. */
+/* Forwards a held packet whose record the replica has acknowledged. */
 static void release_held(struct jt_core *core, const struct jt_held *held,
 			 struct jt_actions *actions)
 {
@@ -392,8 +395,9 @@
 	}
 }
 
-/* The caller sends its first packet again; the record stays pending. */
-static void drop_late(struct jt_core *core, struct jt_actions *actions)
+/* Drops packets held for too long. Their records stay pending, because the
+ * client retransmits the packet. */
+static void drop_timed_out(struct jt_core *core, struct jt_actions *actions)
 {
 	struct jt_held **link = &core->held;
 
@@ -414,6 +418,6 @@
 {
 	if (core->current == NULL)
 		return;
-	drop_late(core, actions);
+	drop_timed_out(core, actions);
 	jt_records_expire(core);
 }
--- a/src/core/jt_placement.c
+++ b/src/core/jt_placement.c
@@ -1,15 +1,16 @@
 /*
- * Placement: whether a group may open one more flow, and at which endpoint.
+ * Placement: admission control of a group's new flow, and selection of its
+ * endpoint.
  */
 #include "jt_core_private.h"
 #include "jt_share.h"
 
 enum {
-	/* The default is kept unless it is fuller than the least loaded by
-	 * this many thousandths of its capacity. */
+	/* The default endpoint is preferred unless its utilisation exceeds the
+	 * lowest one by more than this, in thousandths of the capacity. */
 	KEEP_DEFAULT_PERMILLE = 10,
-	COLD_START_PERMILLE = 100, /* first part of the capacity in use */
-	SHARE_LIMIT = 256,	   /* groups of one service */
+	COLD_START_PERMILLE = 100, /* initial part of the capacity */
+	SHARE_LIMIT = 256,	   /* groups of a service */
 };
 
 /* Admission */
@@ -58,9 +59,8 @@
 			      core->options.reserve_permille);
 }
 
-/* Choice of an endpoint */
+/* Endpoint selection */
 
-/* Capacity in use while an endpoint warms up, in thousandths. */
 uint64_t jt_place_ramp_permille(const struct jt_core *core,
 				uint32_t endpoint_id)
 {
@@ -87,10 +87,11 @@
 struct candidate {
 	uint32_t id;
 	uint32_t open;
-	uint64_t capacity; /* in thousandths, after the ramp */
+	uint64_t capacity; /* in thousandths of a flow, limited by slow start */
 };
 
-static bool candidate_make(const struct jt_core *core,
+/* Returns true if the endpoint has capacity for another flow. */
+static bool candidate_init(const struct jt_core *core,
 			   const struct jt_cell_endpoint *endpoint,
 			   struct candidate *candidate)
 {
@@ -98,7 +99,7 @@
 	candidate->open = jt_counts_endpoint(core, endpoint->id);
 	candidate->capacity = (uint64_t)endpoint->capacity *
 			      jt_place_ramp_permille(core, endpoint->id);
-	/* One flow always fits, or a cold endpoint would never warm up. */
+	/* At least one flow is allowed, so that a cold endpoint can warm up. */
 	if (candidate->capacity < 1000)
 		candidate->capacity = 1000;
 	if (core->options.break_mechanism & JT_BREAK_NO_ADMISSION)
@@ -112,15 +113,17 @@
 	struct candidate candidate;
 
 	return e != JT_NO_ENDPOINT &&
-	       candidate_make(core, &core->current->endpoints[e], &candidate);
+	       candidate_init(core, &core->current->endpoints[e], &candidate);
 }
 
-/* True when @a would be less full than @b after one more flow. */
+/* Returns true if @a would have the lower utilisation with one more flow. */
 static bool less_loaded(const struct candidate *a, const struct candidate *b)
 {
 	return (a->open + 1) * b->capacity < (b->open + 1) * a->capacity;
 }
 
+/* Finds the endpoint of the service with the lowest utilisation among those in
+ * state @worst or better. Returns false if none has capacity. */
 static bool least_loaded(struct jt_core *core, uint32_t service_id,
 			 enum jt_endpoint_state worst, struct candidate *best)
 {
@@ -134,7 +137,7 @@
 		if (endpoint->service_id != service_id ||
 		    endpoint->state > worst ||
 		    jt_endpoint_view(core, endpoint->id)->unwanted ||
-		    !candidate_make(core, endpoint, &candidate))
+		    !candidate_init(core, endpoint, &candidate))
 			continue;
 		if (!found || less_loaded(&candidate, best))
 			*best = candidate;
@@ -143,7 +146,6 @@
 	return found;
 }
 
-/* Worst state that an endpoint has in any state in play. */
 enum jt_endpoint_state jt_place_worst_state(const struct jt_core *core,
 					    uint32_t endpoint_id)
 {
@@ -210,7 +212,8 @@
 	}
 }
 
-/* The bucket is plain somewhere: only its default may be used. */
+/* Selects the default endpoint, the only one allowed while the bucket is not
+ * exceptional in all live states. */
 static bool choose_default(struct jt_core *core, uint32_t service_id,
 			   uint16_t bucket, uint32_t *endpoint_id,
 			   enum jt_reason *reason)
@@ -231,7 +234,7 @@
 	     core->now_ms > since + JT_DRAIN_LIMIT_MS))
 		return false;
 	*reason = JT_REASON_NO_CAPACITY;
-	if (!candidate_make(core,
+	if (!candidate_init(core,
 			    &core->current->endpoints[jt_cell_endpoint(
 				    core->current, id)],
 			    &candidate))
@@ -250,16 +253,17 @@
 	       jt_peer_suspect(core, core->current->members[replica].id);
 }
 
-static bool choose_free(struct jt_core *core, uint32_t service_id,
-			uint16_t bucket, uint32_t *endpoint_id,
-			enum jt_reason *reason)
+/* Selects the least loaded endpoint, with preference for the default one. */
+static bool choose_by_load(struct jt_core *core, uint32_t service_id,
+			   uint16_t bucket, uint32_t *endpoint_id,
+			   enum jt_reason *reason)
 {
 	const struct jt_table *table = jt_cell_table(core->current, service_id);
 	const struct jt_bucket_mark *mark = jt_owner_mark(core, service_id);
 	uint16_t index = table->default_index[bucket];
-	const struct jt_cell_endpoint *standard;
+	const struct jt_cell_endpoint *default_endpoint;
 	struct candidate best, candidate;
-	uint64_t settled = mark->owned_since_ms[bucket];
+	uint64_t taken_over_ms = mark->owned_since_ms[bucket];
 
 	*reason = JT_REASON_NO_CAPACITY;
 	if (!least_loaded(core, service_id, JT_ENDPOINT_UP, &best) &&
@@ -268,17 +272,18 @@
 	*endpoint_id = best.id;
 	if (index == JT_NO_ENDPOINT)
 		return true;
-	standard = &core->current->endpoints[index];
-	if (standard->state != JT_ENDPOINT_UP ||
-	    jt_endpoint_view(core, standard->id)->unwanted ||
-	    !candidate_make(core, standard, &candidate))
+	default_endpoint = &core->current->endpoints[index];
+	if (default_endpoint->state != JT_ENDPOINT_UP ||
+	    jt_endpoint_view(core, default_endpoint->id)->unwanted ||
+	    !candidate_init(core, default_endpoint, &candidate))
 		return true;
-	/* A crashed owner may have used the default for a first packet that
-	 * is now seen again. A replica out of reach can't take a record, and
-	 * the default needs none. */
-	if ((settled != 0 && core->now_ms < settled + JT_SETTLE_MS) ||
+	/* A crashed owner may already have placed this flow on the default
+	 * endpoint. While the replica is unreachable, records can't be
+	 * replicated, and the default endpoint needs none. */
+	if ((taken_over_ms != 0 &&
+	     core->now_ms < taken_over_ms + JT_SETTLE_MS) ||
 	    replica_lost(core, service_id, bucket)) {
-		*endpoint_id = standard->id;
+		*endpoint_id = default_endpoint->id;
 		return true;
 	}
 	if (!less_loaded(&best, &candidate) ||
@@ -286,7 +291,7 @@
 	     best.open * candidate.capacity +
 		     best.capacity * candidate.capacity / 1000 *
 			     KEEP_DEFAULT_PERMILLE / 1000))
-		*endpoint_id = standard->id;
+		*endpoint_id = default_endpoint->id;
 	return true;
 }
 
@@ -305,5 +310,5 @@
 	    !jt_bucket_exceptional_all(core, service_id, bucket))
 		return choose_default(core, service_id, bucket, endpoint_id,
 				      reason);
-	return choose_free(core, service_id, bucket, endpoint_id, reason);
+	return choose_by_load(core, service_id, bucket, endpoint_id, reason);
 }
