--- a/src/core/jt_activate.c
+++ b/src/core/jt_activate.c
@@ -1,10 +1,10 @@
 /*
  * Barrier and handover between two cell states.
  *
- * A new state is served only when every node that could still act on an
- * older one has accepted it and has handed its records over, or has surely
- * lost its lease. Until then only decisions that all states in play agree
- * on are made; the buckets whose owner changes are frozen.
+ * A new state is served once every node that could still use an older one
+ * has committed it and transferred its records, or must have lost its lease.
+ * Until then a node makes only decisions that are the same in all live
+ * states; buckets whose owner changes are frozen.
  */
 #include "jt_core_private.h"
 
@@ -43,25 +43,26 @@
 	uint64_t owner = member_id(base, base_table->owner[flow->bucket]);
 	uint64_t replica = member_id(base, base_table->replica[flow->bucket]);
 	uint64_t to = member_id(target, target_table->owner[flow->bucket]);
-	uint64_t second =
+	uint64_t to_replica =
 		member_id(target, target_table->replica[flow->bucket]);
 	bool replicated = flow->flags & JT_FLOW_REPLICATED;
 
 	if (owner == self) {
 		if (to != replica || !replicated)
 			transfer_send(core, flow, to);
-		if (replicated && second != replica)
-			transfer_send(core, flow, second);
+		if (replicated && to_replica != replica)
+			transfer_send(core, flow, to_replica);
 		return;
 	}
 	if (replica != self || !replicated ||
 	    jt_cell_member(target, owner) != JT_NO_MEMBER)
 		return;
 	transfer_send(core, flow, to);
-	transfer_send(core, flow, second);
+	transfer_send(core, flow, to_replica);
 }
 
-/* What this node holds by @base and must hand over for @target. */
+/* Transfers the records that this node holds in @base to their owners and
+ * replicas in @target. */
 static void transfer_from(struct jt_core *core,
 			  const struct jt_cell_state *base,
 			  const struct jt_cell_state *target)
@@ -83,14 +84,14 @@
 }
 
 /*
- * A state that waits for its barrier counts besides the one that is served:
- * the others may have passed it, and then rely on what it gave this node.
+ * Starts the transfer from the served state and, if it still waits for its
+ * barrier, from the current one: other members may already serve that.
  */
 static void transfer_start(struct jt_core *core,
 			   const struct jt_cell_state *target)
 {
 	core->transfer_target = target->epoch;
-	/* Another proposal for the same epoch begins again. */
+	/* Another proposal for the same epoch restarts the transfer. */
 	if (core->transferred_epoch >= target->epoch)
 		core->transferred_epoch = target->epoch - 1;
 	transfer_from(core, served_state(core), target);
@@ -98,7 +99,6 @@
 		transfer_from(core, core->current, target);
 }
 
-/* A record that comes after its receiver began to hand over. */
 void jt_activate_pass_on(struct jt_core *core, const struct jt_flow *flow)
 {
 	const struct jt_cell_state *target = core->tentative;
@@ -113,7 +113,7 @@
 	owner = member_id(target, table->owner[flow->bucket]);
 	replica = member_id(target, table->replica[flow->bucket]);
 	if (owner == core->options.node_id || replica == core->options.node_id)
-		return; /* it has arrived */
+		return; /* the record is where it belongs */
 	transfer_send(core, flow, owner);
 	transfer_send(core, flow, replica);
 }
@@ -175,7 +175,7 @@
 	talloc_free(core->joiner_ms);
 	options.node_id = XXH64(&options.node_id, sizeof(uint64_t), 1);
 	{
-		struct jt_core fresh = {
+		struct jt_core initial = {
 			.options = options,
 			.counters = counters,
 			.now_ms = core->now_ms,
@@ -185,15 +185,16 @@
 			.candidate_count = core->candidate_count,
 		};
 
-		memcpy(fresh.configs, core->configs, sizeof(fresh.configs));
-		*core = fresh;
+		memcpy(initial.configs, core->configs, sizeof(initial.configs));
+		*core = initial;
 	}
 	core->flows = jt_flow_table_create(core, options.flow_limit);
 	core->counters.state_resets++;
 	jt_core_publish(actions);
 }
 
-/* A state that was never accepted here came as a whole. */
+/* Starts the transfer for a state that this node received as a whole, without
+ * having accepted it. */
 static void transfer_for_skipped(struct jt_core *core,
 				 struct jt_cell_state *state)
 {
@@ -203,7 +204,7 @@
 		core->transfer_target = state->epoch;
 		return;
 	}
-	core->tentative = state; /* its members are peers from here on */
+	core->tentative = state; /* adds its members as peers */
 	jt_members_synchronise(core);
 	core->tentative = tentative;
 	transfer_start(core, state);
@@ -215,7 +216,7 @@
 	*state = NULL;
 }
 
-/* Bytes that owners declared clean hold for one epoch only. */
+/* Resets the clean declarations, which are valid for one epoch. */
 static void marks_reset(struct jt_core *core)
 {
 	for (size_t i = 0; i < core->mark_count; i++)
@@ -252,7 +253,7 @@
 	}
 	core->skipped = core->current != NULL &&
 			state->epoch != core->current->epoch + 1;
-	/* By what this node holds now, before its states move on. */
+	/* Starts the transfer before the states are replaced. */
 	if (core->transfer_target != state->epoch)
 		transfer_for_skipped(core, state);
 	jt_agree_reset(core);
@@ -278,7 +279,7 @@
 		jt_activate_tick(core, actions);
 }
 
-static bool member_has_passed(const struct jt_core *core, uint64_t id)
+static bool member_ready(const struct jt_core *core, uint64_t id)
 {
 	uint64_t epoch = core->current ? core->current->epoch : 0;
 	const struct jt_peer *peer;
@@ -286,8 +287,8 @@
 	if (id == core->options.node_id)
 		return core->transferred_epoch >= epoch;
 	peer = jt_peer_find(core, id);
-	/* It must know the state as agreed: before that, what it handed over
-	 * may have been for another proposal of the same epoch. */
+	/* The peer must know the state as agreed; otherwise its transfer may
+	 * have been for another proposal of the same epoch. */
 	if (peer != NULL && peer->epoch >= epoch &&
 	    peer->transferred_epoch >= epoch)
 		return true;
@@ -297,10 +298,10 @@
 }
 
 /*
- * Whoever has passed the barrier has heard of everyone that they are ready;
- * where some members can't hear each other, that is how they learn it.
+ * Returns true if another member has passed the barrier. That implies that
+ * all members are ready, also those whose heartbeats this node doesn't receive.
  */
-static bool another_has_passed(const struct jt_core *core)
+static bool another_activated(const struct jt_core *core)
 {
 	for (const struct jt_peer *peer = core->peers; peer;
 	     peer = peer->next) {
@@ -319,32 +320,32 @@
 	if (core->skipped &&
 	    core->now_ms < core->committed_ms + core->options.lease_ms)
 		return false;
-	if (another_has_passed(core) &&
+	if (another_activated(core) &&
 	    core->transferred_epoch >= core->current->epoch)
 		return true;
 	for (size_t s = 0; s < 2; s++) {
 		for (size_t i = 0; states[s] && i < states[s]->member_count;
 		     i++) {
-			if (!member_has_passed(core, states[s]->members[i].id))
+			if (!member_ready(core, states[s]->members[i].id))
 				return false;
 		}
 	}
 	return true;
 }
 
-static void leave_watch(struct jt_core *core, struct jt_actions *actions)
+static void leave_update(struct jt_core *core, struct jt_actions *actions)
 {
-	bool alone, out, cut_off;
+	bool last_member, removed, partitioned;
 
 	if (!core->leaving || core->left)
 		return;
-	alone = core->activated && core->current->member_count == 1;
-	out = core->activated &&
-	      jt_core_self(core, core->current) == JT_NO_MEMBER;
-	/* The others have left it out by now, or will. */
-	cut_off = core->now_ms >
-		  core->lease_until_ms + 4 * core->options.suspect_ms;
-	if (alone || out || cut_off) {
+	last_member = core->activated && core->current->member_count == 1;
+	removed = core->activated &&
+		  jt_core_self(core, core->current) == JT_NO_MEMBER;
+	/* The other members have removed this node, or will. */
+	partitioned = core->now_ms >
+		      core->lease_until_ms + 4 * core->options.suspect_ms;
+	if (last_member || removed || partitioned) {
 		core->left = true;
 		jt_core_act(actions, JT_ACTION_LEFT);
 	}
@@ -368,5 +369,5 @@
 	}
 	if (!core->activated && barrier_passed(core))
 		activate(core, actions);
-	leave_watch(core, actions);
+	leave_update(core, actions);
 }
--- a/src/core/jt_agree.c
+++ b/src/core/jt_agree.c
@@ -1,7 +1,7 @@
 /*
  * Agreement on the cell state of the next epoch: single-decree Paxos
  * (Lamport, "Paxos made simple", 2001) among the members of the current
- * one. Any member may propose; the coordinator usually does.
+ * epoch. Any member may propose; normally only the coordinator does.
  */
 #include "jt_core_private.h"
 
@@ -64,7 +64,7 @@
 	return core->current->member_count / 2 + 1;
 }
 
-/* The store votes where the number of members is even. */
+/* Returns true if the store votes as a witness: with an even member count. */
 static bool witness_votes(const struct jt_core *core)
 {
 	return core->current->member_count % 2 == 0;
@@ -97,8 +97,9 @@
 
 /* Acceptor */
 
-static void accept_promise(struct jt_core *core, const jt_wire_prepare *prepare,
-			   TALLOC_CTX *mem_ctx, jt_wire_promise *promise)
+static void acceptor_promise(struct jt_core *core,
+			     const jt_wire_prepare *prepare,
+			     TALLOC_CTX *mem_ctx, jt_wire_promise *promise)
 {
 	struct jt_ballot ballot = ballot_from_wire(&prepare->ballot);
 
@@ -111,8 +112,8 @@
 		promise->accepted = jt_proposal_copy(mem_ctx, core->accepted);
 }
 
-static bool config_at_hand(struct jt_core *core, uint64_t from,
-			   uint64_t revision, struct jt_actions *actions)
+static bool config_available(struct jt_core *core, uint64_t from,
+			     uint64_t revision, struct jt_actions *actions)
 {
 	const struct jt_peer *peer = jt_peer_find(core, from);
 
@@ -125,11 +126,12 @@
 }
 
 /*
- * A member that answers is not lost. A proposal that leaves it out comes
- * from someone who was cut off; enough others may still accept it.
+ * Returns true if the proposal removes this node although it isn't leaving.
+ * This node then rejects it, because the proposer may be partitioned; a
+ * majority can still accept it.
  */
-static bool leaves_out_self(const struct jt_core *core, uint64_t from,
-			    const jt_wire_proposal *proposal)
+static bool removes_self(const struct jt_core *core, uint64_t from,
+			 const jt_wire_proposal *proposal)
 {
 	if (core->leaving || from == core->options.node_id ||
 	    jt_core_self(core, core->current) == JT_NO_MEMBER)
@@ -142,7 +144,7 @@
 	return true;
 }
 
-static bool accept_proposal(struct jt_core *core, uint64_t from,
+static bool acceptor_accept(struct jt_core *core, uint64_t from,
 			    const jt_wire_accept *accept,
 			    struct jt_actions *actions)
 {
@@ -155,9 +157,9 @@
 	if (core->accepted != NULL &&
 	    ballot_compare(ballot, core->accepted_ballot) == 0)
 		return true;
-	if (leaves_out_self(core, from, proposal))
+	if (removes_self(core, from, proposal))
 		return false;
-	if (!config_at_hand(core, from, proposal->config_revision, actions))
+	if (!config_available(core, from, proposal->config_revision, actions))
 		return false;
 	state = jt_cell_apply(core, core->current->cell, core->current,
 			      proposal,
@@ -194,7 +196,7 @@
 	body = jt_core_send(core, actions, to, JT_WIRE_ACCEPT);
 	body->jt_wire_body_u.accept.ballot =
 		ballot_to_wire(core->proposer.ballot);
-	/* The message outlives the proposer. */
+	/* The message may be sent after the proposer has freed its copy. */
 	copy = jt_proposal_copy(actions->messages, core->proposer.proposal);
 	if (copy == NULL)
 		actions->count--;
@@ -220,7 +222,7 @@
 	uint64_t epoch = proposal->epoch;
 	struct jt_cell_state *state;
 
-	/* A higher ballot may have replaced what this node accepted. */
+	/* This node may have accepted a higher ballot since. */
 	if (ballot_compare(core->proposer.ballot, core->accepted_ballot) != 0)
 		return;
 	state = core->tentative;
@@ -257,7 +259,7 @@
 	proposer->phase = JT_PHASE_ACCEPT;
 	accept.ballot = ballot_to_wire(proposer->ballot);
 	accept.proposal = *proposer->proposal;
-	if (!accept_proposal(core, core->options.node_id, &accept, actions)) {
+	if (!acceptor_accept(core, core->options.node_id, &accept, actions)) {
 		proposer_stop(core);
 		return;
 	}
@@ -267,7 +269,7 @@
 		proposer_commit(core, actions);
 }
 
-/* A proposal that some acceptor holds goes before the proposer's own. */
+/* Adopts the accepted proposal with the highest ballot, as Paxos requires. */
 static void proposer_adopt(struct jt_core *core, const jt_wire_promise *promise)
 {
 	struct jt_ballot ballot = ballot_from_wire(&promise->accepted_ballot);
@@ -318,16 +320,18 @@
 	proposer_advance(core, actions);
 }
 
+/* Compares the request's epoch and ballot with the promised ones of @record:
+ * positive if newer, 0 if equal, negative if older. */
 static int record_compare(const struct jt_witness_record *record,
 			  const struct jt_witness_request *request)
 {
 	struct jt_ballot promised = {record->promised_round,
 				     record->promised_node};
-	struct jt_ballot asked = {request->round, request->node};
+	struct jt_ballot requested = {request->round, request->node};
 
 	if (record->epoch != request->epoch)
 		return record->epoch < request->epoch ? 1 : -1;
-	return ballot_compare(asked, promised);
+	return ballot_compare(requested, promised);
 }
 
 bool jt_witness_apply(struct jt_witness_record *record,
@@ -347,8 +351,10 @@
 	return true;
 }
 
-/* Half of the members have answered, and the rest does not. */
-static void witness_ask(struct jt_core *core, struct jt_actions *actions)
+/* Requests the store's vote if exactly half of the members have answered
+ * within a time limit. */
+static void witness_request_vote(struct jt_core *core,
+				 struct jt_actions *actions)
 {
 	struct jt_proposer *proposer = &core->proposer;
 	struct jt_witness_request *request;
@@ -374,7 +380,7 @@
 {
 	const struct jt_witness_record *record = &reply->record;
 	struct jt_proposer *proposer = &core->proposer;
-	bool accepting = proposer->phase == JT_PHASE_ACCEPT;
+	bool accept_phase = proposer->phase == JT_PHASE_ACCEPT;
 	jt_wire_promise promise = {
 		.accepted_ballot = {record->accepted_round,
 				    record->accepted_node},
@@ -385,12 +391,12 @@
 	    core->current != NULL && record->epoch == core->current->epoch + 1)
 		core->highest_round = record->promised_round;
 	if (core->current == NULL || proposer->phase == JT_PHASE_IDLE ||
-	    !reply->granted || reply->request.accept != accepting ||
+	    !reply->granted || reply->request.accept != accept_phase ||
 	    reply->request.epoch != core->current->epoch + 1 ||
 	    reply->request.round != proposer->ballot.round ||
 	    reply->request.node != proposer->ballot.node)
 		return;
-	if (!accepting)
+	if (!accept_phase)
 		proposer_adopt(core, &promise);
 	if (proposer->proposal == NULL) {
 		proposer_stop(core);
@@ -419,7 +425,7 @@
 	core->counters.proposals++;
 	prepare.ballot = ballot_to_wire(proposer->ballot);
 	prepare.epoch = core->current->epoch + 1;
-	accept_promise(core, &prepare, frame, &promise);
+	acceptor_promise(core, &prepare, frame, &promise);
 	proposer_send_all(core, actions);
 	proposer_promise(core, core->options.node_id, &promise, actions);
 	talloc_free(frame);
@@ -427,8 +433,9 @@
 
 /* Messages */
 
-/* Two proposers that outbid each other would never come to an end. */
-static uint64_t yield_ms(const struct jt_core *core)
+/* Returns the backoff before this node proposes again, in ms. Its jitter keeps
+ * proposers from preempting each other forever. */
+static uint64_t proposer_backoff_ms(const struct jt_core *core)
 {
 	uint64_t input[2] = {core->options.node_id, core->highest_round};
 
@@ -445,10 +452,10 @@
 		return;
 	if (prepare->ballot.round > core->highest_round)
 		core->highest_round = prepare->ballot.round;
-	core->propose_after_ms = core->now_ms + yield_ms(core);
+	core->propose_after_ms = core->now_ms + proposer_backoff_ms(core);
 	body = jt_core_send(core, actions, to, JT_WIRE_PROMISE);
-	accept_promise(core, prepare, actions->messages,
-		       &body->jt_wire_body_u.promise);
+	acceptor_promise(core, prepare, actions->messages,
+			 &body->jt_wire_body_u.promise);
 }
 
 static void agree_accept(struct jt_core *core, uint64_t from,
@@ -462,7 +469,7 @@
 		return;
 	if (accept->ballot.round > core->highest_round)
 		core->highest_round = accept->ballot.round;
-	if (!accept_proposal(core, from, accept, actions))
+	if (!acceptor_accept(core, from, accept, actions))
 		return;
 	body = jt_core_send(core, actions, to, JT_WIRE_ACCEPTED);
 	body->jt_wire_body_u.accepted.ballot = accept->ballot;
@@ -478,7 +485,7 @@
 	if (state == NULL || commit->epoch != state->epoch ||
 	    ballot_compare(ballot_from_wire(&commit->ballot),
 			   core->accepted_ballot) != 0)
-		return; /* heartbeats will show the epoch */
+		return; /* heartbeats will report the epoch */
 	core->tentative = NULL;
 	jt_activate_commit(core, state, actions);
 }
@@ -583,10 +590,11 @@
 		return;
 	if (core->now_ms >= proposer->started_ms + JT_ROUND_MS) {
 		proposer_stop(core);
-		core->propose_after_ms = core->now_ms + yield_ms(core);
+		core->propose_after_ms =
+			core->now_ms + proposer_backoff_ms(core);
 		return;
 	}
 	if (core->now_ms >= proposer->sent_ms + JT_RETRANSMIT_MS)
 		proposer_send_all(core, actions);
-	witness_ask(core, actions);
+	witness_request_vote(core, actions);
 }
--- a/src/core/jt_cell.c
+++ b/src/core/jt_cell.c
@@ -1,8 +1,8 @@
 /*
- * The cell state and the pure function that advances it.
+ * The cell state and the pure function that computes the next one.
  *
- * Owners follow rendezvous hashing (Thaler and Ravishankar, 1998): a change
- * of members moves only the buckets that the changed member holds.
+ * Owners are assigned by rendezvous hashing (Thaler and Ravishankar, 1998): a
+ * membership change moves only the buckets of the member that joins or leaves.
  */
 #include "jaspertrack/cell.h"
 
@@ -10,8 +10,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Odd, so that it permutes the buckets. */
-enum { FREE_STEP = 661 };
+/* Multiplier that permutes the buckets; must be odd. */
+enum { FREE_BUCKET_STRIDE = 661 };
 
 static int member_compare(const void *left, const void *right)
 {
@@ -105,7 +105,7 @@
 	*replica = other != JT_NO_MEMBER ? other : any;
 }
 
-/* Order of struct jt_config.addresses. */
+/* Orders addresses as struct jt_config.addresses is sorted. */
 static int address_key_compare(const void *left, const void *right)
 {
 	const struct jt_flow_key *key = left;
@@ -150,20 +150,21 @@
 }
 
 /*
- * Free buckets are spread by an odd multiplier, so that their places have
- * nothing in common with the turns in which endpoints get defaults.
+ * The multiplier spreads the buckets placed by load, so that they don't
+ * correlate with the order in which default endpoints are assigned.
  */
 bool jt_bucket_is_free(size_t bucket, uint32_t free_permille)
 {
-	size_t place = bucket * FREE_STEP % JT_BUCKETS;
+	size_t position = bucket * FREE_BUCKET_STRIDE % JT_BUCKETS;
 
-	return place * 1000 < (size_t)free_permille * JT_BUCKETS;
+	return position * 1000 < (size_t)free_permille * JT_BUCKETS;
 }
 
 /*
- * Default buckets held by each endpoint: plain ones in the first half of
- * @held, free ones in the second. Each kind is shared out evenly by itself,
- * because free buckets carry what placement by load gives them.
+ * Counts the default buckets of each endpoint: the ordinary ones in the first
+ * half of @held, those placed by load in the second. Each kind is balanced
+ * separately, because selection by load, not the default endpoint, determines
+ * the load of the second kind.
  */
 static void count_defaults(const struct jt_table *table,
 			   const struct jt_cell_state *state,
@@ -182,16 +183,18 @@
 	}
 }
 
-/* The endpoint of the service with the fewest defaults for its capacity. */
-static uint16_t emptiest_endpoint(const struct jt_cell_state *state,
-				  uint32_t service_id, const uint32_t *held)
+/* Returns the endpoint of the service with the fewest default buckets per
+ * capacity, preferring endpoints that are up; JT_NO_ENDPOINT if none. */
+static uint16_t least_assigned_endpoint(const struct jt_cell_state *state,
+					uint32_t service_id,
+					const uint32_t *held)
 {
 	uint16_t best = JT_NO_ENDPOINT;
 
 	for (size_t e = 0; e < state->endpoint_count; e++) {
 		const struct jt_cell_endpoint *candidate = &state->endpoints[e];
-		const struct jt_cell_endpoint *leader;
-		uint64_t mine, theirs;
+		const struct jt_cell_endpoint *best_endpoint;
+		uint64_t candidate_cost, best_cost;
 
 		if (candidate->service_id != service_id ||
 		    candidate->state >= JT_ENDPOINT_REMOVED)
@@ -200,22 +203,23 @@
 			best = (uint16_t)e;
 			continue;
 		}
-		leader = &state->endpoints[best];
+		best_endpoint = &state->endpoints[best];
 		if ((candidate->state != JT_ENDPOINT_UP) !=
-		    (leader->state != JT_ENDPOINT_UP)) {
+		    (best_endpoint->state != JT_ENDPOINT_UP)) {
 			if (candidate->state == JT_ENDPOINT_UP)
 				best = (uint16_t)e;
 			continue;
 		}
-		mine = (uint64_t)(held[e] + 1) * leader->capacity;
-		theirs = (uint64_t)(held[best] + 1) * candidate->capacity;
-		if (mine < theirs)
+		candidate_cost =
+			(uint64_t)(held[e] + 1) * best_endpoint->capacity;
+		best_cost = (uint64_t)(held[best] + 1) * candidate->capacity;
+		if (candidate_cost < best_cost)
 			best = (uint16_t)e;
 	}
 	return best;
 }
 
-static bool default_may_stay(const struct jt_cell_state *state,
+static bool default_is_valid(const struct jt_cell_state *state,
 			     const struct jt_table *table, size_t bucket,
 			     unsigned break_mechanism)
 {
@@ -243,9 +247,9 @@
 					 : held;
 		uint16_t e;
 
-		if (default_may_stay(state, table, b, break_mechanism))
+		if (default_is_valid(state, table, b, break_mechanism))
 			continue;
-		e = emptiest_endpoint(state, table->service_id, kind);
+		e = least_assigned_endpoint(state, table->service_id, kind);
 		if (table->defaults[b] != 0)
 			jt_bit_set(changed, b, true);
 		table->defaults[b] =
@@ -260,21 +264,21 @@
 			 const struct jt_service_config *service)
 {
 	uint16_t owner = JT_NO_MEMBER, replica = JT_NO_MEMBER;
-	bool whole = service->kind == JT_SERVICE_REQUEST;
+	bool single_owner = service->kind == JT_SERVICE_REQUEST;
 
-	if (whole)
+	if (single_owner)
 		jt_cell_owners(state, service->id, &owner, &replica);
 	for (size_t b = 0; b < JT_BUCKETS; b++) {
 		uint16_t e = jt_cell_endpoint(state, table->defaults[b]);
 		bool exceptional;
 
 		table->default_index[b] = e;
-		if (!whole)
+		if (!single_owner)
 			jt_cell_owners(state, (uint64_t)service->id << 16 | b,
 				       &owner, &replica);
 		table->owner[b] = owner;
 		table->replica[b] = replica;
-		exceptional = whole || e == JT_NO_ENDPOINT ||
+		exceptional = single_owner || e == JT_NO_ENDPOINT ||
 			      state->endpoints[e].state != JT_ENDPOINT_UP ||
 			      jt_bit_get(table->sticky, b) ||
 			      jt_bucket_is_free(b, service->free_permille);
@@ -294,7 +298,7 @@
 	return false;
 }
 
-/* A bucket that was exceptional keeps its mark until it is declared clean. */
+/* A bucket that was exceptional stays sticky until it is declared clean. */
 static void table_carry_sticky(struct jt_table *table,
 			       const struct jt_table *old,
 			       const uint8_t *changed,
@@ -310,8 +314,8 @@
 	}
 }
 
-static int state_take_members(struct jt_cell_state *state,
-			      const jt_wire_member *members, u_int count)
+static int state_set_members(struct jt_cell_state *state,
+			     const jt_wire_member *members, u_int count)
 {
 	state->members = talloc_zero_array(state, struct jt_member, count);
 	if (state->members == NULL)
@@ -327,8 +331,8 @@
 	return 0;
 }
 
-static int state_take_endpoints(struct jt_cell_state *state,
-				const jt_wire_endpoint *endpoints, u_int count)
+static int state_set_endpoints(struct jt_cell_state *state,
+			       const jt_wire_endpoint *endpoints, u_int count)
 {
 	state->endpoints =
 		talloc_zero_array(state, struct jt_cell_endpoint, count);
@@ -400,11 +404,11 @@
 	state->cell = cell;
 	state->epoch = proposal->epoch;
 	state->config = config;
-	if (state_take_members(state, proposal->members.members_val,
-			       proposal->members.members_len) != 0)
+	if (state_set_members(state, proposal->members.members_val,
+			      proposal->members.members_len) != 0)
 		goto fail;
-	if (state_take_endpoints(state, proposal->endpoints.endpoints_val,
-				 proposal->endpoints.endpoints_len) != 0)
+	if (state_set_endpoints(state, proposal->endpoints.endpoints_val,
+				proposal->endpoints.endpoints_len) != 0)
 		goto fail;
 	if (state_build_tables(state, base, proposal, break_mechanism) != 0)
 		goto fail;
@@ -546,10 +550,10 @@
 	state->cell = wire->cell;
 	state->epoch = wire->epoch;
 	state->config = config;
-	if (state_take_members(state, wire->members.members_val,
-			       wire->members.members_len) != 0 ||
-	    state_take_endpoints(state, wire->endpoints.endpoints_val,
-				 wire->endpoints.endpoints_len) != 0 ||
+	if (state_set_members(state, wire->members.members_val,
+			      wire->members.members_len) != 0 ||
+	    state_set_endpoints(state, wire->endpoints.endpoints_val,
+				wire->endpoints.endpoints_len) != 0 ||
 	    tables_from_wire(state, wire) != 0)
 		goto fail;
 	return state;
--- a/src/core/jt_channel.c
+++ b/src/core/jt_channel.c
@@ -1,9 +1,9 @@
 /*
  * Ordered, acknowledged delivery of flow records to each peer (go-back-N).
  *
- * Order matters: an older record that arrived after a newer one of the same
- * 5-tuple would move that flow when its owner dies. A process takes a new
- * node id when it starts, so sequence numbers never start again.
+ * If an older record replaced a newer one of the same 5-tuple, the flow would
+ * move to another endpoint when its owner fails. A restarted process has a
+ * new node id, so sequence numbers of a node id never restart.
  */
 #include "jt_core_private.h"
 
@@ -38,18 +38,18 @@
 
 	if (tail == NULL || tail->sent_ms != 0 ||
 	    tail->count == JT_MAX_RECORDS || tail->handover != handover) {
-		struct jt_outgoing *fresh =
+		struct jt_outgoing *added =
 			talloc_zero(peer, struct jt_outgoing);
 
-		if (fresh == NULL)
+		if (added == NULL)
 			return 0;
-		fresh->sequence = ++peer->next_sequence;
-		fresh->handover = handover;
+		added->sequence = ++peer->next_sequence;
+		added->handover = handover;
 		if (tail == NULL)
-			peer->queue = fresh;
+			peer->queue = added;
 		else
-			tail->next = fresh;
-		tail = fresh;
+			tail->next = added;
+		tail = added;
 	}
 	tail->records[tail->count++] = *record;
 	core->counters.records_sent++;
@@ -76,32 +76,32 @@
 		message->records.records_len = 0;
 }
 
-/* New messages go out at once; old ones again with growing pauses, and to
- * a peer that is not heard only the first of them. */
+/* Sends new messages immediately and retransmits with exponential backoff.
+ * An unreachable peer is sent only the first message. */
 void jt_channel_flush(struct jt_core *core, struct jt_peer *peer,
 		      struct jt_actions *actions)
 {
 	struct jt_outgoing *outgoing = peer->queue;
-	bool lost = jt_peer_suspect(core, peer->member.id) &&
-		    jt_detour_to(core, peer->member.id) == NULL;
-	size_t window = lost ? 1 : JT_CHANNEL_WINDOW;
-	bool again = false;
+	bool unreachable = jt_peer_suspect(core, peer->member.id) &&
+			   jt_detour_to(core, peer->member.id) == NULL;
+	size_t window = unreachable ? 1 : JT_CHANNEL_WINDOW;
+	bool retransmitted = false;
 
 	if (core->current == NULL || outgoing == NULL)
 		return;
 	if (peer->retransmit_ms == 0)
 		peer->retransmit_ms = JT_RETRANSMIT_MS;
 	for (size_t i = 0; i < window && outgoing; i++) {
-		bool late =
+		bool timed_out =
 			outgoing->sent_ms != 0 &&
 			core->now_ms >= outgoing->sent_ms + peer->retransmit_ms;
 
-		if (outgoing->sent_ms == 0 || late)
+		if (outgoing->sent_ms == 0 || timed_out)
 			channel_send(core, peer, outgoing, actions);
-		again |= late;
+		retransmitted |= timed_out;
 		outgoing = outgoing->next;
 	}
-	if (!again)
+	if (!retransmitted)
 		return;
 	peer->retransmit_ms *= 2;
 	if (peer->retransmit_ms > JT_RETRANSMIT_MAX_MS)
@@ -114,8 +114,8 @@
 {
 	jt_wire_body *body;
 
-	/* What this node has accepted it may have handed over already. A
-	 * sender that is behind must not go by an acknowledgment of it. */
+	/* Messages of a sender at an older epoch are not acknowledged, because
+	 * this node may already have handed over the bucket's records. */
 	if (message->epoch < jt_accepted_epoch(core) ||
 	    message->sequence > peer->expected_sequence + 1)
 		return;
@@ -137,11 +137,11 @@
 {
 	while (peer->queue != NULL &&
 	       peer->queue->sequence <= message->sequence) {
-		struct jt_outgoing *done = peer->queue;
+		struct jt_outgoing *acknowledged = peer->queue;
 
-		peer->queue = done->next;
+		peer->queue = acknowledged->next;
 		peer->retransmit_ms = JT_RETRANSMIT_MS;
-		talloc_free(done);
+		talloc_free(acknowledged);
 	}
 	jt_owner_acknowledged(core, peer, message->sequence, actions);
 	jt_channel_flush(core, peer, actions);
--- a/src/core/jt_coordinate.c
+++ b/src/core/jt_coordinate.c
@@ -1,8 +1,8 @@
 /*
- * What the next cell state should be.
+ * Computes and proposes the next cell state.
  *
- * Every node could compute this; the member with the lowest id that is
- * alive proposes it. Nothing here is binding until it is agreed.
+ * The coordinator does this: the live member with the lowest id. A proposal
+ * takes effect only when it is agreed.
  */
 #include "jt_core_private.h"
 
@@ -10,11 +10,13 @@
 #include <string.h>
 
 enum {
-	CLEAN_PAUSE_MS = 10000,	 /* between states that only clean buckets */
-	JOIN_FRESH_MS = 2000,	 /* a joiner must have asked this lately */
-	STALE_ACCEPT_MS = 1500,	 /* an accepted proposal nobody finishes */
-	FULL_PERMILLE = 970,	 /* an endpoint is nearly full from here */
-	NOT_FULL_PERMILLE = 930, /* and has room again below this */
+	CLEAN_INTERVAL_MS =
+		10000,		/* between proposals that only clean buckets */
+	JOIN_FRESH_MS = 2000,	/* a join request is valid so long */
+	STALE_ACCEPT_MS = 1500, /* an accepted proposal isn't committed */
+	SHEDDING_START_PERMILLE =
+		970,		     /* utilisation at which shedding starts */
+	SHEDDING_END_PERMILLE = 930, /* and below which it ends */
 };
 
 static uint32_t endpoint_capacity(const struct jt_config *config,
@@ -27,43 +29,46 @@
 
 static bool is_down(const struct jt_core *core,
 		    const struct jt_endpoint_view *view,
-		    enum jt_endpoint_state now)
+		    enum jt_endpoint_state current_state)
 {
 	if (view->fail_ms == 0)
 		return false;
 	if (core->now_ms > view->fail_ms + jt_health_fresh_ms(core) &&
 	    core->now_ms > view->ok_ms + jt_health_fresh_ms(core))
-		return now == JT_ENDPOINT_DOWN; /* no news */
+		return current_state == JT_ENDPOINT_DOWN; /* no recent report */
 	return view->fail_ms > view->ok_ms + JT_HEALTH_DOWN_MS;
 }
 
-static bool is_full(const struct jt_core *core, uint32_t id, uint32_t capacity,
-		    enum jt_endpoint_state now)
+static bool is_nearly_full(const struct jt_core *core, uint32_t id,
+			   uint32_t capacity,
+			   enum jt_endpoint_state current_state)
 {
 	uint64_t open = jt_counts_endpoint(core, id);
-	uint64_t limit =
-		now == JT_ENDPOINT_SHEDDING ? NOT_FULL_PERMILLE : FULL_PERMILLE;
+	uint64_t limit = current_state == JT_ENDPOINT_SHEDDING
+				 ? SHEDDING_END_PERMILLE
+				 : SHEDDING_START_PERMILLE;
 
 	return open * 1000 >= (uint64_t)capacity * limit;
 }
 
 static enum jt_endpoint_state
-judge_endpoint(struct jt_core *core, const struct jt_config *config,
-	       const struct jt_endpoint_config *endpoint,
-	       enum jt_endpoint_state now)
+next_endpoint_state(struct jt_core *core, const struct jt_config *config,
+		    const struct jt_endpoint_config *endpoint,
+		    enum jt_endpoint_state current_state)
 {
 	const struct jt_endpoint_view *view =
 		jt_endpoint_view(core, endpoint->id);
 	bool stream =
 		config->services[endpoint->service].kind == JT_SERVICE_STREAM;
 
-	if (is_down(core, view, now))
+	if (is_down(core, view, current_state))
 		return JT_ENDPOINT_DOWN;
 	if (endpoint->draining || ((view->flags & JT_REPORT_OK) &&
 				   (view->flags & JT_REPORT_DRAINING)))
 		return JT_ENDPOINT_DRAINING;
 	if (core->now_ms < view->shed_until_ms ||
-	    (stream && is_full(core, endpoint->id, endpoint->connections, now)))
+	    (stream && is_nearly_full(core, endpoint->id, endpoint->connections,
+				      current_state)))
 		return JT_ENDPOINT_SHEDDING;
 	return JT_ENDPOINT_UP;
 }
@@ -78,30 +83,32 @@
 	return NULL;
 }
 
-/* What becomes of an endpoint that has left the configuration. */
+/* Returns the state of an endpoint that is not in the configuration. */
 static enum jt_endpoint_state
-judge_removed(struct jt_core *core, const struct jt_cell_endpoint *endpoint)
+next_removed_state(struct jt_core *core,
+		   const struct jt_cell_endpoint *endpoint)
 {
 	struct jt_endpoint_view *view = jt_endpoint_view(core, endpoint->id);
-	bool counted, shown;
+	bool counted, reported;
 
 	if (endpoint->state == JT_ENDPOINT_GONE)
 		return JT_ENDPOINT_GONE;
-	if (view->ok_ms == 0) /* never seen by this node: as if just now */
+	if (view->ok_ms == 0) /* unknown to this node: assume a recent report */
 		view->ok_ms = core->now_ms;
 	if (endpoint->state != JT_ENDPOINT_REMOVED) {
 		view->gone_ms = core->now_ms;
 		return JT_ENDPOINT_REMOVED;
 	}
-	/* Empty by the cell's counts and by its own page. A silent page says
-	 * nothing until no flow can be left. */
+	/* It is empty if the cell counts no flow and the endpoint reports no
+	 * load, or has not answered for longer than a flow can be idle. */
 	counted = jt_counts_endpoint(core, endpoint->id) != 0;
-	shown = view->flags & JT_REPORT_OK
+	reported =
+		view->flags & JT_REPORT_OK
 			? view->load != 0
 			: core->now_ms <
 				  view->ok_ms +
 					  1000ull * core->options.flow_idle_s;
-	if (view->gone_ms == 0 || counted || shown)
+	if (view->gone_ms == 0 || counted || reported)
 		view->gone_ms = core->now_ms;
 	if (core->now_ms < view->gone_ms + core->options.quarantine_ms)
 		return JT_ENDPOINT_REMOVED;
@@ -109,8 +116,8 @@
 	return JT_ENDPOINT_GONE;
 }
 
-static bool removed_expired(struct jt_core *core,
-			    const struct jt_cell_endpoint *endpoint)
+static bool quarantine_expired(struct jt_core *core,
+			       const struct jt_cell_endpoint *endpoint)
 {
 	struct jt_endpoint_view *view = jt_endpoint_view(core, endpoint->id);
 
@@ -123,9 +130,9 @@
 	return core->now_ms >= view->gone_ms + core->options.quarantine_ms;
 }
 
-static void wire_endpoint(jt_wire_endpoint *wire, uint32_t id,
-			  uint32_t service_id, struct jt_address address,
-			  enum jt_endpoint_state state, uint32_t capacity)
+static void endpoint_to_wire(jt_wire_endpoint *wire, uint32_t id,
+			     uint32_t service_id, struct jt_address address,
+			     enum jt_endpoint_state state, uint32_t capacity)
 {
 	wire->id = id;
 	wire->service_id = service_id;
@@ -134,13 +141,13 @@
 	wire->capacity = capacity;
 }
 
-/* An address stays taken until its last holder has left the state. */
-static bool address_taken(const jt_wire_endpoint *list, u_int count,
+/* Returns true if another endpoint of @entries has the address. */
+static bool address_taken(const jt_wire_endpoint *entries, u_int count,
 			  struct jt_address address, uint32_t id)
 {
 	for (u_int i = 0; i < count; i++) {
-		if (list[i].id != id && list[i].address == address.ip &&
-		    list[i].port_state >> 16 == address.port)
+		if (entries[i].id != id && entries[i].address == address.ip &&
+		    entries[i].port_state >> 16 == address.port)
 			return true;
 	}
 	return false;
@@ -148,7 +155,7 @@
 
 static u_int list_removed(struct jt_core *core, const struct jt_config *config,
 			  const struct jt_cell_state *state,
-			  jt_wire_endpoint *list)
+			  jt_wire_endpoint *entries)
 {
 	u_int count = 0;
 
@@ -161,20 +168,20 @@
 		    jt_address_same(entry->address, endpoint->address) &&
 		    config->services[entry->service].id == endpoint->service_id)
 			continue;
-		if (removed_expired(core, endpoint))
+		if (quarantine_expired(core, endpoint))
 			continue;
-		wire_endpoint(&list[count++], endpoint->id,
-			      endpoint->service_id, endpoint->address,
-			      judge_removed(core, endpoint),
-			      endpoint->capacity);
+		endpoint_to_wire(&entries[count++], endpoint->id,
+				 endpoint->service_id, endpoint->address,
+				 next_removed_state(core, endpoint),
+				 endpoint->capacity);
 	}
 	return count;
 }
 
-static bool listed(const jt_wire_endpoint *list, u_int count, uint32_t id)
+static bool listed(const jt_wire_endpoint *entries, u_int count, uint32_t id)
 {
 	for (u_int i = 0; i < count; i++) {
-		if (list[i].id == id)
+		if (entries[i].id == id)
 			return true;
 	}
 	return false;
@@ -183,32 +190,34 @@
 static u_int list_endpoints(struct jt_core *core,
 			    const struct jt_config *config,
 			    const struct jt_cell_state *state,
-			    jt_wire_endpoint *list)
+			    jt_wire_endpoint *entries)
 {
-	u_int count = list_removed(core, config, state, list);
+	u_int count = list_removed(core, config, state, entries);
 
 	for (size_t i = 0; i < config->endpoint_count; i++) {
 		const struct jt_endpoint_config *endpoint =
 			&config->endpoints[i];
-		enum jt_endpoint_state now = JT_ENDPOINT_UP;
+		enum jt_endpoint_state current_state = JT_ENDPOINT_UP;
 		uint16_t e = state ? jt_cell_endpoint(state, endpoint->id)
 				   : JT_NO_ENDPOINT;
 
 		if (e != JT_NO_ENDPOINT)
-			now = state->endpoints[e].state;
-		if (listed(list, count, endpoint->id) ||
-		    address_taken(list, count, endpoint->address, endpoint->id))
+			current_state = state->endpoints[e].state;
+		if (listed(entries, count, endpoint->id) ||
+		    address_taken(entries, count, endpoint->address,
+				  endpoint->id))
 			continue;
-		wire_endpoint(&list[count++], endpoint->id,
-			      config->services[endpoint->service].id,
-			      endpoint->address,
-			      judge_endpoint(core, config, endpoint, now),
-			      endpoint_capacity(config, endpoint));
+		endpoint_to_wire(&entries[count++], endpoint->id,
+				 config->services[endpoint->service].id,
+				 endpoint->address,
+				 next_endpoint_state(core, config, endpoint,
+						     current_state),
+				 endpoint_capacity(config, endpoint));
 	}
 	return count;
 }
 
-static void wire_member(jt_wire_member *wire, const struct jt_member *member)
+static void member_to_wire(jt_wire_member *wire, const struct jt_member *member)
 {
 	wire->id = member->id;
 	wire->zone = member->zone;
@@ -223,8 +232,10 @@
 		       JT_NO_MEMBER;
 }
 
-/* A restarted process has a new id at an old address: the old one is dead. */
-static bool replaced(const struct jt_core *core, const struct jt_member *member)
+/* Returns true if a joiner has the member's address: the member's process was
+ * restarted with a new id. */
+static bool replaced_by_joiner(const struct jt_core *core,
+			       const struct jt_member *member)
 {
 	for (size_t i = 0; i < core->joiner_count; i++) {
 		const struct jt_member *joiner = &core->joiners[i];
@@ -243,25 +254,27 @@
 
 	if (member->id == core->options.node_id)
 		return !core->leaving;
-	if (replaced(core, member) || (peer != NULL && peer->leaving &&
-				       !jt_peer_suspect(core, member->id)))
+	if (replaced_by_joiner(core, member) ||
+	    (peer != NULL && peer->leaving &&
+	     !jt_peer_suspect(core, member->id)))
 		return false;
 	return !jt_members_evictable(core, member->id);
 }
 
-/* While a state waits for its barrier, only lost members may go. */
-static u_int list_members(struct jt_core *core, jt_wire_member *list)
+/* Lists the members of the next state. Joiners are added only once the current
+ * state has passed its barrier. */
+static u_int list_members(struct jt_core *core, jt_wire_member *entries)
 {
 	const struct jt_cell_state *state = core->current;
 	u_int count = 0;
 
 	for (size_t i = 0; i < state->member_count; i++) {
 		if (member_stays(core, &state->members[i]))
-			wire_member(&list[count++], &state->members[i]);
+			member_to_wire(&entries[count++], &state->members[i]);
 	}
 	for (size_t i = 0; core->activated && i < core->joiner_count; i++) {
 		if (joiner_ready(core, i) && count < JT_MAX_MEMBERS)
-			wire_member(&list[count++], &core->joiners[i]);
+			member_to_wire(&entries[count++], &core->joiners[i]);
 	}
 	return count;
 }
@@ -302,7 +315,7 @@
 		return NULL;
 	proposal->epoch = 1;
 	proposal->config_revision = config->revision;
-	wire_member(&proposal->members.members_val[0], &self);
+	member_to_wire(&proposal->members.members_val[0], &self);
 	proposal->members.members_len = 1;
 	proposal->endpoints.endpoints_len = list_endpoints(
 		core, config, NULL, proposal->endpoints.endpoints_val);
@@ -355,22 +368,23 @@
 }
 
 /*
- * Whoever is cut off sees everyone else as lost, so it takes a majority that
- * is heard and a lease, or exactly half of them with the store's vote.
+ * Returns true if this node can reach a majority of the members and holds a
+ * lease, or reaches exactly half of them and needs the store's vote. A
+ * partitioned node, which suspects all others, must not propose.
  */
 static bool may_propose(const struct jt_core *core)
 {
 	const struct jt_cell_state *state = core->current;
-	size_t heard = 0;
+	size_t reachable = 0;
 
 	for (size_t i = 0; i < state->member_count; i++)
-		heard += !jt_members_evictable(core, state->members[i].id);
-	if (heard * 2 == state->member_count)
+		reachable += !jt_members_evictable(core, state->members[i].id);
+	if (reachable * 2 == state->member_count)
 		return true;
-	return heard * 2 > state->member_count && jt_lease_valid(core);
+	return reachable * 2 > state->member_count && jt_lease_valid(core);
 }
 
-static bool worth_proposing(const struct jt_core *core,
+static bool proposal_needed(const struct jt_core *core,
 			    const jt_wire_proposal *proposal)
 {
 	const struct jt_cell_state *state = core->current;
@@ -385,10 +399,10 @@
 	    !same_endpoints(state, proposal))
 		return true;
 	return proposal->clean.clean_len > 0 &&
-	       core->now_ms >= core->committed_ms + CLEAN_PAUSE_MS;
+	       core->now_ms >= core->committed_ms + CLEAN_INTERVAL_MS;
 }
 
-static jt_wire_proposal *desired(struct jt_core *core)
+static jt_wire_proposal *next_proposal(struct jt_core *core)
 {
 	const struct jt_cell_state *state = core->current;
 	const struct jt_config *config =
@@ -411,7 +425,7 @@
 void jt_coordinate_tick(struct jt_core *core, struct jt_actions *actions)
 {
 	jt_wire_proposal *proposal;
-	bool stuck;
+	bool stalled;
 
 	if (core->current == NULL || core->newest == NULL ||
 	    core->proposer.phase != JT_PHASE_IDLE ||
@@ -419,12 +433,12 @@
 	    !jt_members_coordinator(core) || !may_propose(core))
 		return;
 	core->propose_after_ms = core->now_ms + JT_RETRANSMIT_MS;
-	proposal = desired(core);
+	proposal = next_proposal(core);
 	if (proposal == NULL)
 		return;
-	stuck = core->tentative != NULL &&
-		core->now_ms >= core->accepted_ms + STALE_ACCEPT_MS;
-	if (!stuck && !worth_proposing(core, proposal)) {
+	stalled = core->tentative != NULL &&
+		  core->now_ms >= core->accepted_ms + STALE_ACCEPT_MS;
+	if (!stalled && !proposal_needed(core, proposal)) {
 		talloc_free(proposal);
 		return;
 	}
--- a/src/core/jt_counts.c
+++ b/src/core/jt_counts.c
@@ -1,15 +1,15 @@
 /*
  * Open flows by endpoint and by (service, group), and health reports.
  *
- * An owner counts exactly what it opens and closes and tells its totals to
- * the cell. The counts of a crashed owner are divided among the survivors
- * and shrink as the ends of its flows pass by.
+ * An owner counts the flows that it opens and closes, and sends its totals to
+ * the cell. The counts of a crashed owner are divided among the remaining
+ * members and decrease as its flows are seen to end.
  */
 #include "jt_core_private.h"
 
 #include <string.h>
 
-enum { ORPHAN_SHRINK = 64 }; /* part that goes with each counts message */
+enum { INHERITED_DECAY = 64 }; /* 1/64 is removed per counts interval */
 
 struct jt_endpoint_view *jt_endpoint_view(struct jt_core *core, uint32_t id)
 {
@@ -55,7 +55,7 @@
 	jt_share_view(core, service_id, flow->group_id)->own++;
 }
 
-static bool counts_requests(const struct jt_core *core, uint32_t service_id)
+static bool is_request_service(const struct jt_core *core, uint32_t service_id)
 {
 	const struct jt_service_config *service =
 		jt_config_service(core->current->config, service_id);
@@ -63,7 +63,7 @@
 	return service != NULL && service->kind == JT_SERVICE_REQUEST;
 }
 
-static uint32_t open_here(uint32_t own, int32_t orphan)
+static uint32_t open_local(uint32_t own, int32_t orphan)
 {
 	int64_t sum = (int64_t)own + orphan;
 
@@ -92,7 +92,8 @@
 		const struct jt_endpoint_view *view = &core->endpoints[i];
 
 		if (view->id == id)
-			return open_here(view->own, view->orphan) + view->peers;
+			return open_local(view->own, view->orphan) +
+			       view->peers;
 	}
 	return 0;
 }
@@ -105,7 +106,8 @@
 
 		if (view->service_id == service_id &&
 		    view->group_id == group_id)
-			return open_here(view->own, view->orphan) + view->peers;
+			return open_local(view->own, view->orphan) +
+			       view->peers;
 	}
 	return 0;
 }
@@ -140,33 +142,34 @@
 {
 	struct jt_endpoint_view *view =
 		jt_endpoint_view(core, health->endpoint_id);
-	uint64_t when = core->now_ms > age_ms ? core->now_ms - age_ms : 0;
+	uint64_t measured_ms =
+		core->now_ms > age_ms ? core->now_ms - age_ms : 0;
 
 	if (age_ms == 0)
 		view->own_report = true;
 	if (health->flags & JT_REPORT_OK) {
-		if (when > view->ok_ms)
-			view->ok_ms = when;
-	} else if (when > view->fail_ms) {
-		view->fail_ms = when;
+		if (measured_ms > view->ok_ms)
+			view->ok_ms = measured_ms;
+	} else if (measured_ms > view->fail_ms) {
+		view->fail_ms = measured_ms;
 	}
-	if (when < view->report_ms)
+	if (measured_ms < view->report_ms)
 		return;
 	if (health->instance != 0) {
 		view->restarted |= view->instance != 0 &&
 				   view->instance != health->instance;
 		view->instance = health->instance;
 	}
-	view->report_ms = when;
+	view->report_ms = measured_ms;
 	view->flags = health->flags;
 	view->load = health->load;
 	if ((health->flags & JT_REPORT_OK) &&
 	    (health->flags & JT_REPORT_SHEDDING))
-		view->shed_until_ms = when + JT_HEALTH_FRESH_MS / 2;
+		view->shed_until_ms = measured_ms + JT_HEALTH_FRESH_MS / 2;
 }
 
-static void fill_endpoints(struct jt_core *core, jt_wire_counts *counts,
-			   TALLOC_CTX *mem_ctx)
+static void encode_endpoints(struct jt_core *core, jt_wire_counts *counts,
+			     TALLOC_CTX *mem_ctx)
 {
 	const struct jt_cell_state *state = core->current;
 	u_int reports = 0;
@@ -183,7 +186,7 @@
 			jt_endpoint_view(core, state->endpoints[e].id);
 
 		counts->endpoints.endpoints_val[e] =
-			open_here(view->own, view->orphan);
+			open_local(view->own, view->orphan);
 		if (!view->own_report)
 			continue;
 		counts->reports.reports_val[reports++] = (jt_wire_report){
@@ -195,8 +198,8 @@
 	counts->reports.reports_len = reports;
 }
 
-static void fill_shares(struct jt_core *core, jt_wire_counts *counts,
-			TALLOC_CTX *mem_ctx)
+static void encode_shares(struct jt_core *core, jt_wire_counts *counts,
+			  TALLOC_CTX *mem_ctx)
 {
 	const struct jt_config *config = core->current->config;
 
@@ -211,19 +214,20 @@
 				      config->groups[share->group].id);
 
 		counts->shares.shares_val[i] =
-			open_here(view->own, view->orphan);
+			open_local(view->own, view->orphan);
 	}
 	counts->shares.shares_len = (u_int)config->share_count;
 }
 
-static void counts_sent(struct jt_core *core)
+static void clear_own_reports(struct jt_core *core)
 {
 	for (size_t i = 0; i < core->endpoint_count; i++)
 		core->endpoints[i].own_report = false;
 }
 
-/* Counts go more rarely where there is more to tell and more to tell it to. */
-static uint64_t counts_pause(const struct jt_core *core)
+/* Returns the interval between counts messages in ms: longer with more members
+ * or longer messages, to stay within the bandwidth budget. */
+static uint64_t counts_interval(const struct jt_core *core)
 {
 	const struct jt_cell_state *state = core->current;
 	uint64_t bytes = state->member_count *
@@ -237,7 +241,7 @@
 
 uint64_t jt_health_fresh_ms(const struct jt_core *core)
 {
-	uint64_t round = jt_core_probe_pause(core, 0) + counts_pause(core);
+	uint64_t round = jt_core_probe_pause(core, 0) + counts_interval(core);
 
 	return 2 * round > JT_HEALTH_FRESH_MS ? 2 * round : JT_HEALTH_FRESH_MS;
 }
@@ -251,7 +255,8 @@
 	flow->flags &= (uint8_t)~JT_FLOW_COUNTED;
 }
 
-/* The counted flow of @id that has been silent longest, or NULL. */
+/* Returns the counted flow of endpoint @id that has been idle longest and was
+ * last seen before @before_s, or NULL. */
 static struct jt_flow *oldest_counted(struct jt_core *core, uint32_t id,
 				      uint32_t before_s)
 {
@@ -269,7 +274,7 @@
 	return oldest;
 }
 
-/* Of a stream's many flows the order does not matter. */
+/* Uncounts all flows of endpoint @id that were last seen before @before_s. */
 static void uncount_all(struct jt_core *core, uint32_t id, uint32_t before_s)
 {
 	for (size_t i = 0; i < core->flows->capacity; i++) {
@@ -282,9 +287,9 @@
 }
 
 /*
- * A restarted endpoint has lost its flows; their records stay, uncounted.
- * Flows that may have reached the new process still count: those seen
- * lately and, of a request service, as many as the load page shows.
+ * Uncounts the flows that a restarted endpoint has lost; their records stay.
+ * Flows that may belong to the new incarnation stay counted: those seen
+ * recently and, of a request service, as many as the endpoint reports.
  */
 static void uncount_endpoint(struct jt_core *core,
 			     const struct jt_cell_endpoint *endpoint,
@@ -296,7 +301,7 @@
 	struct jt_flow *flow;
 
 	view->orphan = 0;
-	if (!counts_requests(core, endpoint->service_id)) {
+	if (!is_request_service(core, endpoint->service_id)) {
 		uncount_all(core, endpoint->id, before_s);
 		return;
 	}
@@ -309,9 +314,10 @@
 	}
 }
 
-/* Since when the page has shown less than this node counts. */
-static void watch_surplus(const struct jt_core *core,
-			  struct jt_endpoint_view *view)
+/* Updates since when the endpoint has reported less load than is
+ * counted. */
+static void update_overcount(const struct jt_core *core,
+			     struct jt_endpoint_view *view)
 {
 	if (!(view->flags & JT_REPORT_OK) ||
 	    core->now_ms > view->report_ms + jt_health_fresh_ms(core) ||
@@ -322,11 +328,11 @@
 }
 
 /*
- * Counts that nobody closes any more give way to what the page shows, when it
- * has shown less for so long that it can't just be late.
+ * Decreases the counts inherited from crashed owners if the endpoint has
+ * reported clearly less load for longer than a report can be delayed.
  */
-static void shrink_orphans(const struct jt_core *core,
-			   struct jt_endpoint_view *view)
+static void decay_inherited(const struct jt_core *core,
+			    struct jt_endpoint_view *view)
 {
 	uint64_t counted = jt_counts_endpoint(core, view->id);
 
@@ -336,10 +342,10 @@
 	    view->surplus_ms == 0 ||
 	    core->now_ms < view->surplus_ms + JT_ORPHAN_SURPLUS_MS)
 		return;
-	view->orphan -= 1 + view->orphan / ORPHAN_SHRINK;
+	view->orphan -= 1 + view->orphan / INHERITED_DECAY;
 }
 
-static void watch_endpoints(struct jt_core *core)
+static void update_endpoints(struct jt_core *core)
 {
 	for (size_t i = 0; i < core->current->endpoint_count; i++) {
 		const struct jt_cell_endpoint *endpoint =
@@ -347,8 +353,8 @@
 		struct jt_endpoint_view *view =
 			jt_endpoint_view(core, endpoint->id);
 
-		watch_surplus(core, view);
-		shrink_orphans(core, view);
+		update_overcount(core, view);
+		decay_inherited(core, view);
 		if (endpoint->state == JT_ENDPOINT_DOWN) {
 			view->was_down = true;
 			view->up_since_ms = 0;
@@ -372,18 +378,18 @@
 {
 	const struct jt_cell_state *state = core->current;
 	struct jt_peer *coordinator = NULL;
-	jt_wire_counts told = {0};
+	jt_wire_counts shared = {0};
 
 	if (state == NULL || jt_core_self(core, state) == JT_NO_MEMBER ||
 	    core->now_ms < core->counts_due_ms)
 		return;
-	core->counts_due_ms = core->now_ms + counts_pause(core);
-	watch_endpoints(core);
+	core->counts_due_ms = core->now_ms + counts_interval(core);
+	update_endpoints(core);
 	jt_records_declare_clean(core);
-	/* All peers are told the same, so the messages share the lists. */
-	told.epoch = state->epoch;
-	fill_endpoints(core, &told, actions->messages);
-	fill_shares(core, &told, actions->messages);
+	/* The messages to all peers share the same lists. */
+	shared.epoch = state->epoch;
+	encode_endpoints(core, &shared, actions->messages);
+	encode_shares(core, &shared, actions->messages);
 	for (size_t i = 0; i < state->member_count; i++) {
 		struct jt_peer *peer = jt_peer_find(core, state->members[i].id);
 		jt_wire_body *body;
@@ -394,7 +400,7 @@
 		body = jt_core_send(core, actions, &peer->member,
 				    JT_WIRE_COUNTS);
 		counts = &body->jt_wire_body_u.counts;
-		*counts = told;
+		*counts = shared;
 		if (coordinator != NULL ||
 		    jt_peer_suspect(core, peer->member.id))
 			continue;
@@ -405,7 +411,7 @@
 		counts->clean.clean_len =
 			counts->clean.clean_val ? (u_int)core->clean_count : 0;
 	}
-	counts_sent(core);
+	clear_own_reports(core);
 }
 
 static void collect_clean(struct jt_core *core, const jt_wire_counts *counts)
@@ -428,8 +434,8 @@
 	}
 }
 
-static void take_endpoints(struct jt_core *core, struct jt_peer *peer,
-			   const jt_wire_counts *counts)
+static void store_endpoint_counts(struct jt_core *core, struct jt_peer *peer,
+				  const jt_wire_counts *counts)
 {
 	const struct jt_cell_state *state = core->current;
 
@@ -448,8 +454,8 @@
 	}
 }
 
-static void take_shares(struct jt_core *core, struct jt_peer *peer,
-			const jt_wire_counts *counts)
+static void store_share_counts(struct jt_core *core, struct jt_peer *peer,
+			       const jt_wire_counts *counts)
 {
 	const struct jt_config *config = core->current->config;
 
@@ -471,7 +477,7 @@
 	}
 }
 
-static void take_reports(struct jt_core *core, const jt_wire_counts *counts)
+static void store_reports(struct jt_core *core, const jt_wire_counts *counts)
 {
 	for (u_int i = 0; i < counts->reports.reports_len; i++) {
 		const jt_wire_report *report = &counts->reports.reports_val[i];
@@ -492,17 +498,17 @@
 void jt_counts_message(struct jt_core *core, struct jt_peer *peer,
 		       const jt_wire_counts *counts)
 {
-	/* Positions mean nothing in another epoch. */
+	/* Positions in the lists are valid in the same epoch only. */
 	if (core->current == NULL || counts->epoch != core->current->epoch)
 		return;
-	take_endpoints(core, peer, counts);
-	take_shares(core, peer, counts);
-	take_reports(core, counts);
+	store_endpoint_counts(core, peer, counts);
+	store_share_counts(core, peer, counts);
+	store_reports(core, counts);
 	jt_counts_sum_peers(core);
 	collect_clean(core, counts);
 }
 
-static int32_t part_of(uint32_t count, size_t rank, size_t survivors)
+static int32_t divide_count(uint32_t count, size_t rank, size_t survivors)
 {
 	return (int32_t)(count / (uint32_t)survivors +
 			 (rank < count % survivors ? 1 : 0));
@@ -514,7 +520,8 @@
 	peer->share_count = 0;
 }
 
-/* Requests all have records, so that their next owner counts them itself. */
+/* Request services are skipped: all their flows have records, which the next
+ * owner counts. */
 void jt_counts_inherit(struct jt_core *core, const struct jt_peer *peer,
 		       size_t rank, size_t survivors)
 {
@@ -523,40 +530,40 @@
 		uint16_t e = jt_cell_endpoint(core->current, count->id);
 
 		if (e == JT_NO_ENDPOINT ||
-		    counts_requests(core,
-				    core->current->endpoints[e].service_id))
+		    is_request_service(core,
+				       core->current->endpoints[e].service_id))
 			continue;
 		jt_endpoint_view(core, count->id)->orphan +=
-			part_of(count->count, rank, survivors);
+			divide_count(count->count, rank, survivors);
 	}
 	for (size_t i = 0; i < peer->share_count; i++) {
 		const struct jt_open_count *count = &peer->share_counts[i];
 
-		if (counts_requests(core, count->id))
+		if (is_request_service(core, count->id))
 			continue;
 		jt_share_view(core, count->id, count->group_id)->orphan +=
-			part_of(count->count, rank, survivors);
+			divide_count(count->count, rank, survivors);
 	}
 }
 
-/* The end of a flow that a crashed owner had counted. */
+/* Removes an ended flow without a record from the inherited counts. */
 void jt_counts_orphan_closed(struct jt_core *core, uint32_t service_id,
 			     uint32_t group_id, uint32_t endpoint_id)
 {
 	struct jt_endpoint_view *endpoint = jt_endpoint_view(core, endpoint_id);
 	struct jt_share_view *share = jt_share_view(core, service_id, group_id);
 
-	if (open_here(endpoint->own, endpoint->orphan) > 0)
+	if (open_local(endpoint->own, endpoint->orphan) > 0)
 		endpoint->orphan--;
-	if (open_here(share->own, share->orphan) > 0)
+	if (open_local(share->own, share->orphan) > 0)
 		share->orphan--;
 }
 
-/* A record of a crashed owner that this node has taken over and counts. */
+/* Removes a flow from the inherited counts that this node counts itself now. */
 void jt_counts_orphan_adopted(struct jt_core *core, uint32_t service_id,
 			      const struct jt_flow *flow)
 {
-	if (counts_requests(core, service_id))
+	if (is_request_service(core, service_id))
 		return;
 	jt_endpoint_view(core, flow->endpoint_id)->orphan--;
 	jt_share_view(core, service_id, flow->group_id)->orphan--;
--- a/src/core/jt_flow_table.c
+++ b/src/core/jt_flow_table.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-enum { FIRST_CAPACITY = 64 };
+enum { INITIAL_CAPACITY = 64 };
 
 static size_t key_slot(const struct jt_flow_table *table,
 		       const struct jt_flow_key *key)
@@ -45,7 +45,7 @@
 	if (table == NULL)
 		return NULL;
 	table->limit = limit;
-	table->capacity = FIRST_CAPACITY;
+	table->capacity = INITIAL_CAPACITY;
 	table->slots =
 		talloc_zero_array(table, struct jt_flow, table->capacity);
 	if (table->slots == NULL) {
@@ -123,7 +123,8 @@
 	return flow;
 }
 
-/* Linear probing without tombstones: close the gap (Knuth 6.4, R). */
+/* Deletes without tombstones by moving later records of the probe sequence
+ * (Knuth, TAOCP vol. 3, section 6.4, algorithm R). */
 void jt_flow_table_remove(struct jt_flow_table *table, struct jt_flow *flow)
 {
 	size_t mask = table->capacity - 1;
--- a/src/core/jt_flow_table.h
+++ b/src/core/jt_flow_table.h
@@ -1,8 +1,8 @@
 /*
- * Flow records: an open-addressed table keyed by 5-tuple.
+ * Flow records: an open-addressing hash table keyed by 5-tuple.
  *
- * One record takes 28 bytes; the table doubles at three quarters full and
- * refuses to grow past its limit.
+ * A record takes 28 bytes. The table doubles at a load factor of 3/4 and
+ * holds at most its limit of records.
  */
 #ifndef JT_FLOW_TABLE_H
 #define JT_FLOW_TABLE_H
@@ -12,12 +12,12 @@
 #include <talloc.h>
 
 enum {
-	JT_FLOW_REPLICATED = 1 << 0, /* may differ from the default */
-	JT_FLOW_PENDING = 1 << 1,    /* the replica has not acknowledged */
-	JT_FLOW_CLOSING = 1 << 2,    /* FIN or RST seen; not counted */
-	JT_FLOW_COUNTED = 1 << 3,    /* part of this owner's open counts */
-	JT_FLOW_SURPLUS = 1 << 5,    /* neither owner nor replica, for now */
-	JT_FLOW_USED = 1 << 7,	     /* the slot holds a record */
+	JT_FLOW_REPLICATED = 1 << 0, /* sent to the replica */
+	JT_FLOW_PENDING = 1 << 1,    /* not acknowledged by the replica */
+	JT_FLOW_CLOSING = 1 << 2,    /* closed; not counted */
+	JT_FLOW_COUNTED = 1 << 3,    /* included in this owner's counts */
+	JT_FLOW_SURPLUS = 1 << 5, /* this node is neither owner nor replica */
+	JT_FLOW_USED = 1 << 7,	  /* the slot holds a record */
 };
 
 struct jt_flow {
@@ -37,17 +37,19 @@
 	struct jt_flow *slots;
 	size_t capacity; /* a power of two */
 	size_t count;
-	size_t limit;
+	size_t limit; /* maximum of count */
 };
 
+/* Creates an empty table. Returns NULL if out of memory. */
 struct jt_flow_table *jt_flow_table_create(TALLOC_CTX *mem_ctx, size_t limit);
-/* NULL when there is no record; good until the next add or remove. */
+/* Returns the record of @key, valid until the next add or remove, or NULL. */
 struct jt_flow *jt_flow_table_find(const struct jt_flow_table *table,
 				   const struct jt_flow_key *key);
-/* A new zeroed record of @key, NULL when full. The key must be absent. */
+/* Adds a record for @key, which must be absent. Returns NULL if the table is
+ * full or out of memory. */
 struct jt_flow *jt_flow_table_add(struct jt_flow_table *table,
 				  const struct jt_flow_key *key);
-/* Remove @flow; records behind it may move into its slot. */
+/* Removes @flow; other records may move to its slot. */
 void jt_flow_table_remove(struct jt_flow_table *table, struct jt_flow *flow);
 void jt_flow_key_of(const struct jt_flow *flow, struct jt_flow_key *key);
 
--- a/src/core/jt_members.c
+++ b/src/core/jt_members.c
@@ -1,10 +1,10 @@
 /*
- * Heartbeats, the lease, suspicion and joining.
+ * Heartbeats, the lease, failure detection and joining.
  *
- * A node may forward only while a majority of its cell has granted it a
- * lease lately. A grant is a heartbeat that echoes the time at which the
- * node asked, from a peer that has accepted no newer epoch. All times are
- * the node's own clock, so clocks need not agree.
+ * A node forwards only while it holds a lease granted by a majority of its
+ * cell. A heartbeat from a peer that has accepted no newer epoch is a grant;
+ * it echoes the send time of this node's heartbeat. The lease is measured by
+ * this node's clock only, so clocks need not be synchronised.
  */
 #include "jt_core_private.h"
 
@@ -63,7 +63,6 @@
 	return false;
 }
 
-/* Everyone that this node hears must have lost the member as well. */
 bool jt_members_evictable(const struct jt_core *core, uint64_t id)
 {
 	const struct jt_cell_state *state = core->current;
@@ -111,7 +110,8 @@
 	return core->now_ms < core->lease_until_ms;
 }
 
-/* The lease runs from the oldest grant of the newest majority. */
+/* Extends the lease, which starts at the oldest of the most recent grants of a
+ * majority. */
 static void lease_renew(struct jt_core *core)
 {
 	const struct jt_cell_state *state = core->current;
@@ -177,15 +177,16 @@
 	heartbeat->suspects.suspects_len = count;
 }
 
-/* Large cells beat more slowly, within the lease and the byte budget. */
-static uint64_t heartbeat_pause(const struct jt_core *core)
+/* Returns the heartbeat interval in ms: longer in large cells to stay within
+ * the bandwidth budget, but short enough to keep the lease. */
+static uint64_t heartbeat_interval(const struct jt_core *core)
 {
 	uint64_t scaled = core->current->member_count * JT_HEARTBEAT_BYTES *
 			  1000 / JT_HEARTBEAT_BUDGET;
-	uint64_t most = core->options.lease_ms * 2 / 5;
+	uint64_t longest = core->options.lease_ms * 2 / 5;
 
-	if (scaled > most)
-		scaled = most;
+	if (scaled > longest)
+		scaled = longest;
 	return scaled > core->options.heartbeat_ms ? scaled
 						   : core->options.heartbeat_ms;
 }
@@ -196,7 +197,7 @@
 		heartbeat_send(core, peer, actions);
 }
 
-/* The time not after @now whose low half is @low. */
+/* Returns the latest time up to @now whose low 32 bits are @low. */
 static uint64_t clock_from_low(uint64_t now, uint32_t low)
 {
 	uint64_t time = (now & ~(uint64_t)UINT32_MAX) | low;
@@ -204,8 +205,8 @@
 	return time > now && time > UINT32_MAX ? time - UINT32_MAX - 1 : time;
 }
 
-static void heartbeat_note(struct jt_core *core, struct jt_peer *peer,
-			   const jt_wire_heartbeat *heartbeat)
+static void heartbeat_record(struct jt_core *core, struct jt_peer *peer,
+			     const jt_wire_heartbeat *heartbeat)
 {
 	uint64_t echo = clock_from_low(core->now_ms, heartbeat->echo_ms);
 
@@ -231,10 +232,11 @@
 		peer->grant_ms = echo;
 }
 
-/* A node that was left out tells its old peers; they tell it the epoch. */
-static void heartbeat_from_stranger(struct jt_core *core, uint64_t from,
-				    const jt_wire_heartbeat *heartbeat,
-				    struct jt_actions *actions)
+/* Answers a former member at an older epoch, which learns of its removal from
+ * the newer epoch. */
+static void heartbeat_answer_former_member(struct jt_core *core, uint64_t from,
+					   const jt_wire_heartbeat *heartbeat,
+					   struct jt_actions *actions)
 {
 	struct jt_peer *peer = jt_peer_find(core, from);
 
@@ -271,10 +273,10 @@
 	if (heartbeat->cell != 0 &&
 	    heartbeat->cell != (u_int)core->current->cell)
 		return;
-	heartbeat_note(core, peer, heartbeat);
+	heartbeat_record(core, peer, heartbeat);
 	lease_renew(core);
 	if (jt_cell_member(core->current, from) == JT_NO_MEMBER)
-		heartbeat_from_stranger(core, from, heartbeat, actions);
+		heartbeat_answer_former_member(core, from, heartbeat, actions);
 	if (heartbeat->epoch > core->current->epoch)
 		request_state(core, &peer->member, actions);
 	if (core->newest == NULL ||
@@ -290,7 +292,8 @@
 	return jt_address_same(address, core->options.address);
 }
 
-/* The next node to ask: known members first, then the candidates. */
+/* Selects the next node to send a join request to, in turn: known members,
+ * then candidates. Returns false if there is none. */
 static bool join_target(struct jt_core *core, struct jt_address *to)
 {
 	size_t members = core->current ? core->current->member_count : 0;
@@ -307,7 +310,7 @@
 	return false;
 }
 
-static void join_ask(struct jt_core *core, struct jt_actions *actions)
+static void join_request(struct jt_core *core, struct jt_actions *actions)
 {
 	struct jt_member to = {0};
 	jt_wire_member *member;
@@ -329,7 +332,7 @@
 	request_state(core, &to, actions);
 }
 
-static void joiner_note(struct jt_core *core, const struct jt_member *member)
+static void joiner_add(struct jt_core *core, const struct jt_member *member)
 {
 	for (size_t i = 0; i < core->joiner_count; i++) {
 		if (core->joiners[i].id == member->id) {
@@ -376,7 +379,7 @@
 	    jt_cell_member(core->current, member.id) != JT_NO_MEMBER)
 		return;
 	if (jt_members_coordinator(core)) {
-		joiner_note(core, &member);
+		joiner_add(core, &member);
 		return;
 	}
 	coordinator = coordinator_member(core);
@@ -386,7 +389,8 @@
 	body->jt_wire_body_u.join = *join;
 }
 
-/* Drop peers that no state in play and no joiner needs any longer. */
+/* Returns true if the peer is a member in a live state, or was heard from
+ * recently. */
 static bool peer_needed(const struct jt_core *core, const struct jt_peer *peer)
 {
 	const struct jt_cell_state *states[3];
@@ -425,7 +429,7 @@
 	}
 }
 
-static void lease_watch(struct jt_core *core)
+static void lease_update(struct jt_core *core)
 {
 	bool held;
 
@@ -436,8 +440,9 @@
 	core->lease_held = held;
 }
 
-/* Outside any cell, or cut off for so long that the cell has moved on. */
-static bool must_ask(const struct jt_core *core)
+/* Returns true if this node belongs to no cell, or lost its lease so long ago
+ * that it may have been evicted. */
+static bool must_join(const struct jt_core *core)
 {
 	if (core->leaving)
 		return false;
@@ -450,13 +455,14 @@
 
 void jt_members_tick(struct jt_core *core, struct jt_actions *actions)
 {
-	if (must_ask(core))
-		join_ask(core, actions);
+	if (must_join(core))
+		join_request(core, actions);
 	if (core->current == NULL)
 		return;
-	lease_watch(core);
+	lease_update(core);
 	if (core->now_ms >= core->heartbeat_due_ms) {
-		core->heartbeat_due_ms = core->now_ms + heartbeat_pause(core);
+		core->heartbeat_due_ms =
+			core->now_ms + heartbeat_interval(core);
 		heartbeat_all(core, actions);
 	}
 }
--- a/src/core/jt_records.c
+++ b/src/core/jt_records.c
@@ -1,10 +1,10 @@
 /*
- * Flow records over time: expiry, records from peers, what a change of owners
- * does to them, and buckets that have lost them all.
+ * Flow records: expiry, records received from peers, changes of ownership and
+ * detection of buckets without records.
  */
 #include "jt_core_private.h"
 
-enum { EXPIRE_STEP = 256 }; /* slots looked at in one tick */
+enum { EXPIRE_STEP = 256 }; /* table slots checked per tick */
 
 const struct jt_table *jt_records_table(const struct jt_cell_state *state,
 					const struct jt_flow *flow)
@@ -20,13 +20,14 @@
 /* Expiry */
 
 /*
- * A request whose caller and endpoint both seem to have gone. One slot is
- * freed at a time, and the page must have shown less than is counted for
- * longer than a first packet may be pending.
+ * Returns true if the slot of an idle request can be reclaimed, because the
+ * endpoint has reported fewer slots in use than are counted for longer than
+ * a flow may be pending. Restarts that period, so that slots are reclaimed
+ * one at a time.
  */
-static bool slot_freed(struct jt_core *core,
-		       const struct jt_address_config *address,
-		       const struct jt_flow *flow, uint32_t idle_s)
+static bool reclaim_slot(struct jt_core *core,
+			 const struct jt_address_config *address,
+			 const struct jt_flow *flow, uint32_t idle_s)
 {
 	struct jt_endpoint_view *view =
 		jt_endpoint_view(core, flow->endpoint_id);
@@ -39,7 +40,8 @@
 	return true;
 }
 
-static uint32_t expiry_s(const struct jt_core *core, const struct jt_flow *flow)
+static uint32_t record_lifetime_s(const struct jt_core *core,
+				  const struct jt_flow *flow)
 {
 	if (flow->flags & JT_FLOW_SURPLUS)
 		return JT_SURPLUS_S;
@@ -58,15 +60,15 @@
 		return;
 	jt_flow_key_of(flow, &key);
 	address = jt_config_address(core->current->config, &key);
-	/* It never reached an endpoint, and its caller has given up. */
+	/* The flow never started and the client stopped retrying. */
 	if ((flow->flags & JT_FLOW_PENDING) && address != NULL) {
 		flow->flags &= (uint8_t)~JT_FLOW_PENDING;
 		jt_owner_close_flow(core, flow, jt_service_id(core, address));
 		return;
 	}
-	if (address != NULL && slot_freed(core, address, flow, idle_s))
+	if (address != NULL && reclaim_slot(core, address, flow, idle_s))
 		jt_counts_closed(core, jt_service_id(core, address), flow);
-	if (idle_s < expiry_s(core, flow))
+	if (idle_s < record_lifetime_s(core, flow))
 		return;
 	if (address != NULL)
 		jt_counts_closed(core, jt_service_id(core, address), flow);
@@ -110,7 +112,7 @@
 	if (address == NULL)
 		return;
 	if (flow != NULL && (flow->flags & JT_FLOW_COUNTED))
-		return; /* this node owns the flow and knows better */
+		return; /* this node owns the flow; its record is newer */
 	if (flow == NULL)
 		flow = jt_flow_table_add(core->flows, &key);
 	if (flow == NULL)
@@ -131,8 +133,8 @@
 
 /* Change of owners */
 
-static void inherit_counts(struct jt_core *core,
-			   const struct jt_cell_state *before)
+static void inherit_crashed_counts(struct jt_core *core,
+				   const struct jt_cell_state *before)
 {
 	size_t rank = jt_core_self(core, core->current);
 
@@ -153,7 +155,7 @@
 	jt_counts_sum_peers(core);
 }
 
-/* True when the bucket's owner died, and did not hand it over. */
+/* Returns true if the bucket's owner was removed without a handover. */
 static bool owner_crashed(const struct jt_core *core,
 			  const struct jt_cell_state *before,
 			  uint32_t service_id, uint16_t bucket)
@@ -173,8 +175,8 @@
 	return peer == NULL || !peer->leaving;
 }
 
-static void note_new_owners(struct jt_core *core,
-			    const struct jt_cell_state *before)
+static void mark_taken_over_buckets(struct jt_core *core,
+				    const struct jt_cell_state *before)
 {
 	for (size_t t = 0; t < core->current->table_count; t++) {
 		const struct jt_table *table = &core->current->tables[t];
@@ -189,7 +191,7 @@
 	}
 }
 
-/* A record whose bucket this node owns now. */
+/* Counts a record whose bucket this node owns now. */
 static void recount_owned(struct jt_core *core,
 			  const struct jt_cell_state *before,
 			  uint32_t service_id, struct jt_flow *flow)
@@ -204,7 +206,8 @@
 	jt_counts_opened(core, service_id, flow);
 }
 
-/* Count one record under the new owners, or leave it to expire. */
+/* Counts a record if this node owns its bucket, or marks it as surplus if
+ * this node is neither owner nor replica. */
 static void recount_flow(struct jt_core *core,
 			 const struct jt_cell_state *before,
 			 struct jt_flow *flow)
@@ -223,7 +226,7 @@
 		flow->flags &= (uint8_t)~JT_FLOW_SURPLUS;
 		return;
 	}
-	/* It may have come for a state that this node has yet to learn. */
+	/* It may belong to a state that this node hasn't received yet. */
 	if (!(flow->flags & JT_FLOW_SURPLUS))
 		flow->seen_s = (uint32_t)(core->now_ms / 1000);
 	flow->flags |= JT_FLOW_SURPLUS;
@@ -232,8 +235,8 @@
 void jt_records_recount(struct jt_core *core,
 			const struct jt_cell_state *before)
 {
-	inherit_counts(core, before);
-	note_new_owners(core, before);
+	inherit_crashed_counts(core, before);
+	mark_taken_over_buckets(core, before);
 	for (size_t i = 0; i < core->endpoint_count; i++)
 		core->endpoints[i].own = 0;
 	for (size_t i = 0; i < core->share_count; i++)
@@ -270,8 +273,8 @@
 	}
 }
 
-/* Buckets, of whatever service, that a record holds. */
-static void note_recorded(const struct jt_core *core, uint8_t *recorded)
+/* Sets the bits of the buckets, of any service, that have a record. */
+static void mark_recorded_buckets(const struct jt_core *core, uint8_t *recorded)
 {
 	for (size_t i = 0; i < core->flows->capacity; i++) {
 		const struct jt_flow *flow = &core->flows->slots[i];
@@ -293,13 +296,13 @@
 		core->clean = talloc_array(core, jt_wire_bucket, JT_CLEAN_MAX);
 	if (core->clean == NULL)
 		return;
-	note_recorded(core, recorded);
+	mark_recorded_buckets(core, recorded);
 	for (size_t t = 0; t < core->current->table_count; t++) {
 		const struct jt_table *table = &core->current->tables[t];
 		const struct jt_service_config *service = jt_config_service(
 			core->current->config, table->service_id);
 
-		/* A request service's buckets are never plain. */
+		/* Buckets of a request service are always exceptional. */
 		if (service != NULL && service->kind == JT_SERVICE_STREAM)
 			declare_table(core, table, service, recorded);
 	}
