--- a/models/handover.pml
+++ b/models/handover.pml
@@ -1,15 +1,17 @@
 /*
- * Ownership of one bucket passes from P to Q while the cell goes from epoch
- * e to e+1; R is P's replica. Messages come in any order or never; P may be
- * paused at any point, and may be evicted by e+1 or stay a member.
+ * Model of the handover of one bucket from P to Q while the cell advances
+ * from epoch e to e+1; R is P's replica. Messages arrive in any order or
+ * never. P may be paused at any point, and may be evicted in e+1 or stay a
+ * member.
  *
- * What the code does, and the variants that leave it out:
- *   barrier   Q waits until every member has committed and handed over, and
- *             until an evicted one has surely lost its lease  (NO_BARRIER)
- *   freeze    P stops placing once it has accepted e+1         (NO_FREEZE)
- *   refusal   R takes no record from a node that has not accepted what R has
- *             accepted, and does not acknowledge it            (TAKE_OLD)
- *   lease     nobody grants a lease to a node behind its own epoch
+ * The protections, each of which can be disabled by a macro:
+ *   barrier   Q waits until every member has committed and transferred its
+ *             records, and until an evicted one must have lost its lease
+ *                                                              (NO_BARRIER)
+ *   freeze    P places no flows once it has accepted e+1       (NO_FREEZE)
+ *   refusal   R neither stores nor acknowledges a record from a node that
+ *             has not accepted what R has accepted             (TAKE_OLD)
+ *   lease     no node grants a lease to a node at an older epoch
  *                                                              (NO_LEASE)
  */
 #define P 0
@@ -17,15 +19,15 @@
 #define R 2
 
 bool accepted[3], committed[3], transferred[3];
-bool lease[3] = true;      /* as the node itself may believe it */
-bool evicted;              /* P is no member of e+1 */
+bool lease[3] = true;      /* as seen by the node itself */
+bool evicted;              /* P is not a member of e+1 */
 bool chosen;               /* a majority has accepted e+1 */
-bool waited;               /* a lease has run out since then */
+bool waited;               /* a lease duration has passed since then */
 bool serving;              /* Q serves e+1 */
 
-/* Flow 1 has had a record from the start, flow 2 is placed meanwhile. */
+/* Flow 1 has a record from the start, flow 2 is placed during the change. */
 bool first_at_q, second_at_r, second_at_q, second_open;
-bool second_passing;       /* R passes it on; may take any time */
+bool second_passing;       /* R forwards it, after any delay */
 
 #ifdef NO_FREEZE
 #define P_SERVES (lease[P])
@@ -82,11 +84,11 @@
 		fi;
 		transferred[R] = true }
 	:: atomic { accepted[Q] && !transferred[Q] -> transferred[Q] = true }
-	/* Lease: P gets no more grants once a majority has moved on */
+	/* Lease: P gets no more grants once a majority has accepted e+1 */
 	:: atomic { MAY_EXPIRE && chosen && !accepted[P] && lease[P] ->
 		lease[P] = false }
 	:: atomic { chosen && !waited && EXPIRED -> waited = true }
-	/* P places a flow: record at R first, then the packet goes on */
+	/* P places a flow: it replicates the record, then forwards the packet */
 	:: atomic { P_SERVES && !second_at_r && R_TAKES
 		-> second_at_r = true;
 		if
@@ -97,7 +99,7 @@
 	:: atomic { second_passing -> second_at_q = true; second_passing = false }
 	/* Q passes the barrier */
 	:: atomic { !serving && committed[Q] && BARRIER -> serving = true }
-	/* What must hold */
+	/* Safety properties */
 	:: atomic { serving -> assert(!P_SERVES) }
 	:: atomic { serving -> assert(first_at_q) }
 	:: atomic { serving && second_open -> assert(second_at_q) }
--- a/src/packet/jt_packet.c
+++ b/src/packet/jt_packet.c
@@ -83,7 +83,7 @@
 		return JT_PACKET_FLAGS;
 	if (!(flags & (JT_TCP_SYN | JT_TCP_RST | JT_TCP_ACK)))
 		return JT_PACKET_FLAGS;
-	/* Callers open flows; only an endpoint answers SYN with SYN-ACK. */
+	/* Clients don't send SYN-ACK; only endpoints do. */
 	if ((flags & JT_TCP_SYN) && (flags & JT_TCP_ACK))
 		return JT_PACKET_FLAGS;
 	parsed->tcp_flags = flags;
