--- a/include/jaspertrack/cell-t.h
+++ b/include/jaspertrack/cell-t.h
@@ -35,8 +35,8 @@
 	uint16_t default_index[JT_BUCKETS]; /* into jt_cell_state.endpoints */
 	uint16_t owner[JT_BUCKETS];	    /* into jt_cell_state.members */
 	uint16_t replica[JT_BUCKETS];
-	uint8_t sticky[JT_BUCKET_BITMAP]; /* stays exceptional until declared
-					     clean */
+	/* Buckets that stay exceptional until they are declared clean. */
+	uint8_t sticky[JT_BUCKET_BITMAP];
 	uint8_t exceptional[JT_BUCKET_BITMAP];
 };
 
--- a/include/jaspertrack/cell.h
+++ b/include/jaspertrack/cell.h
@@ -25,8 +25,7 @@
 					const jt_wire_state *wire,
 					const struct jt_config *config);
 
-/* Return the index of a member or endpoint, or JT_NO_MEMBER / JT_NO_ENDPOINT.
- */
+/* Return the index, or JT_NO_MEMBER / JT_NO_ENDPOINT if there is none. */
 uint16_t jt_cell_member(const struct jt_cell_state *state, uint64_t id);
 uint16_t jt_cell_endpoint(const struct jt_cell_state *state, uint32_t id);
 /* Returns the table of a service, or NULL. */
--- a/include/jaspertrack/core-t.h
+++ b/include/jaspertrack/core-t.h
@@ -33,18 +33,15 @@
 /* Fault injection: tests disable a protection to check that they detect it. */
 enum jt_break {
 	JT_BREAK_NONE = 0,
-	JT_BREAK_NO_REPLICA = 1 << 0, /* flow records are not replicated */
-	JT_BREAK_NO_BARRIER =
-		1 << 1, /* a state is served as soon as it is agreed */
-	JT_BREAK_NO_LEASE = 1 << 2,	 /* a node forwards without a lease */
+	JT_BREAK_NO_REPLICA = 1 << 0,	 /* records are not replicated */
+	JT_BREAK_NO_BARRIER = 1 << 1,	 /* agreed states are served at once */
+	JT_BREAK_NO_LEASE = 1 << 2,	 /* nodes forward without a lease */
 	JT_BREAK_NO_STICKY = 1 << 3,	 /* sticky bits are not carried over */
 	JT_BREAK_NO_QUARANTINE = 1 << 4, /* addresses are reused immediately */
-	JT_BREAK_MOVE_DEFAULTS =
-		1 << 5, /* a down endpoint loses its default buckets */
-	JT_BREAK_NO_HANDOVER = 1
-			       << 6, /* owners change without record transfer */
-	JT_BREAK_NO_ADMISSION = 1 << 7, /* shares and capacity are ignored */
-	JT_BREAK_SPLIT_VOTE = 1 << 8,	/* a single vote commits a state */
+	JT_BREAK_MOVE_DEFAULTS = 1 << 5, /* a down endpoint loses its buckets */
+	JT_BREAK_NO_HANDOVER = 1 << 6,	 /* records are not transferred */
+	JT_BREAK_NO_ADMISSION = 1 << 7,	 /* shares and capacity are ignored */
+	JT_BREAK_SPLIT_VOTE = 1 << 8,	 /* a single vote commits a state */
 };
 
 /* Settings of a node; jt_core_options_init() sets the defaults. */
@@ -139,12 +136,12 @@
 };
 
 enum jt_action_kind {
-	JT_ACTION_FORWARD, /* send the packet to an endpoint */
-	JT_ACTION_RELAY,   /* send the packet to a peer */
-	JT_ACTION_REFUSE,  /* reject the flow; it was not started */
-	JT_ACTION_DROP,	   /* discard the packet */
-	JT_ACTION_HOLD,	   /* keep the packet until a later action names it */
-	JT_ACTION_SEND,	   /* send a message to a peer */
+	JT_ACTION_FORWARD,	/* send the packet to an endpoint */
+	JT_ACTION_RELAY,	/* send the packet to a peer */
+	JT_ACTION_REFUSE,	/* reject the flow; it was not started */
+	JT_ACTION_DROP,		/* discard the packet */
+	JT_ACTION_HOLD,		/* keep the packet for a later action */
+	JT_ACTION_SEND,		/* send a message to a peer */
 	JT_ACTION_FETCH_CONFIG, /* request a configuration from a peer */
 	JT_ACTION_PUBLISH,	/* forwarding tables changed */
 	JT_ACTION_LEFT,		/* the planned shutdown is complete */
--- a/include/jaspertrack/core.h
+++ b/include/jaspertrack/core.h
@@ -48,6 +48,7 @@
 bool jt_core_ready(const struct jt_core *core, uint64_t now_ms);
 /* Returns when the lease expires, in ms of the driver's clock; 0: no lease. */
 uint64_t jt_core_lease_until(const struct jt_core *core);
+/* Returns true if this node proposes the next cell state. */
 bool jt_core_coordinator(const struct jt_core *core);
 /* Returns true if packets of @bucket must pass through its owner. */
 bool jt_core_bucket_relayed(const struct jt_core *core, size_t service,
--- a/include/jaspertrack/types-t.h
+++ b/include/jaspertrack/types-t.h
@@ -67,9 +67,9 @@
 	char name[JT_NAME_SIZE];
 	uint32_t service; /* index into jt_config.services */
 	struct jt_address address;
-	struct jt_address health; /* address of its HTTP health and load page */
-	uint32_t slots;
-	uint32_t connections;
+	struct jt_address health; /* HTTP page with its health and load */
+	uint32_t slots;		  /* request limit */
+	uint32_t connections;	  /* connection limit */
 	bool draining;
 };
 
@@ -83,10 +83,11 @@
 	char name[JT_NAME_SIZE];
 	struct jt_address address;
 	uint8_t protocol;
-	uint32_t service;
-	uint32_t group;
+	uint32_t service; /* index into jt_config.services */
+	uint32_t group;	  /* index into jt_config.groups */
 };
 
+/* A group's weight in the shares of a service's capacity. */
 struct jt_share_config {
 	uint32_t service;
 	uint32_t group;
--- a/src/core/jt_core_private.h
+++ b/src/core/jt_core_private.h
@@ -186,8 +186,7 @@
 	struct jt_cell_state *current;
 	struct jt_cell_state *tentative;
 	bool activated;
-	bool skipped; /* epochs between the previous and current one are missing
-		       */
+	bool skipped; /* some epochs were skipped */
 	uint64_t committed_ms;
 	uint64_t transfer_target; /* epoch for which records are transferred */
 	uint64_t transferred_epoch;
--- a/src/core/jt_counts.c
+++ b/src/core/jt_counts.c
@@ -314,8 +314,7 @@
 	}
 }
 
-/* Updates since when the endpoint has reported less load than is
- * counted. */
+/* Updates since when the endpoint has reported less than is counted. */
 static void update_overcount(const struct jt_core *core,
 			     struct jt_endpoint_view *view)
 {
--- a/src/core/jt_flow_table.h
+++ b/src/core/jt_flow_table.h
@@ -12,12 +12,12 @@
 #include <talloc.h>
 
 enum {
-	JT_FLOW_REPLICATED = 1 << 0, /* sent to the replica */
+	JT_FLOW_REPLICATED = 1 << 0, /* the record needs a replica */
 	JT_FLOW_PENDING = 1 << 1,    /* not acknowledged by the replica */
 	JT_FLOW_CLOSING = 1 << 2,    /* closed; not counted */
 	JT_FLOW_COUNTED = 1 << 3,    /* included in this owner's counts */
-	JT_FLOW_SURPLUS = 1 << 5, /* this node is neither owner nor replica */
-	JT_FLOW_USED = 1 << 7,	  /* the slot holds a record */
+	JT_FLOW_SURPLUS = 1 << 5,    /* neither owner nor replica here */
+	JT_FLOW_USED = 1 << 7,	     /* the slot holds a record */
 };
 
 struct jt_flow {
--- a/src/packet/jt_packet.h
+++ b/src/packet/jt_packet.h
@@ -24,7 +24,7 @@
 	JT_PACKET_FRAGMENT,
 	JT_PACKET_PROTOCOL, /* neither TCP nor UDP */
 	JT_PACKET_CHECKSUM, /* IP header checksum */
-	JT_PACKET_HEADER,   /* invalid length of the TCP or UDP header */
+	JT_PACKET_HEADER,   /* invalid TCP or UDP header length */
 	JT_PACKET_FLAGS,    /* invalid TCP flags from a client */
 	JT_PACKET_ERROR_COUNT,
 };
@@ -35,8 +35,7 @@
 	uint8_t tcp_flags; /* 0 for UDP */
 	uint32_t sequence;
 	uint32_t acknowledgment;
-	uint32_t segment_length; /* sequence numbers used: payload, SYN and FIN
-				  */
+	uint32_t segment_length; /* payload, plus 1 each for SYN and FIN */
 };
 
 /* Validates @packet; @parsed is valid only if JT_PACKET_OK is returned. */
