--- a/src/label/jt_director_answers.c
+++ b/src/label/jt_director_answers.c
@@ -5,18 +5,19 @@
 #define PERMILLE 1000.0
 
 enum {
-	/* An answer of more bytes takes several segments. */
-	LONE_BYTES = 1200,
-	/* An answer of which nothing came for so long is whole: packets of one
-	 * follow each other within a round trip. */
-	ANSWER_QUIET_MS = 40,
-	ANSWERS_LOOK_MS = 5,
+	/* A longer response takes several segments. */
+	SEGMENT_BYTES = 1200,
+	/* A response is complete when no data arrived for this long: its
+	 * packets follow each other within a round trip. */
+	RESPONSE_IDLE_MS = 40,
+	RESPONSES_CHECK_MS = 5,
 };
 
-/* How fast the endpoint is, by a request that it served. */
-static void speed_note(struct jt_director *director,
-		       const struct jt_cached_flow *flow,
-		       struct jt_incarnation *incarnation, uint64_t now_ms)
+/* Records the response time of a served request for the endpoint. */
+static void response_time_record(struct jt_director *director,
+				 const struct jt_cached_flow *flow,
+				 struct jt_incarnation *incarnation,
+				 uint64_t now_ms)
 {
 	const struct jt_answer answer = {
 		.took_ms = (double)flow->answer_took_ms - director->open_ms,
@@ -29,10 +30,10 @@
 			    incarnation, &answer, now_ms);
 }
 
-/* NULL where lengths are not looked at. */
+/* Returns NULL if response lengths are not evaluated. */
 static struct jt_answer_profile *
-profile_of(struct jt_director *director, const struct jt_cached_flow *flow,
-	   const struct jt_incarnation *incarnation)
+profile_find(struct jt_director *director, const struct jt_cached_flow *flow,
+	     const struct jt_incarnation *incarnation)
 {
 	const struct jt_route *route =
 		jt_routing_route(director->routing, &flow->key);
@@ -44,27 +45,28 @@
 				       incarnation->entry.service_id);
 }
 
-static uint32_t answer_bytes(const struct jt_cached_flow *flow)
+static uint32_t response_bytes(const struct jt_cached_flow *flow)
 {
 	return flow->acknowledged - flow->answer_from;
 }
 
-/* Once an answer is long enough to be one that serves, its time counts: an
- * endpoint that refuses at once is not fast. */
-static void speed_look(struct jt_director *director,
-		       struct jt_cached_flow *flow,
-		       struct jt_incarnation *incarnation, uint64_t now_ms)
+/* Records the response time once the response is too long to be an error: an
+ * endpoint that fails immediately is not fast. */
+static void response_time_check(struct jt_director *director,
+				struct jt_cached_flow *flow,
+				struct jt_incarnation *incarnation,
+				uint64_t now_ms)
 {
 	const struct jt_answer_profile *profile;
 
 	if (flow->answer_counted)
 		return;
-	profile = profile_of(director, flow, incarnation);
-	if (profile != NULL && jt_answer_is_short(profile, answer_bytes(flow),
+	profile = profile_find(director, flow, incarnation);
+	if (profile != NULL && jt_answer_is_short(profile, response_bytes(flow),
 						  flow->answer_took_ms))
 		return;
 	flow->answer_counted = true;
-	speed_note(director, flow, incarnation, now_ms);
+	response_time_record(director, flow, incarnation, now_ms);
 }
 
 void jt_director_answer_progress(struct jt_director *director,
@@ -75,13 +77,13 @@
 {
 	if (flow->waiting_ms != 0) {
 		flow->answer_took_ms = (uint32_t)(now_ms - flow->waiting_ms);
-		flow->answer_lone =
-			packet->length == 0 && answer_bytes(flow) <= LONE_BYTES;
+		flow->answer_lone = packet->length == 0 &&
+				    response_bytes(flow) <= SEGMENT_BYTES;
 		flow->answer_counted = false;
 		jt_latency_add(director->latency, flow->answer_took_ms);
 		jt_admission_answered(director->admission,
 				      incarnation->entry.service_id,
-				      flow->waiting_ms, answer_bytes(flow),
+				      flow->waiting_ms, response_bytes(flow),
 				      flow->placing, now_ms);
 		jt_flow_cache_answered(director->flows, flow);
 		if (incarnation->waiting > 0)
@@ -90,21 +92,21 @@
 		return;
 	}
 	jt_flow_cache_answering(director->flows, flow, now_ms);
-	speed_look(director, flow, incarnation, now_ms);
+	response_time_check(director, flow, incarnation, now_ms);
 }
 
-static void failed_note(struct jt_director *director,
-			struct jt_incarnation *incarnation, double weight,
-			uint32_t share_permille, uint64_t now_ms)
+static void failure_record(struct jt_director *director,
+			   struct jt_incarnation *incarnation, double weight,
+			   uint32_t share_permille, uint64_t now_ms)
 {
 	jt_chooser_compare(director->chooser, incarnation->pool, now_ms);
 	jt_outlier_failed(incarnation, weight, share_permille, now_ms);
 	jt_endpoint_table_watch(director->endpoints, incarnation);
 }
 
-/* Where failures are known, peers need to hear of what was served as well. */
-static void served_note(struct jt_director *director,
-			struct jt_incarnation *incarnation, uint64_t now_ms)
+/* Once failures are known, served requests are reported to peers as well. */
+static void served_record(struct jt_director *director,
+			  struct jt_incarnation *incarnation, uint64_t now_ms)
 {
 	if (!jt_outlier_pending(incarnation))
 		return;
@@ -112,15 +114,15 @@
 	jt_failure_news_served(&director->failure_news, incarnation->label);
 }
 
-/* One that is known to fail says nothing of what is usual. */
-static void answer_learn(struct jt_answer_profile *profile,
-			 const struct jt_cached_flow *flow,
-			 const struct jt_incarnation *incarnation,
-			 uint64_t now_ms)
+/* Responses of an endpoint that is known to fail don't count as usual. */
+static void profile_update(struct jt_answer_profile *profile,
+			   const struct jt_cached_flow *flow,
+			   const struct jt_incarnation *incarnation,
+			   uint64_t now_ms)
 {
 	if (profile != NULL && jt_outlier_share_permille(incarnation, now_ms) ==
 				       JT_FULL_SHARE_PERMILLE)
-		jt_answer_learn(profile, answer_bytes(flow),
+		jt_answer_learn(profile, response_bytes(flow),
 				flow->answer_took_ms, now_ms);
 }
 
@@ -129,36 +131,37 @@
 			    struct jt_incarnation *incarnation, uint64_t now_ms)
 {
 	struct jt_answer_profile *profile;
-	double weight, doubt;
+	double weight, served_weight;
 
 	if (flow->answer_seen_ms == 0)
 		return;
-	profile = profile_of(director, flow, incarnation);
+	profile = profile_find(director, flow, incarnation);
 	jt_flow_cache_answer_end(director->flows, flow);
-	if (profile == NULL || !jt_answer_is_short(profile, answer_bytes(flow),
-						   flow->answer_took_ms)) {
-		answer_learn(profile, flow, incarnation, now_ms);
-		served_note(director, incarnation, now_ms);
+	if (profile == NULL ||
+	    !jt_answer_is_short(profile, response_bytes(flow),
+				flow->answer_took_ms)) {
+		profile_update(profile, flow, incarnation, now_ms);
+		served_record(director, incarnation, now_ms);
 		return;
 	}
 	weight = jt_answer_failure(profile);
-	answer_learn(profile, flow, incarnation, now_ms);
+	profile_update(profile, flow, incarnation, now_ms);
 	if (weight == 0)
 		return;
 	director->counters.short_answers++;
-	/* The less sure a failure is, the less it is told from a good one. */
-	doubt = weight < 1 - weight ? weight : 1 - weight;
-	failed_note(director, incarnation, weight, JT_FULL_SHARE_PERMILLE,
-		    now_ms);
-	jt_outlier_served(incarnation, doubt, now_ms);
+	/* The less certain a failure is, the more it counts as served too. */
+	served_weight = weight < 1 - weight ? weight : 1 - weight;
+	failure_record(director, incarnation, weight, JT_FULL_SHARE_PERMILLE,
+		       now_ms);
+	jt_outlier_served(incarnation, served_weight, now_ms);
 	if (weight > JT_FAILURE_UNSURE)
 		jt_failure_news_failed(&director->failure_news,
 				       incarnation->label, weight);
 }
 
-/* Peers are told soon, of several endpoints at once. */
-static void news_look(struct jt_director *director, uint64_t now_ms,
-		      struct jt_director_actions *actions)
+/* Requests a failure report to peers when one is due. */
+static void failure_report_check(struct jt_director *director, uint64_t now_ms,
+				 struct jt_director_actions *actions)
 {
 	if (jt_failure_news_due(&director->failure_news, director->nodes,
 				now_ms))
@@ -170,12 +173,12 @@
 {
 	struct jt_cached_flow *flow = director->flows->answering;
 
-	/* Packets come far more often than answers end in silence. */
-	if (now_ms - director->answers_ms < ANSWERS_LOOK_MS)
+	/* Most packets end no response: checks at most once per interval. */
+	if (now_ms - director->answers_ms < RESPONSES_CHECK_MS)
 		return;
 	director->answers_ms = now_ms;
 	while (flow != NULL &&
-	       now_ms - flow->answer_seen_ms >= ANSWER_QUIET_MS) {
+	       now_ms - flow->answer_seen_ms >= RESPONSE_IDLE_MS) {
 		struct jt_cached_flow *next = flow->answering_next;
 		struct jt_incarnation *incarnation = jt_endpoint_table_by_label(
 			director->endpoints, flow->label);
@@ -187,12 +190,12 @@
 			jt_flow_cache_answer_end(director->flows, flow);
 		flow = next;
 	}
-	news_look(director, now_ms, actions);
+	failure_report_check(director, now_ms, actions);
 }
 
-static void failure_told(struct jt_director *director,
-			 const struct jt_endpoint_failure *failure,
-			 uint64_t now_ms)
+static void failure_receive(struct jt_director *director,
+			    const struct jt_endpoint_failure *failure,
+			    uint64_t now_ms)
 {
 	struct jt_incarnation *incarnation =
 		jt_endpoint_table_labelled(director->endpoints, failure->label);
@@ -201,9 +204,9 @@
 	if (incarnation == NULL)
 		return;
 	if (failure->failed_permille > 0)
-		failed_note(director, incarnation,
-			    failure->failed_permille / PERMILLE,
-			    failure->share_permille, now_ms);
+		failure_record(director, incarnation,
+			       failure->failed_permille / PERMILLE,
+			       failure->share_permille, now_ms);
 	jt_outlier_served(incarnation, failure->served_permille / PERMILLE,
 			  now_ms);
 }
@@ -213,7 +216,7 @@
 			       size_t count, uint64_t now_ms)
 {
 	for (size_t i = 0; i < count; i++)
-		failure_told(director, &failures[i], now_ms);
+		failure_receive(director, &failures[i], now_ms);
 }
 
 size_t
--- a/src/label/jt_director_answers.h
+++ b/src/label/jt_director_answers.h
@@ -1,32 +1,32 @@
-/* Answers as callers acknowledge them: which serve, and which are failures that
- * came at once. */
+/* Responses as clients acknowledge them: detects successful ones and short,
+ * fast ones that are likely errors. */
 #ifndef JT_DIRECTOR_ANSWERS_H
 #define JT_DIRECTOR_ANSWERS_H
 
 #include "jt_director_private.h"
 
-/* The caller's @packet has acknowledged more on @flow, up to
+/* Records that the client's @packet acknowledged more data on @flow, up to
  * flow->acknowledged. */
 void jt_director_answer_progress(struct jt_director *director,
 				 struct jt_cached_flow *flow,
 				 struct jt_incarnation *incarnation,
 				 const struct jt_label_packet *packet,
 				 uint64_t now_ms);
-/* No more of the answer under way comes, if there is one: the caller asks for
- * something else, or closes. */
+/* Ends the response in progress, if any: the client sends another request or
+ * closes the flow. */
 void jt_director_answer_end(struct jt_director *director,
 			    struct jt_cached_flow *flow,
 			    struct jt_incarnation *incarnation,
 			    uint64_t now_ms);
-/* Answers of which nothing more came for a while are whole. */
+/* Ends the responses that received no more data for a while. */
 void jt_director_answers_look(struct jt_director *director, uint64_t now_ms,
 			      struct jt_director_actions *actions);
-/* A peer tells of failed requests. */
+/* Records failures reported by a peer. */
 void jt_director_failures_told(struct jt_director *director,
 			       const struct jt_endpoint_failure *failures,
 			       size_t count, uint64_t now_ms);
-/* Compare the endpoint with others of its service, and say when its share has
- * been reduced or restored. */
+/* Compares the endpoint with others of its service and reports when its traffic
+ * share was reduced or restored. */
 void jt_director_share_look(struct jt_director *director,
 			    struct jt_incarnation *incarnation, uint64_t now_ms,
 			    struct jt_director_actions *actions);
--- a/src/label/jt_director_flow.c
+++ b/src/label/jt_director_flow.c
@@ -1,9 +1,8 @@
-/* Cached flows: how they come, and their ends, silent or with a reset to the
- * caller. */
+/* Lifecycle of cached flows: creation, removal and resets to clients. */
 #include "jt_director_flow.h"
 
-/* No flow carries so much from its caller. */
-#define FLOW_BYTES_MOST (1u << 24)
+/* Upper bound of the bytes that a client sends in one flow. */
+#define FLOW_BYTES_MAX (1u << 24)
 
 struct jt_cached_flow *jt_director_flow_add(
 	struct jt_director *director, const struct jt_label_packet *packet,
@@ -28,14 +27,12 @@
 bool jt_director_flow_has_first(const struct jt_cached_flow *flow,
 				uint32_t sequence)
 {
-	return flow->sequence_end - sequence < FLOW_BYTES_MOST;
+	return flow->sequence_end - sequence < FLOW_BYTES_MAX;
 }
 
-/*
- * The sequence of a reset for a flow without an answer. Its caller takes any;
- * one that has opened the flow through another node takes only those near what
- * it has acknowledged, which a sequence at random is not.
- */
+/* A client accepts any sequence for a flow that has not opened. A client that
+ * opened the flow through another node accepts only sequences close to its last
+ * acknowledgement, which a random one is not. */
 uint32_t jt_director_opening_sequence(struct jt_director *director)
 {
 	return (uint32_t)jt_random_next(&director->random);
@@ -65,7 +62,6 @@
 	jt_flow_cache_remove(director->flows, flow);
 }
 
-/* The flow's endpoint is dead. */
 void jt_director_reset_dead(struct jt_director *director,
 			    const struct jt_flow_key *key,
 			    uint32_t acknowledged,
--- a/src/label/jt_director_packet.c
+++ b/src/label/jt_director_packet.c
@@ -1,4 +1,4 @@
-/* What becomes of one packet of a caller. */
+/* Decides what happens to one client packet. */
 #include "jt_director_packet.h"
 #include "jt_director_admission.h"
 #include "jt_director_answers.h"
@@ -9,25 +9,27 @@
 #include "jt_outlier.h"
 
 enum {
-	/* New part of the smoothed time to open: one in so many. */
-	OPEN_PART = 16,
-	/* A caller waits longer than that before it sends the same again: what
-	 * comes sooner was doubled by the network. */
-	RESEND_LEAST_MS = 100,
-	/* A packet is held no longer: its caller has sent the same again. */
-	HELD_MOST_MS = 2500,
-	/* Flows without an answer that are looked at for each new one. */
-	OPENING_LOOK = 256,
+	/* Weight of a new sample of the smoothed response time of SYNs:
+	 * 1/16. */
+	OPEN_SMOOTHING = 16,
+	/* Minimum time before a client retransmits: an earlier duplicate was
+	 * made by the network. */
+	RETRANSMIT_MIN_MS = 100,
+	/* Maximum hold time of a packet: its client has retransmitted by
+	 * then. */
+	HOLD_MAX_MS = 2500,
+	/* Maximum number of unanswered flows checked for each new flow. */
+	OPENING_CHECK_MAX = 256,
 };
 
-/* True when @a comes after @b (RFC 1982 for 32 bits). */
+/* Returns true if @a follows @b (RFC 1982 for 32 bits). */
 static bool sequence_after(uint32_t a, uint32_t b)
 {
 	return a != b && (uint32_t)(a - b) < 1u << 31;
 }
 
-/* Answer a first packet with a reset; NULL when memory runs out. */
-static struct jt_director_action *add_reset(struct jt_director *director,
+/* Adds a reset in response to a SYN; returns NULL when out of memory. */
+static struct jt_director_action *reset_add(struct jt_director *director,
 					    const struct jt_flow_key *key,
 					    enum jt_director_reason reason,
 					    struct jt_director_actions *actions)
@@ -45,7 +47,7 @@
 	return action;
 }
 
-static void add_drop(struct jt_director *director,
+static void drop_add(struct jt_director *director,
 		     const struct jt_label_packet *packet,
 		     enum jt_director_reason reason,
 		     struct jt_director_actions *actions)
@@ -60,8 +62,8 @@
 	action->label = packet->label;
 }
 
-/* The driver offers the packet again when the node knows more. */
-static void add_hold(struct jt_director *director,
+/* The driver retries the packet when the state has changed. */
+static void hold_add(struct jt_director *director,
 		     const struct jt_label_packet *packet,
 		     enum jt_director_reason reason,
 		     struct jt_director_actions *actions)
@@ -69,7 +71,7 @@
 	struct jt_director_action *action =
 		jt_director_action_add(actions, JT_DIRECTOR_HOLD, reason);
 
-	/* One that is held on was counted when it came. */
+	/* A packet that is held again was counted the first time. */
 	if (packet->held_ms == 0)
 		director->counters.by_reason[reason]++;
 	if (action == NULL)
@@ -78,7 +80,7 @@
 	action->label = packet->label;
 }
 
-static void add_forward(struct jt_director *director,
+static void forward_add(struct jt_director *director,
 			const struct jt_label_packet *packet,
 			const struct jt_incarnation *incarnation,
 			enum jt_director_reason reason, uint64_t now_ms,
@@ -99,17 +101,17 @@
 			const struct jt_cached_flow *flow,
 			struct jt_incarnation *incarnation, uint64_t now_ms)
 {
-	double took_ms = (double)(now_ms - flow->opening_ms);
+	double response_ms = (double)(now_ms - flow->opening_ms);
 
-	director->open_ms += (took_ms - director->open_ms) / OPEN_PART;
+	director->open_ms += (response_ms - director->open_ms) / OPEN_SMOOTHING;
 	jt_admission_opened(director->admission, incarnation->entry.service_id,
 			    flow->opening_ms, now_ms);
 	jt_detector_opened(incarnation);
 }
 
-static void flow_waits(struct jt_director *director,
-		       struct jt_cached_flow *flow,
-		       struct jt_incarnation *incarnation, uint64_t now_ms)
+static void flow_request(struct jt_director *director,
+			 struct jt_cached_flow *flow,
+			 struct jt_incarnation *incarnation, uint64_t now_ms)
 {
 	if (flow->waiting_ms != 0)
 		return;
@@ -124,93 +126,96 @@
 	flow->expected = false;
 }
 
-/* Whether endpoints are coming back that may take the flow in a moment. */
-static bool may_place_soon(const struct jt_director *director, uint64_t now_ms)
+/* Returns true if endpoints that may accept the flow are still expected during
+ * the initial synchronisation. */
+static bool endpoints_expected(const struct jt_director *director,
+			       uint64_t now_ms)
 {
 	return jt_director_learning_ms(director, now_ms) > 0 &&
 	       jt_mechanism_on(director->options.without,
 			       JT_MECHANISM_SPREAD_LEARNING);
 }
 
-/* Whether the service has room for a new flow; refuses it otherwise. */
-static bool admit(struct jt_director *director,
-		  const struct jt_label_packet *packet,
-		  const struct jt_route *route, uint64_t now_ms,
-		  struct jt_director_actions *actions)
+/* Asks admission control about a new flow; adds a reset if it is rejected. */
+static bool flow_admit(struct jt_director *director,
+		       const struct jt_label_packet *packet,
+		       const struct jt_route *route, uint64_t now_ms,
+		       struct jt_director_actions *actions)
 {
 	struct jt_director_action *action;
 	struct jt_director_room room;
 
 	if (jt_director_admits(director, packet, route, now_ms, &room))
 		return true;
-	action = add_reset(director, &packet->key, JT_DIRECTOR_OVERLOADED,
+	action = reset_add(director, &packet->key, JT_DIRECTOR_OVERLOADED,
 			   actions);
 	if (action != NULL)
 		action->room = room;
 	return false;
 }
 
-/* A fault of tests: flows that have their endpoint are asked about again. */
-static bool refuses_placed(struct jt_director *director,
-			   const struct jt_label_packet *packet,
-			   const struct jt_route *route, uint64_t now_ms,
-			   struct jt_director_actions *actions)
+/* Injected fault: asks admission control about assigned flows again. */
+static bool break_rejects_assigned(struct jt_director *director,
+				   const struct jt_label_packet *packet,
+				   const struct jt_route *route,
+				   uint64_t now_ms,
+				   struct jt_director_actions *actions)
 {
 	return director->options.break_mechanism &
 		       JT_DIRECTOR_BREAK_REFUSE_PLACED &&
-	       !admit(director, packet, route, now_ms, actions);
+	       !flow_admit(director, packet, route, now_ms, actions);
 }
 
-static void place(struct jt_director *director,
-		  const struct jt_label_packet *packet,
-		  const struct jt_route *route, enum jt_director_reason reason,
-		  uint64_t now_ms, struct jt_director_actions *actions)
+static void flow_assign(struct jt_director *director,
+			const struct jt_label_packet *packet,
+			const struct jt_route *route,
+			enum jt_director_reason reason, uint64_t now_ms,
+			struct jt_director_actions *actions)
 {
-	struct jt_incarnation *chosen;
+	struct jt_incarnation *endpoint;
 	struct jt_cached_flow *flow;
 	enum jt_director_reason refusal;
 
-	/* One whose endpoint has died was admitted before. */
+	/* A flow whose endpoint has died was admitted before. */
 	if (reason == JT_DIRECTOR_PLACED &&
-	    !admit(director, packet, route, now_ms, actions))
+	    !flow_admit(director, packet, route, now_ms, actions))
 		return;
-	chosen = jt_chooser_choose(director->chooser, director->endpoints,
-				   director->routing, route, now_ms, &refusal);
-	if (chosen == NULL && may_place_soon(director, now_ms)) {
-		add_hold(director, packet, JT_DIRECTOR_LEARNING, actions);
+	endpoint =
+		jt_chooser_choose(director->chooser, director->endpoints,
+				  director->routing, route, now_ms, &refusal);
+	if (endpoint == NULL && endpoints_expected(director, now_ms)) {
+		hold_add(director, packet, JT_DIRECTOR_LEARNING, actions);
 		return;
 	}
-	if (chosen == NULL) {
-		add_reset(director, &packet->key, refusal, actions);
+	if (endpoint == NULL) {
+		reset_add(director, &packet->key, refusal, actions);
 		return;
 	}
-	if (chosen->entry.zone_id != director->options.zone_id)
+	if (endpoint->entry.zone_id != director->options.zone_id)
 		director->counters.placed_far++;
-	flow = jt_director_flow_add(director, packet, chosen, chosen->label,
+	flow = jt_director_flow_add(director, packet, endpoint, endpoint->label,
 				    now_ms);
 	if (flow != NULL) {
 		jt_flow_cache_opening(director->flows, flow, now_ms);
 		flow->expected = true;
-		jt_work_add(&chosen->work, 1, now_ms);
+		jt_work_add(&endpoint->work, 1, now_ms);
 		jt_admission_placed(director->admission,
-				    chosen->entry.service_id, now_ms);
+				    endpoint->entry.service_id, now_ms);
 	}
-	add_forward(director, packet, chosen, reason, now_ms, actions);
+	forward_add(director, packet, endpoint, reason, now_ms, actions);
 }
 
-/*
- * A caller that opens another flow while an earlier one of the route has got
- * no answer was most likely refused: an endpoint that has crashed answers to
- * the caller directly, and nothing of that passes here.
- */
+/* Suspects the endpoints of unanswered flows of the same client to the same
+ * route. A client that opens another flow was most likely refused: a crashed
+ * endpoint sends its reset directly to the client, past this node. */
 static void suspect_refusal(struct jt_director *director,
 			    const struct jt_flow_key *key, uint64_t now_ms,
 			    struct jt_director_actions *actions)
 {
 	struct jt_cached_flow *flow = director->flows->opening;
-	unsigned looked_at = 0;
+	unsigned checked = 0;
 
-	for (; flow != NULL && looked_at < OPENING_LOOK; looked_at++) {
+	for (; flow != NULL && checked < OPENING_CHECK_MAX; checked++) {
 		struct jt_cached_flow *next = flow->opening_next;
 
 		if (!flow->doubted && flow->key.source == key->source &&
@@ -221,13 +226,10 @@
 	}
 }
 
-/*
- * Whether a copy of a first packet comes so late that its caller has given up,
- * and would open a flow in a zone that is drained now. Sooner than that, the
- * flow stays where its first packet went: another endpoint's answer might take
- * the caller's next packets away from it.
- */
-static bool copy_too_late(const struct jt_director *director,
+/* Returns true if a retransmitted SYN comes after its client has given up and
+ * would open a flow in a zone that is drained now. An earlier one stays with
+ * its first endpoint: a response of another endpoint could disrupt the flow. */
+static bool copy_is_stale(const struct jt_director *director,
 			  const struct jt_cached_flow *flow,
 			  const struct jt_incarnation *incarnation,
 			  uint64_t now_ms)
@@ -238,41 +240,42 @@
 				  incarnation->entry.zone_id);
 }
 
-/* Whether the caller sent the first packet again: it counts its copies; the
- * network's own say nothing. */
-static bool first_sent_again(const struct jt_cached_flow *flow,
-			     const struct jt_label_packet *packet)
+/* Returns true if the client retransmitted the SYN: clients number their
+ * copies in the acknowledgement field, so that duplicates made by the network
+ * repeat a number. */
+static bool syn_retransmitted(const struct jt_cached_flow *flow,
+			      const struct jt_label_packet *packet)
 {
 	return flow->opening_ms != 0 && packet->acknowledged > flow->copies &&
 	       packet->held_ms == 0;
 }
 
-/* The first packet has come before: stay with its endpoint. */
-static void first_again(struct jt_director *director,
-			const struct jt_label_packet *packet,
-			struct jt_cached_flow *flow,
-			struct jt_incarnation *incarnation, uint64_t now_ms,
-			struct jt_director_actions *actions)
+/* Forwards a SYN that was seen before to its endpoint. */
+static void packet_syn_copy(struct jt_director *director,
+			    const struct jt_label_packet *packet,
+			    struct jt_cached_flow *flow,
+			    struct jt_incarnation *incarnation, uint64_t now_ms,
+			    struct jt_director_actions *actions)
 {
-	bool sent_again = first_sent_again(flow, packet);
+	bool retransmitted = syn_retransmitted(flow, packet);
 
 	jt_flow_cache_touch(director->flows, flow, now_ms);
-	if (sent_again) {
+	if (retransmitted) {
 		flow->copies = packet->acknowledged;
 		director->counters.resent++;
 	}
-	if (sent_again && jt_incarnation_placed(incarnation, flow->label)) {
+	if (retransmitted && jt_incarnation_placed(incarnation, flow->label)) {
 		jt_director_suspect(director, incarnation, JT_EVIDENCE_OPENING,
 				    now_ms, actions);
 	}
-	add_forward(director, packet, incarnation, JT_DIRECTOR_REMEMBERED,
+	forward_add(director, packet, incarnation, JT_DIRECTOR_REMEMBERED,
 		    now_ms, actions);
 }
 
-/* The first packet of a flow, or a copy of it. */
-static void packet_first(struct jt_director *director,
-			 const struct jt_label_packet *packet, uint64_t now_ms,
-			 struct jt_director_actions *actions)
+/* Handles the SYN of a flow or a copy of it. */
+static void packet_syn(struct jt_director *director,
+		       const struct jt_label_packet *packet, uint64_t now_ms,
+		       struct jt_director_actions *actions)
 {
 	const struct jt_route *route =
 		jt_routing_route(director->routing, &packet->key);
@@ -282,11 +285,11 @@
 	struct jt_incarnation *incarnation;
 
 	if (!jt_director_places(director)) {
-		add_hold(director, packet, JT_DIRECTOR_NOT_STARTED, actions);
+		hold_add(director, packet, JT_DIRECTOR_NOT_STARTED, actions);
 		return;
 	}
 	if (route == NULL) {
-		add_reset(director, &packet->key, JT_DIRECTOR_NO_ROUTE,
+		reset_add(director, &packet->key, JT_DIRECTOR_NO_ROUTE,
 			  actions);
 		return;
 	}
@@ -302,24 +305,24 @@
 		    JT_DIRECTOR_BREAK_PLACE_COPIES)
 			incarnation = NULL;
 		if (incarnation != NULL &&
-		    copy_too_late(director, flow, incarnation, now_ms)) {
-			add_drop(director, packet, JT_DIRECTOR_NO_ZONE,
+		    copy_is_stale(director, flow, incarnation, now_ms)) {
+			drop_add(director, packet, JT_DIRECTOR_NO_ZONE,
 				 actions);
 			return;
 		}
 		if (incarnation != NULL &&
 		    incarnation->state != JT_INCARNATION_DEAD) {
-			if (refuses_placed(director, packet, route, now_ms,
-					   actions))
+			if (break_rejects_assigned(director, packet, route,
+						   now_ms, actions))
 				return;
-			first_again(director, packet, flow, incarnation, now_ms,
-				    actions);
+			packet_syn_copy(director, packet, flow, incarnation,
+					now_ms, actions);
 			return;
 		}
-		/* The flow may be open where the endpoint started again. */
-		if (incarnation != NULL && !first_sent_again(flow, packet) &&
+		/* The flow may be open at the restarted endpoint. */
+		if (incarnation != NULL && !syn_retransmitted(flow, packet) &&
 		    !jt_director_flow_ended(flow, incarnation)) {
-			add_drop(director, packet, JT_DIRECTOR_UNPROVEN,
+			drop_add(director, packet, JT_DIRECTOR_UNPROVEN,
 				 actions);
 			return;
 		}
@@ -327,18 +330,16 @@
 		reason = JT_DIRECTOR_PLACED_AGAIN;
 	} else if (jt_director_lookup_waits(director, packet, now_ms,
 					    actions)) {
-		add_hold(director, packet, JT_DIRECTOR_PEERS_ASKED, actions);
+		hold_add(director, packet, JT_DIRECTOR_PEERS_ASKED, actions);
 		return;
 	}
 	suspect_refusal(director, &packet->key, now_ms, actions);
-	place(director, packet, route, reason, now_ms, actions);
+	flow_assign(director, packet, route, reason, now_ms, actions);
 }
 
-/*
- * What data that comes again says. A flow that has had no answer yet may not
- * have opened: an endpoint that became full after its answer to the first
- * packet leaves the rest unanswered.
- */
+/* Classifies retransmitted data. A flow without any response may not have
+ * opened: an endpoint that reached its connection limit after its SYN-ACK
+ * leaves the rest unanswered. */
 static enum jt_evidence flow_evidence(const struct jt_cached_flow *flow)
 {
 	if (flow->answered && flow->resent > 1)
@@ -346,7 +347,7 @@
 	return JT_EVIDENCE_RESENT;
 }
 
-/* Learn from a packet what the flow's endpoint has done. */
+/* Updates the state of a flow and its endpoint from a client packet. */
 static void flow_observe(struct jt_director *director,
 			 struct jt_cached_flow *flow,
 			 struct jt_incarnation *incarnation,
@@ -389,8 +390,8 @@
 						route,
 						incarnation->entry.service_id);
 		}
-		flow_waits(director, flow, incarnation, now_ms);
-	} else if (!answered && now_ms - flow->sent_ms >= RESEND_LEAST_MS) {
+		flow_request(director, flow, incarnation, now_ms);
+	} else if (!answered && now_ms - flow->sent_ms >= RETRANSMIT_MIN_MS) {
 		director->counters.resent++;
 		flow->resent++;
 		flow->sent_ms = now_ms;
@@ -417,10 +418,10 @@
 		incarnation->flows--;
 }
 
-/* A fault of tests: flows end where new ones are kept away. */
-static bool breaks_failing(const struct jt_director *director,
-			   const struct jt_incarnation *incarnation,
-			   uint64_t now_ms)
+/* Injected fault: ends flows at endpoints with a reduced traffic share. */
+static bool break_ends_failing(const struct jt_director *director,
+			       const struct jt_incarnation *incarnation,
+			       uint64_t now_ms)
 {
 	return (director->options.break_mechanism &
 		JT_DIRECTOR_BREAK_END_FAILING) != 0 &&
@@ -428,23 +429,22 @@
 		       JT_FULL_SHARE_PERMILLE;
 }
 
-/*
- * A packet of a flow whose endpoint is dead. Where the endpoint may have
- * started again, the flow may be open there: it is reset once a probe that was
- * sent later shows that nobody is.
- */
-static void packet_to_dead(struct jt_director *director,
-			   const struct jt_label_packet *packet, uint32_t label,
-			   struct jt_cached_flow *flow,
-			   struct jt_incarnation *incarnation, uint64_t now_ms,
-			   struct jt_director_actions *actions)
+/* Handles a packet of a flow whose endpoint is dead. If the endpoint may have
+ * restarted, the flow may be open there: it is reset only after a probe sent
+ * later confirms that nothing responds. */
+static void packet_dead_endpoint(struct jt_director *director,
+				 const struct jt_label_packet *packet,
+				 uint32_t label, struct jt_cached_flow *flow,
+				 struct jt_incarnation *incarnation,
+				 uint64_t now_ms,
+				 struct jt_director_actions *actions)
 {
 	bool reset = !(packet->flags & JT_PACKET_RST);
 
 	if (flow == NULL && reset && incarnation->entry.born_ms != 0)
 		flow = jt_director_flow_add(director, packet, incarnation,
 					    label, now_ms);
-	/* It had not opened when it came here first. */
+	/* The flow was not open when its SYN was seen here. */
 	if (flow != NULL && flow->opening_ms != 0) {
 		jt_flow_cache_opened(director->flows, flow);
 		flow->first_seen_ms = now_ms;
@@ -453,7 +453,7 @@
 	    !jt_director_flow_ended(flow, incarnation)) {
 		flow->acknowledged = packet->acknowledged;
 		jt_detector_want_proof(&director->detector, incarnation);
-		add_drop(director, packet, JT_DIRECTOR_UNPROVEN, actions);
+		drop_add(director, packet, JT_DIRECTOR_UNPROVEN, actions);
 		return;
 	}
 	if (flow != NULL)
@@ -464,10 +464,11 @@
 				       now_ms, actions);
 }
 
-/* A packet of a flow that is open, or half open. */
-static void packet_later(struct jt_director *director,
-			 const struct jt_label_packet *packet, uint64_t now_ms,
-			 struct jt_director_actions *actions)
+/* Handles a packet of an open or half-open flow. */
+static void packet_established(struct jt_director *director,
+			       const struct jt_label_packet *packet,
+			       uint64_t now_ms,
+			       struct jt_director_actions *actions)
 {
 	struct jt_cached_flow *flow =
 		jt_flow_cache_find(director->flows, &packet->key);
@@ -480,37 +481,37 @@
 		reason = JT_DIRECTOR_REMEMBERED;
 	}
 	if (label == 0) {
-		add_drop(director, packet, JT_DIRECTOR_NO_LABEL, actions);
+		drop_add(director, packet, JT_DIRECTOR_NO_LABEL, actions);
 		return;
 	}
 	incarnation = jt_endpoint_table_by_label(director->endpoints, label);
 	if (incarnation == NULL && !jt_director_started(director)) {
-		add_hold(director, packet, JT_DIRECTOR_NOT_STARTED, actions);
+		hold_add(director, packet, JT_DIRECTOR_NOT_STARTED, actions);
 		return;
 	}
-	/* Its endpoint may be about to come back to the store: the flow goes on
-	 * then, sooner than with what its caller sends again. */
+	/* If its endpoint may still renew its entry, holding the packet is
+	 * faster than waiting for the client to retransmit. */
 	if (incarnation == NULL && jt_director_learning_ms(director, now_ms) &&
 	    jt_mechanism_on(director->options.without,
 			    JT_MECHANISM_HOLD_UNKNOWN)) {
-		add_hold(director, packet, JT_DIRECTOR_UNKNOWN_LABEL, actions);
+		hold_add(director, packet, JT_DIRECTOR_UNKNOWN_LABEL, actions);
 		return;
 	}
 	if (incarnation == NULL) {
-		add_drop(director, packet, JT_DIRECTOR_UNKNOWN_LABEL, actions);
+		drop_add(director, packet, JT_DIRECTOR_UNKNOWN_LABEL, actions);
 		return;
 	}
 	if (flow != NULL && flow->label != label) {
-		/* Another node has placed a copy of the first packet. */
+		/* Another node has assigned a copy of the SYN. */
 		jt_director_flow_forget(director, flow);
 		flow = NULL;
 	}
 	if (incarnation->state == JT_INCARNATION_DEAD) {
-		packet_to_dead(director, packet, label, flow, incarnation,
-			       now_ms, actions);
+		packet_dead_endpoint(director, packet, label, flow, incarnation,
+				     now_ms, actions);
 		return;
 	}
-	if (flow != NULL && breaks_failing(director, incarnation, now_ms)) {
+	if (flow != NULL && break_ends_failing(director, incarnation, now_ms)) {
 		jt_director_flow_reset(director, flow, incarnation, now_ms,
 				       actions);
 		return;
@@ -519,21 +520,21 @@
 		if (!(packet->flags & JT_PACKET_RST))
 			flow = jt_director_flow_add(director, packet,
 						    incarnation, label, now_ms);
-		/* Now a flow here hangs on whether the peer was right. */
+		/* The peer's death report affects a flow of this node now. */
 		if (jt_detector_peer_found_dead(incarnation, now_ms))
 			jt_director_suspect(director, incarnation,
 					    JT_EVIDENCE_FLOW, now_ms, actions);
 	} else {
 		jt_flow_cache_touch(director->flows, flow, now_ms);
-		/* One that was placed at an earlier incarnation says nothing of
-		 * this one, until it is answered with this one's label. */
+		/* A flow assigned to an earlier incarnation gives no evidence
+		 * about this one until a response carries this one's label. */
 		if (jt_incarnation_placed(incarnation, label))
 			flow_observe(director, flow, incarnation, packet,
 				     now_ms, actions);
 	}
 	if (flow != NULL)
 		flow_close(director, flow, incarnation, packet, now_ms);
-	add_forward(director, packet, incarnation, reason, now_ms, actions);
+	forward_add(director, packet, incarnation, reason, now_ms, actions);
 }
 
 void jt_director_packet(struct jt_director *director,
@@ -544,14 +545,14 @@
 
 	jt_director_openings(director, now_ms, actions);
 	jt_director_answers_look(director, now_ms, actions);
-	if (packet->held_ms >= (first ? JT_CALLER_ENDS_MS : HELD_MOST_MS)) {
-		add_drop(director, packet, JT_DIRECTOR_LEARNING, actions);
+	if (packet->held_ms >= (first ? JT_CALLER_ENDS_MS : HOLD_MAX_MS)) {
+		drop_add(director, packet, JT_DIRECTOR_LEARNING, actions);
 		return;
 	}
 	if (first && packet->flags & JT_PACKET_ACK)
-		add_drop(director, packet, JT_DIRECTOR_FORGED, actions);
+		drop_add(director, packet, JT_DIRECTOR_FORGED, actions);
 	else if (first)
-		packet_first(director, packet, now_ms, actions);
+		packet_syn(director, packet, now_ms, actions);
 	else
-		packet_later(director, packet, now_ms, actions);
+		packet_established(director, packet, now_ms, actions);
 }
