--- a/src/label/jt_director_entry.c
+++ b/src/label/jt_director_entry.c
@@ -1,4 +1,4 @@
-/* What discovery tells of an endpoint. */
+/* Discovery entries of endpoints: creation, update and removal. */
 #include "jt_director_entry.h"
 #include "jt_director_flow.h"
 #include "jt_director_incarnation.h"
@@ -6,8 +6,9 @@
 #include "jt_mechanism.h"
 
 enum {
-	/* What went in an outage is learned within this time after it. */
-	AWAY_NEWS_MS = 1000,
+	/* Time after a store outage within which entries that expired in it are
+	 * reported. */
+	OUTAGE_REPORT_MS = 1000,
 };
 
 void jt_director_entry_gone(struct jt_director *director, uint64_t id,
@@ -33,10 +34,10 @@
 		director->store_away_until_ms != 0 &&
 		jt_mechanism_on(director->options.without,
 				JT_MECHANISM_OUTAGE_LAPSES) &&
-		now_ms - director->store_away_until_ms < AWAY_NEWS_MS;
+		now_ms - director->store_away_until_ms < OUTAGE_REPORT_MS;
 	jt_director_state_enter(incarnation, JT_INCARNATION_LAPSED, now_ms,
 				actions);
-	/* It may have ended: flows that rest there are better off knowing. */
+	/* The endpoint may be dead: probe it for the sake of its idle flows. */
 	if (incarnation->flows > 0 &&
 	    !jt_incarnation_outlives(incarnation, now_ms))
 		jt_director_suspect(director, incarnation, JT_EVIDENCE_OPENING,
@@ -64,24 +65,25 @@
 					now_ms, actions);
 }
 
-/* A new incarnation: of an endpoint that is new itself, or starts again. */
-static void incarnation_begins(struct jt_director *director,
-			       struct jt_incarnation *incarnation,
-			       enum jt_director_action_kind told_as,
-			       uint64_t now_ms,
-			       struct jt_director_actions *actions)
+/* Starts tracking an incarnation of a new or restarted endpoint. */
+static void incarnation_start(struct jt_director *director,
+			      struct jt_incarnation *incarnation,
+			      enum jt_director_action_kind action_kind,
+			      uint64_t now_ms,
+			      struct jt_director_actions *actions)
 {
 	incarnation->state = jt_director_listed_state(incarnation);
-	/* Before the start nobody has got any work. */
+	/* Before this node has started no endpoint has any load. */
 	if (incarnation->pool != NULL && jt_director_started(director))
 		jt_chooser_welcome(director->chooser, incarnation->pool,
 				   incarnation, now_ms);
 	jt_chooser_spread(director->chooser, incarnation, now_ms);
-	jt_director_action_about(actions, told_as, 0, incarnation, now_ms);
+	jt_director_action_about(actions, action_kind, 0, incarnation, now_ms);
 }
 
-/* @earliest_label: of the incarnation before the last one, 0: none. */
-static void entry_taken(struct jt_director *director,
+/* Applies an accepted entry. @earliest_label: label of the incarnation before
+ * the previous one; 0: none. */
+static void entry_apply(struct jt_director *director,
 			struct jt_incarnation *incarnation,
 			enum jt_entry_result result, uint32_t earliest_label,
 			uint64_t now_ms, struct jt_director_actions *actions)
@@ -90,17 +92,17 @@
 		director->counters.restarted++;
 		jt_director_flows_of_earlier(director, incarnation,
 					     earliest_label);
-		incarnation_begins(director, incarnation, JT_DIRECTOR_RESTARTED,
-				   now_ms, actions);
+		incarnation_start(director, incarnation, JT_DIRECTOR_RESTARTED,
+				  now_ms, actions);
 	} else if (incarnation->state == JT_INCARNATION_DEAD) {
-		/* What it wrote since then shows that it lives. */
+		/* An entry written since its death shows that it lives. */
 		if (incarnation->cause != JT_DEATH_REPLACED &&
 		    incarnation->entry.gone_revision == 0)
 			jt_director_incarnation_revives(director, incarnation,
 							now_ms, actions);
 	} else if (result == JT_ENTRY_NEW) {
-		incarnation_begins(director, incarnation, JT_DIRECTOR_SEEN,
-				   now_ms, actions);
+		incarnation_start(director, incarnation, JT_DIRECTOR_SEEN,
+				  now_ms, actions);
 	} else {
 		jt_director_state_enter(incarnation,
 					jt_director_listed_state(incarnation),
@@ -121,7 +123,7 @@
 	struct jt_incarnation *incarnation = NULL;
 	enum jt_entry_result result;
 
-	/* An endpoint that tells its birth always does. */
+	/* An endpoint that publishes its start time never stops doing so. */
 	if (known != NULL && known->entry.born_ms != 0 && entry->born_ms == 0) {
 		jt_director_entry_unreadable(director, entry->id,
 					     entry->revision, now_ms, actions);
@@ -130,7 +132,7 @@
 	result = jt_endpoint_table_take(director->endpoints, entry, stale,
 					now_ms, &incarnation);
 	if (incarnation != NULL)
-		entry_taken(director, incarnation, result, earliest_label,
+		entry_apply(director, incarnation, result, earliest_label,
 			    now_ms, actions);
 	else if (result != JT_ENTRY_OLD)
 		director->counters.entries_refused++;
--- a/src/label/jt_director_entry.h
+++ b/src/label/jt_director_entry.h
@@ -1,21 +1,20 @@
-/* What discovery tells of an endpoint. */
+/* Discovery entries of endpoints: creation, update and removal. */
 #ifndef JT_DIRECTOR_ENTRY_H
 #define JT_DIRECTOR_ENTRY_H
 
 #include "jt_director_private.h"
 
-/* Its entry, of an endpoint that is new, goes on, or has started again. */
+/* Applies the entry of a new, updated or restarted endpoint. */
 void jt_director_entry(struct jt_director *director,
 		       const struct jt_endpoint_entry *entry, uint64_t now_ms,
 		       struct jt_director_actions *actions);
-/* Its entry went at @revision. */
+/* Records that the entry was removed at @revision. */
 void jt_director_entry_gone(struct jt_director *director, uint64_t id,
 			    uint64_t revision, uint64_t now_ms,
 			    struct jt_director_actions *actions);
-/*
- * The newest form of the entry can't be read: it names no endpoint to use. The
- * endpoint may be well, and its open flows go on until it is known to be dead.
- */
+/* Records that the newest revision of the entry can't be decoded, so that it
+ * accepts no new flows. The endpoint may still serve: its open flows continue
+ * until it is declared dead. */
 void jt_director_entry_unreadable(struct jt_director *director, uint64_t id,
 				  uint64_t revision, uint64_t now_ms,
 				  struct jt_director_actions *actions);
--- a/src/label/jt_director_expiry.c
+++ b/src/label/jt_director_expiry.c
@@ -6,7 +6,7 @@
 
 enum {
 	DEFAULT_FLOW_IDLE_MS = 60 * 1000,
-	/* A flow with a FIN is remembered so long for what follows it. */
+	/* How long a flow with a FIN stays cached for its last packets. */
 	CLOSING_MS = 2000,
 };
 
@@ -50,8 +50,8 @@
 	jt_endpoint_table_remove(director->endpoints, incarnation);
 }
 
-/* Whether a probe, the end of the incarnation, or a change of its share may be
- * due some time. */
+/* Returns true if a probe, the removal of the incarnation, or a change of its
+ * traffic share is pending. */
 static bool incarnation_pending(const struct jt_incarnation *incarnation)
 {
 	return incarnation->entry.gone_revision != 0 ||
@@ -64,7 +64,7 @@
 {
 	struct jt_incarnation *incarnation, *next;
 
-	/* Most endpoints are well: they cost nothing here. */
+	/* Only watched endpoints are visited: healthy ones cost nothing. */
 	incarnation = director->endpoints->watched;
 	for (; incarnation != NULL; incarnation = next) {
 		next = incarnation->watched_next;
--- a/src/label/jt_director_incarnation.c
+++ b/src/label/jt_director_incarnation.c
@@ -1,12 +1,12 @@
-/* How incarnations begin and end for a node, and who has an address. */
+/* State changes of incarnations and ownership of addresses. */
 #include "jt_director_incarnation.h"
 #include "jt_director_flow.h"
 
 enum {
-	/* When callers send copies of a first packet. */
+	/* Times at which clients retransmit a SYN. */
 	FIRST_COPY_MS = 200,
 	SECOND_COPY_MS = 600,
-	COPY_SLACK_MS = 100,
+	COPY_TOLERANCE_MS = 100,
 };
 
 void jt_director_state_enter(struct jt_incarnation *incarnation,
@@ -31,20 +31,19 @@
 	return JT_INCARNATION_READY;
 }
 
-/*
- * Whether a flow without an answer has left this node: a copy of its first
- * packet was due and has not come here. Another node may have opened it.
- */
-static bool opening_moved_on(const struct jt_cached_flow *flow, uint64_t now_ms)
+/* Returns true if an unanswered flow has probably moved to another node: a copy
+ * of its SYN was due and did not arrive here. */
+static bool opening_moved_away(const struct jt_cached_flow *flow,
+			       uint64_t now_ms)
 {
 	uint64_t age_ms = now_ms - flow->opening_ms;
 
 	if (flow->opening_ms == 0)
 		return false;
 	if (flow->copies == 0)
-		return age_ms >= FIRST_COPY_MS + COPY_SLACK_MS;
+		return age_ms >= FIRST_COPY_MS + COPY_TOLERANCE_MS;
 	if (flow->copies == 1)
-		return age_ms >= SECOND_COPY_MS + COPY_SLACK_MS;
+		return age_ms >= SECOND_COPY_MS + COPY_TOLERANCE_MS;
 	return age_ms >= JT_CALLER_ENDS_MS;
 }
 
@@ -55,15 +54,15 @@
 {
 	struct jt_cached_flow *flow = director->flows->rested;
 
-	/* Flows with its label are another's. */
+	/* Flows with its label belong to another incarnation. */
 	if (!jt_endpoint_table_has_label(incarnation))
 		return;
 	while (flow != NULL) {
 		struct jt_cached_flow *newer = flow->newer;
 
-		/* A caller that has closed its flow needs no reset. */
+		/* A client that has closed its flow needs no reset. */
 		if (flow->label == incarnation->label && !flow->closing &&
-		    !opening_moved_on(flow, now_ms) &&
+		    !opening_moved_away(flow, now_ms) &&
 		    (flow->opening_ms != 0 ||
 		     jt_director_flow_ended(flow, incarnation)))
 			jt_director_flow_reset(director, flow, incarnation,
@@ -95,8 +94,9 @@
 		action->peers_know =
 			jt_detector_peer_found_dead(incarnation, now_ms);
 	jt_director_flows_reset(director, incarnation, now_ms, actions);
-	/* Another's entry tells that it has lost its address, not that it has
-	 * not started there again since: ask who answers. */
+	/* Another endpoint's entry shows that the address was reassigned, but
+	 * not whether this endpoint has restarted there since: identify who
+	 * responds. */
 	if (cause == JT_DEATH_REPLACED && incarnation->flows > 0 &&
 	    incarnation->entry.born_ms != 0)
 		incarnation->proof_wanted = true;
@@ -115,8 +115,9 @@
 				 now_ms);
 }
 
-/* Whether another has got the incarnation's address for good: an entry of the
- * same birth that comes later is no sign of life, but was written late. */
+/* Returns true if another incarnation has taken over the address
+ * permanently: a later entry with the same start time is a delayed write and
+ * no sign of life. */
 static bool address_lost(const struct jt_incarnation *incarnation)
 {
 	return incarnation->entry.born_ms != 0 &&
@@ -125,14 +126,14 @@
 }
 
 void jt_director_address_settle(struct jt_director *director,
-				struct jt_incarnation *taken, uint64_t now_ms,
+				struct jt_incarnation *updated, uint64_t now_ms,
 				struct jt_director_actions *actions)
 {
-	struct jt_incarnation *first =
-		jt_endpoint_table_at(director->endpoints, taken->entry.address);
-	struct jt_incarnation *newest = taken, *other;
+	struct jt_incarnation *first = jt_endpoint_table_at(
+		director->endpoints, updated->entry.address);
+	struct jt_incarnation *newest = updated, *other;
 
-	if (address_lost(taken))
+	if (address_lost(updated))
 		return;
 	for (other = first; other != NULL; other = other->address_next) {
 		if (!address_lost(other) &&
@@ -166,15 +167,16 @@
 }
 
 void jt_director_address_given_back(struct jt_director *director,
-				    const struct jt_incarnation *gone,
+				    const struct jt_incarnation *removed,
 				    uint64_t now_ms,
 				    struct jt_director_actions *actions)
 {
 	struct jt_incarnation *newest = NULL, *other;
 
-	if (gone->entry.born_ms == 0 || address_lost(gone))
+	if (removed->entry.born_ms == 0 || address_lost(removed))
 		return;
-	other = jt_endpoint_table_at(director->endpoints, gone->entry.address);
+	other = jt_endpoint_table_at(director->endpoints,
+				     removed->entry.address);
 	for (; other != NULL; other = other->address_next) {
 		if (address_lost(other) && other->entry.gone_revision == 0 &&
 		    (newest == NULL ||
--- a/src/label/jt_director_incarnation.h
+++ b/src/label/jt_director_incarnation.h
@@ -1,51 +1,46 @@
-/* How incarnations begin and end for a node, and who has an address. */
+/* State changes of incarnations and ownership of addresses. */
 #ifndef JT_DIRECTOR_INCARNATION_H
 #define JT_DIRECTOR_INCARNATION_H
 
 #include "jt_director_private.h"
 
-/* The incarnation is in @state from now on; what changes is told. */
+/* Changes the state of the incarnation and reports the change. */
 void jt_director_state_enter(struct jt_incarnation *incarnation,
 			     enum jt_incarnation_state state, uint64_t now_ms,
 			     struct jt_director_actions *actions);
-/* The state that discovery's entry alone gives. */
+/* Returns the state according to the discovery entry alone. */
 enum jt_incarnation_state
 jt_director_listed_state(const struct jt_incarnation *incarnation);
-/* Reset the incarnation's flows, as far as it is sure that they are gone. */
+/* Resets the incarnation's flows that have certainly ended. */
 void jt_director_flows_reset(struct jt_director *director,
 			     const struct jt_incarnation *incarnation,
 			     uint64_t now_ms,
 			     struct jt_director_actions *actions);
-/* It is dead, for this reason. */
+/* Declares the incarnation dead. */
 void jt_director_incarnation_dies(struct jt_director *director,
 				  struct jt_incarnation *incarnation,
 				  enum jt_death_cause cause, uint64_t now_ms,
 				  struct jt_director_actions *actions);
-/* It was taken for dead, and lives. */
+/* Marks an incarnation that was declared dead as alive again. */
 void jt_director_incarnation_revives(struct jt_director *director,
 				     struct jt_incarnation *incarnation,
 				     uint64_t now_ms,
 				     struct jt_director_actions *actions);
-/*
- * An address belongs to the incarnation whose entry is the newest; whoever
- * had it before is gone. The entry of @taken is new.
- */
+/* Assigns the address of @updated, whose entry is new, to the incarnation with
+ * the newest entry; the previous owners of the address are dead. */
 void jt_director_address_settle(struct jt_director *director,
-				struct jt_incarnation *taken, uint64_t now_ms,
+				struct jt_incarnation *updated, uint64_t now_ms,
 				struct jt_director_actions *actions);
-/*
- * The incarnation answers at its address: it has the address, whatever entries
- * there are of others.
- */
+/* Assigns the address to @found, which responded at it, regardless of other
+ * entries. */
 void jt_director_address_found(struct jt_director *director,
 			       struct jt_incarnation *found, uint64_t now_ms,
 			       struct jt_director_actions *actions);
-/*
- * The entry went of the one that seemed to have the address. Another one whose
- * entry is still there was replaced by mistake: the other's was written late.
- */
+/* Handles the removal of the entry of @removed, which seemed to own its
+ * address. Revives the incarnation that it replaced by mistake, because of a
+ * delayed write, if that one still has its entry. */
 void jt_director_address_given_back(struct jt_director *director,
-				    const struct jt_incarnation *gone,
+				    const struct jt_incarnation *removed,
 				    uint64_t now_ms,
 				    struct jt_director_actions *actions);
 
--- a/src/label/jt_director_suspicion.c
+++ b/src/label/jt_director_suspicion.c
@@ -1,16 +1,16 @@
-/* What cached flows show of their endpoints, and the probes that follow. */
+/* Evidence from cached flows that endpoints may be dead, and probes. */
 #include "jt_director_suspicion.h"
 #include "jt_director_flow.h"
 #include "jt_mechanism.h"
 #include "jt_outlier.h"
 
 enum {
-	/* A first packet's answer is overdue after so many times the usual,
-	 * and after so long at the least. */
-	OPENING_TIMES = 4,
-	OPENING_LEAST_MS = 20,
-	OPENING_LOOK_MS = 5,
-	/* Its caller has given up by then: the flow never opened. */
+	/* The response to a SYN is overdue after this multiple of the usual
+	 * time, but not before the minimum. */
+	OPENING_FACTOR = 4,
+	OPENING_MIN_MS = 20,
+	OPENING_CHECK_MS = 5,
+	/* The client has given up by then: the flow never opened. */
 	OPENING_END_MS = 3000,
 };
 
@@ -25,8 +25,8 @@
 				 now_ms);
 }
 
-static bool evidence_counts(const struct jt_director *director,
-			    enum jt_evidence evidence)
+static bool evidence_enabled(const struct jt_director *director,
+			     enum jt_evidence evidence)
 {
 	return jt_mechanism_on(director->options.without,
 			       evidence == JT_EVIDENCE_OPENING
@@ -39,7 +39,7 @@
 			 enum jt_evidence evidence, uint64_t now_ms,
 			 struct jt_director_actions *actions)
 {
-	if (!evidence_counts(director, evidence))
+	if (!evidence_enabled(director, evidence))
 		return;
 	director->counters.suspicions++;
 	if (jt_detector_suspect(&director->detector, incarnation, evidence,
@@ -60,12 +60,12 @@
 				    now_ms, actions);
 }
 
-/* How long a first packet's answer may take before it is overdue. */
+/* Returns the time after which the response to a SYN is overdue. */
 static double opening_limit_ms(const struct jt_director *director)
 {
-	double limit_ms = director->open_ms * OPENING_TIMES;
+	double limit_ms = director->open_ms * OPENING_FACTOR;
 
-	return limit_ms > OPENING_LEAST_MS ? limit_ms : OPENING_LEAST_MS;
+	return limit_ms > OPENING_MIN_MS ? limit_ms : OPENING_MIN_MS;
 }
 
 void jt_director_openings(struct jt_director *director, uint64_t now_ms,
@@ -74,8 +74,9 @@
 	struct jt_cached_flow *flow = director->flows->opening;
 	double limit_ms = opening_limit_ms(director);
 
-	/* Packets come far more often than answers are overdue. */
-	if (now_ms - director->openings_ms < OPENING_LOOK_MS)
+	/* Few packets find an overdue response: checks at most once per
+	 * interval. */
+	if (now_ms - director->openings_ms < OPENING_CHECK_MS)
 		return;
 	director->openings_ms = now_ms;
 	while (flow != NULL &&
@@ -90,12 +91,12 @@
 	}
 }
 
-/* The flow's request has waited too long: its endpoint may fail requests. Where
- * its caller sends data again, the failure detector looks after it. */
-static void overdue_note(struct jt_director *director,
-			 struct jt_cached_flow *flow,
-			 struct jt_incarnation *incarnation, uint64_t now_ms,
-			 struct jt_director_actions *actions)
+/* Records an overdue response: the endpoint may fail requests. If the client
+ * retransmits, the failure detector handles the flow. */
+static void overdue_record(struct jt_director *director,
+			   struct jt_cached_flow *flow,
+			   struct jt_incarnation *incarnation, uint64_t now_ms,
+			   struct jt_director_actions *actions)
 {
 	jt_flow_cache_overdue(director->flows, flow);
 	if (incarnation == NULL || flow->resent > 0 ||
@@ -123,8 +124,8 @@
 		if (incarnation == NULL ||
 		    now_ms - flow->waiting_ms >=
 			    jt_outlier_limit_ms(incarnation))
-			overdue_note(director, flow, incarnation, now_ms,
-				     actions);
+			overdue_record(director, flow, incarnation, now_ms,
+				       actions);
 		flow = next;
 	}
 }
