--- a/src/label/jt_director_admission.c
+++ b/src/label/jt_director_admission.c
@@ -5,14 +5,14 @@
 			const struct jt_route *route, uint64_t now_ms,
 			struct jt_director_room *room)
 {
-	struct jt_admission_verdict verdict;
+	struct jt_admission_verdict decision;
 
-	/* The caller counts its copies there. */
+	/* In a SYN this field holds the client's copy number. */
 	if (packet->acknowledged != 0)
 		return true;
-	verdict = jt_admission_ask(director->admission, route, now_ms);
-	*room = verdict.room;
-	return verdict.admitted;
+	decision = jt_admission_ask(director->admission, route, now_ms);
+	*room = decision.room;
+	return decision.admitted;
 }
 
 static void limit_changed(const struct jt_admission_view *view,
--- a/src/label/jt_director_lookup.c
+++ b/src/label/jt_director_lookup.c
@@ -2,10 +2,11 @@
 #include "jt_director_flow.h"
 #include "jt_mechanism.h"
 
-/* A caller counts the copies of its first packet: the first one itself was sent
- * through another node, or was lost. What was held has waited before. */
-static bool seeks(const struct jt_director *director,
-		  const struct jt_label_packet *packet, uint64_t now_ms)
+/* Returns true if peers should be asked for the packet's flow: the packet is a
+ * retransmitted SYN, so the first one went to another node or was lost. Held
+ * packets have waited already. */
+static bool lookup_needed(const struct jt_director *director,
+			  const struct jt_label_packet *packet, uint64_t now_ms)
 {
 	return packet->acknowledged > 0 && packet->held_ms == 0 &&
 	       director->peer_count > 0 &&
@@ -23,7 +24,7 @@
 
 	if (jt_flow_lookup_waits(director->lookups, &packet->key, now_ms))
 		return true;
-	if (!seeks(director, packet, now_ms) ||
+	if (!lookup_needed(director, packet, now_ms) ||
 	    !jt_flow_lookup_begin(director->lookups, packet, now_ms))
 		return false;
 	action = jt_director_action_add(actions, JT_DIRECTOR_FLOW_ASK,
--- a/src/label/jt_director_view.c
+++ b/src/label/jt_director_view.c
@@ -1,9 +1,9 @@
-/* Views of a director's state, the list of its actions, and names. */
+/* Accessors of a director's state, the action list, and names. */
 #include "jt_director_private.h"
 
 #include <string.h>
 
-/* Actions */
+/* Action list */
 
 struct jt_director_actions *jt_director_actions_create(TALLOC_CTX *mem_ctx)
 {
@@ -62,7 +62,7 @@
 	return action;
 }
 
-/* Views */
+/* Accessors */
 
 bool jt_director_started(const struct jt_director *director)
 {
@@ -130,8 +130,9 @@
 	return count;
 }
 
-/* Ready incarnations whose slowness is on @side of the usual one: +1 or -1. */
-static size_t unusual_count(const struct jt_director *director, int side,
+/* Counts ready incarnations that are slower (@sign +1) or faster (-1) than
+ * usual. */
+static size_t unusual_count(const struct jt_director *director, int sign,
 			    uint64_t now_ms)
 {
 	const struct jt_incarnation *in =
@@ -139,11 +140,10 @@
 	size_t count = 0;
 
 	for (; in != NULL; in = jt_endpoint_table_next(in)) {
-		double slowness =
+		double ratio =
 			jt_speed_slowness(&in->speed, director->nodes, now_ms);
 
-		if (in->state == JT_INCARNATION_READY &&
-		    (slowness - 1) * side > 0)
+		if (in->state == JT_INCARNATION_READY && (ratio - 1) * sign > 0)
 			count++;
 	}
 	return count;
@@ -161,17 +161,17 @@
 	return unusual_count(director, -1, now_ms);
 }
 
-/* False when there is nothing to tell of the incarnation. */
-static bool load_of(const struct jt_incarnation *in, uint64_t now_ms,
-		    struct jt_endpoint_load *load)
+/* Fills @load; returns false if there is nothing to report. */
+static bool load_fill(const struct jt_incarnation *in, uint64_t now_ms,
+		      struct jt_endpoint_load *load)
 {
-	double work = jt_work_now(&in->work, now_ms) * JT_WORK_UNIT;
+	double recent = jt_work_now(&in->work, now_ms) * JT_WORK_UNIT;
 
 	*load = (struct jt_endpoint_load){
 		.label = in->label,
 		.flows = in->flows,
 		.work_permille =
-			work < UINT32_MAX ? (uint32_t)work : UINT32_MAX,
+			recent < UINT32_MAX ? (uint32_t)recent : UINT32_MAX,
 		.speed = jt_speed_told(&in->speed, now_ms),
 	};
 	return load->flows > 0 || load->work_permille > 0;
@@ -187,7 +187,7 @@
 	for (; in != NULL && count < JT_LOAD_LIMIT;
 	     in = jt_endpoint_table_next(in), index++) {
 		if (index >= director->loads_told &&
-		    load_of(in, now_ms, &loads[count]))
+		    load_fill(in, now_ms, &loads[count]))
 			count++;
 	}
 	director->loads_told = in != NULL ? index : 0;
--- a/src/label/jt_director_zones.c
+++ b/src/label/jt_director_zones.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-static void zone_take(struct jt_director *director,
-		      const struct jt_zone_drain *drain, uint64_t now_ms,
-		      struct jt_director_actions *actions)
+static void zone_drain_apply(struct jt_director *director,
+			     const struct jt_zone_drain *drain, uint64_t now_ms,
+			     struct jt_director_actions *actions)
 {
 	enum jt_director_action_kind kind = JT_DIRECTOR_ZONE_DRAINED;
 	const struct jt_zone_state *state = NULL;
@@ -29,20 +29,20 @@
 	action->revision = state->drain.revision;
 }
 
-/* The drain of a zone that a complete list does not hold has ended. */
-static void zone_end(struct jt_director *director,
-		     const struct jt_zone_state *state, uint64_t revision,
-		     uint64_t now_ms, struct jt_director_actions *actions)
+/* Ends the drain of a zone that a full listing does not contain. */
+static void zone_drain_end(struct jt_director *director,
+			   const struct jt_zone_state *state, uint64_t revision,
+			   uint64_t now_ms, struct jt_director_actions *actions)
 {
 	struct jt_zone_drain ended = state->drain;
 
 	ended.draining = false;
 	ended.revision = revision;
-	zone_take(director, &ended, now_ms, actions);
+	zone_drain_apply(director, &ended, now_ms, actions);
 }
 
-static bool zone_among(const struct jt_zone_drain *drains, size_t count,
-		       const char *zone)
+static bool drains_contain(const struct jt_zone_drain *drains, size_t count,
+			   const char *zone)
 {
 	for (size_t i = 0; i < count; i++) {
 		if (strcmp(drains[i].zone, zone) == 0)
@@ -59,16 +59,16 @@
 	size_t count = event->u.zones.count;
 
 	for (size_t i = 0; i < count; i++)
-		zone_take(director, &drains[i], event->now_ms, actions);
+		zone_drain_apply(director, &drains[i], event->now_ms, actions);
 	for (size_t i = 0;
 	     event->u.zones.complete && i < director->zone_drains.count; i++) {
 		const struct jt_zone_state *state =
 			&director->zone_drains.zones[i];
 
 		if (state->drain.draining &&
-		    !zone_among(drains, count, state->drain.zone))
-			zone_end(director, state, event->u.zones.revision,
-				 event->now_ms, actions);
+		    !drains_contain(drains, count, state->drain.zone))
+			zone_drain_end(director, state, event->u.zones.revision,
+				       event->now_ms, actions);
 	}
 }
 
@@ -81,6 +81,7 @@
 			&director->zone_drains.zones[i];
 
 		if (!state->told)
-			zone_end(director, state, revision, now_ms, actions);
+			zone_drain_end(director, state, revision, now_ms,
+				       actions);
 	}
 }
