--- a/src/label/jt_flow_cache.c
+++ b/src/label/jt_flow_cache.c
@@ -35,10 +35,10 @@
 					  const struct jt_flow_key *key)
 {
 	struct jt_cached_flow *found;
-	struct jt_flow_key plain;
+	struct jt_flow_key normalized;
 
-	jt_flow_key_copy(&plain, key);
-	HASH_FIND(hh, cache->flows, &plain, sizeof(plain), found);
+	jt_flow_key_copy(&normalized, key);
+	HASH_FIND(hh, cache->flows, &normalized, sizeof(normalized), found);
 	return found;
 }
 
--- a/src/label/jt_flow_cache.h
+++ b/src/label/jt_flow_cache.h
@@ -1,8 +1,8 @@
 /*
- * What a node remembers of the flows whose packets pass: soft state only. A
- * flow that is forgotten, or never seen here, is forwarded by its label.
+ * Cache of the flows that pass a node. It is soft state: a flow that is not
+ * cached is forwarded by its label.
  *
- * Bounded: the flow that rested longest gives way.
+ * The size is bounded: the flow idle for longest is evicted.
  */
 #ifndef JT_FLOW_CACHE_H
 #define JT_FLOW_CACHE_H
@@ -11,32 +11,36 @@
 
 #include <uthash.h>
 
+/* What a node knows of one flow. */
 struct jt_cached_flow {
 	struct jt_flow_key key;
 	uint32_t label;	       /* of its endpoint */
-	uint32_t sequence_end; /* first byte the caller has not sent yet */
-	uint32_t copies;       /* of its first packet that the caller sent */
-	uint64_t sent_ms;      /* when the caller last sent data, or again */
-	uint32_t acknowledged; /* highest that the caller acknowledged */
+	uint32_t sequence_end; /* next sequence expected from the client */
+	uint32_t copies;       /* SYN copies that the client has sent */
+	uint64_t sent_ms; /* when the client last sent or retransmitted data */
+	uint32_t acknowledged; /* highest acknowledgement of the client */
 	uint64_t first_seen_ms;
 	uint64_t seen_ms;
-	uint64_t waiting_ms;  /* since when a request waits, 0: none */
-	uint32_t answer_from; /* acknowledged when that request came */
-	/* When the caller last acknowledged more of an answer whose end is not
-	 * seen yet, 0: none is under way. */
+	uint64_t waiting_ms;  /* since when a request is pending; 0: none */
+	uint32_t answer_from; /* acknowledgement when that request arrived */
+	/* When the client last acknowledged more of a response that has not
+	 * ended yet; 0: no response is in progress. */
 	uint64_t answer_seen_ms;
-	uint32_t answer_took_ms; /* from the request to its first bytes */
-	bool answer_counted;	 /* it is long enough to be one that serves */
-	bool answer_lone;	 /* its first bytes were a single segment */
-	bool overdue;	     /* that request's answer is known to be overdue */
-	uint64_t opening_ms; /* when its first SYN came, 0: it is open */
-	bool placing;	     /* its request under way is the first one since
-			      * this node placed it */
-	bool expected;	     /* its first request counts as work already */
-	bool answered;	     /* got an answer after it had opened */
-	uint32_t resent;     /* times that the same data came again */
-	bool doubted;	     /* the endpoint was suspected for its silence */
-	bool closing;	     /* the caller has sent FIN */
+	/* From the request to the first response bytes. */
+	uint32_t answer_took_ms;
+	bool answer_counted; /* its response time has been recorded */
+	bool answer_lone;    /* first response bytes were a single segment */
+	bool overdue;	     /* the pending response is known to be overdue */
+	/* When its first SYN arrived; 0: the flow is open. */
+	uint64_t opening_ms;
+	/* The pending request is the first since this node assigned the flow.
+	 */
+	bool placing;
+	bool expected;	 /* the first request is already counted as load */
+	bool answered;	 /* a response arrived after the flow had opened */
+	uint32_t resent; /* retransmissions of the same data */
+	bool doubted;	 /* its endpoint was suspected for a missing SYN-ACK */
+	bool closing;	 /* the client has sent a FIN */
 	struct jt_cached_flow *newer, *older;
 	struct jt_cached_flow *opening_next, *opening_prev;
 	struct jt_cached_flow *waiting_next, *waiting_prev;
@@ -46,50 +50,54 @@
 
 struct jt_flow_cache {
 	struct jt_cached_flow *flows;	  /* hash by key */
-	struct jt_cached_flow *rested;	  /* list, longest at rest first */
+	struct jt_cached_flow *rested;	  /* list, longest idle first */
 	struct jt_cached_flow *opening;	  /* list, oldest first */
 	struct jt_cached_flow *waiting;	  /* list, oldest first; not overdue */
-	struct jt_cached_flow *answering; /* list, longest at rest first */
+	struct jt_cached_flow *answering; /* list, longest idle first */
 	size_t count;
 	size_t limit;
 };
 
-/* The key without padding bytes, which a hash must not read. */
+/* Copies the members of a key and zeroes its padding, which the hash covers. */
 void jt_flow_key_copy(struct jt_flow_key *to, const struct jt_flow_key *from);
+/* Creates a cache of at most @limit flows; returns NULL when out of memory. */
 struct jt_flow_cache *jt_flow_cache_create(TALLOC_CTX *mem_ctx, size_t limit);
+/* Returns the flow of @key; NULL if it is not cached. */
 struct jt_cached_flow *jt_flow_cache_find(const struct jt_flow_cache *cache,
 					  const struct jt_flow_key *key);
-/* A new flow, seen now. The key must be absent and the cache not full. NULL
- * when memory runs out. */
+/* Adds a flow seen now. The key must be absent and the cache not full. Returns
+ * NULL when out of memory. */
 struct jt_cached_flow *jt_flow_cache_add(struct jt_flow_cache *cache,
 					 const struct jt_flow_key *key,
 					 uint64_t now_ms);
-/* The flow's packet was seen now. */
+/* Records that a packet of the flow was seen now. */
 void jt_flow_cache_touch(struct jt_flow_cache *cache,
 			 struct jt_cached_flow *flow, uint64_t now_ms);
-/* Only a SYN of the flow was seen so far. */
+/* Marks the flow as opening: only SYNs were seen so far. */
 void jt_flow_cache_opening(struct jt_flow_cache *cache,
 			   struct jt_cached_flow *flow, uint64_t now_ms);
-/* The flow's endpoint has answered. */
+/* Marks the flow as open: its endpoint has responded. */
 void jt_flow_cache_opened(struct jt_flow_cache *cache,
 			  struct jt_cached_flow *flow);
-/* A request of the flow, which has none, waits for its answer from now on. */
+/* Records that a request of the flow, which has none pending, arrived now. */
 void jt_flow_cache_waits(struct jt_flow_cache *cache,
 			 struct jt_cached_flow *flow, uint64_t now_ms);
-/* The answer is overdue: noted once for each request. */
+/* Marks the pending response as overdue; called once per request. */
 void jt_flow_cache_overdue(struct jt_flow_cache *cache,
 			   struct jt_cached_flow *flow);
-/* The answer has come. */
+/* Marks the pending request as answered. */
 void jt_flow_cache_answered(struct jt_flow_cache *cache,
 			    struct jt_cached_flow *flow);
-/* The caller acknowledges the first bytes of an answer, or more of one. */
+/* Records that the client acknowledged the first or further response bytes. */
 void jt_flow_cache_answering(struct jt_flow_cache *cache,
 			     struct jt_cached_flow *flow, uint64_t now_ms);
-/* The answer is whole. */
+/* Marks the response as complete. */
 void jt_flow_cache_answer_end(struct jt_flow_cache *cache,
 			      struct jt_cached_flow *flow);
+/* Removes and frees the flow. */
 void jt_flow_cache_remove(struct jt_flow_cache *cache,
 			  struct jt_cached_flow *flow);
+/* Returns true if the cache has reached its limit. */
 bool jt_flow_cache_full(const struct jt_flow_cache *cache);
 
 #endif
--- a/src/label/jt_flow_lookup.c
+++ b/src/label/jt_flow_lookup.c
@@ -4,27 +4,27 @@
 #include <uthash.h>
 
 enum {
-	/* Messages that may be sent at once, and each second in the long run:
-	 * with their frames some 3 KB/s, of the 7 that a node has. */
+	/* Message budget: burst size and long-term rate per second. With frames
+	 * the rate is about 3 KB/s of a node's 7 KB/s. */
 	MESSAGES_BURST = 512,
 	MESSAGES_PER_S = 32,
-	LOOKUPS_MOST = 128, /* flows sought at once */
+	LOOKUPS_MAX = 128, /* concurrent lookups */
 	MS_PER_S = 1000,
 };
 
 struct flow_lookup {
 	struct jt_flow_key key;
 	struct jt_label_packet packet;
-	uint64_t began_ms;
-	size_t unanswered; /* peers */
-	bool over;	   /* one knew the flow, or none does */
+	uint64_t started_ms;
+	size_t pending_peers; /* peers that have not responded */
+	bool finished;	      /* a peer knew the flow, or all have responded */
 	UT_hash_handle hh;
 };
 
 struct jt_flow_lookups {
-	struct flow_lookup *flows; /* hash by key, in the order of time */
-	uint64_t budget;	   /* thousandths of a message */
-	uint64_t budget_ms;	   /* when it was last added to */
+	struct flow_lookup *flows; /* hash by key, oldest first */
+	uint64_t budget;	   /* in thousandths of a message */
+	uint64_t budget_ms;	   /* when the budget was last replenished */
 };
 
 static int lookups_destructor(struct jt_flow_lookups *lookups)
@@ -49,10 +49,10 @@
 				       const struct jt_flow_key *key)
 {
 	struct flow_lookup *found;
-	struct jt_flow_key plain;
+	struct jt_flow_key normalized;
 
-	jt_flow_key_copy(&plain, key);
-	HASH_FIND(hh, lookups->flows, &plain, sizeof(plain), found);
+	jt_flow_key_copy(&normalized, key);
+	HASH_FIND(hh, lookups->flows, &normalized, sizeof(normalized), found);
 	return found;
 }
 
@@ -63,24 +63,25 @@
 	talloc_free(lookup);
 }
 
-/* Those whose time is over; the oldest come first. */
+/* Removes lookups that have timed out; the oldest come first. */
 static void lookups_expire(struct jt_flow_lookups *lookups, uint64_t now_ms)
 {
 	struct flow_lookup *lookup = lookups->flows, *next;
 
-	for (; lookup != NULL && now_ms - lookup->began_ms >= JT_FLOW_LOOKUP_MS;
+	for (;
+	     lookup != NULL && now_ms - lookup->started_ms >= JT_FLOW_LOOKUP_MS;
 	     lookup = next) {
 		next = lookup->hh.next;
 		lookup_remove(lookups, lookup);
 	}
 }
 
-static void budget_add(struct jt_flow_lookups *lookups, uint64_t now_ms)
+static void budget_replenish(struct jt_flow_lookups *lookups, uint64_t now_ms)
 {
-	uint64_t passed_ms = now_ms - lookups->budget_ms;
+	uint64_t elapsed_ms = now_ms - lookups->budget_ms;
 
 	lookups->budget_ms = now_ms;
-	lookups->budget += passed_ms * MESSAGES_PER_S;
+	lookups->budget += elapsed_ms * MESSAGES_PER_S;
 	if (lookups->budget > MESSAGES_BURST * MS_PER_S)
 		lookups->budget = MESSAGES_BURST * MS_PER_S;
 }
@@ -91,17 +92,17 @@
 	struct flow_lookup *lookup;
 
 	lookups_expire(lookups, now_ms);
-	budget_add(lookups, now_ms);
+	budget_replenish(lookups, now_ms);
 	if (lookup_find(lookups, &packet->key) != NULL ||
 	    lookups->budget < MS_PER_S ||
-	    HASH_COUNT(lookups->flows) >= LOOKUPS_MOST)
+	    HASH_COUNT(lookups->flows) >= LOOKUPS_MAX)
 		return false;
 	lookup = talloc_zero(lookups, struct flow_lookup);
 	if (lookup == NULL)
 		return false;
 	jt_flow_key_copy(&lookup->key, &packet->key);
 	lookup->packet = *packet;
-	lookup->began_ms = now_ms;
+	lookup->started_ms = now_ms;
 	HASH_ADD(hh, lookups->flows, key, sizeof(lookup->key), lookup);
 	return true;
 }
@@ -113,12 +114,12 @@
 	struct flow_lookup *lookup = lookup_find(lookups, key);
 	uint64_t cost = peers * MS_PER_S;
 
-	budget_add(lookups, now_ms);
+	budget_replenish(lookups, now_ms);
 	lookups->budget -= cost < lookups->budget ? cost : lookups->budget;
 	if (lookup == NULL)
 		return;
-	lookup->unanswered = peers;
-	lookup->over = peers == 0;
+	lookup->pending_peers = peers;
+	lookup->finished = peers == 0;
 }
 
 bool jt_flow_lookup_waits(const struct jt_flow_lookups *lookups,
@@ -126,8 +127,8 @@
 {
 	const struct flow_lookup *lookup = lookup_find(lookups, key);
 
-	return lookup != NULL && !lookup->over &&
-	       now_ms - lookup->began_ms < JT_FLOW_LOOKUP_MS;
+	return lookup != NULL && !lookup->finished &&
+	       now_ms - lookup->started_ms < JT_FLOW_LOOKUP_MS;
 }
 
 const struct jt_label_packet *
@@ -140,8 +141,8 @@
 	if (!jt_flow_lookup_waits(lookups, key, now_ms) ||
 	    lookup->packet.sequence != sequence)
 		return NULL;
-	if (lookup->unanswered > 0)
-		lookup->unanswered--;
-	lookup->over = known || lookup->unanswered == 0;
+	if (lookup->pending_peers > 0)
+		lookup->pending_peers--;
+	lookup->finished = known || lookup->pending_peers == 0;
 	return &lookup->packet;
 }
--- a/src/label/jt_flow_lookup.h
+++ b/src/label/jt_flow_lookup.h
@@ -1,41 +1,40 @@
 /*
- * Flows that are sought at peers: a copy of a first packet came, and this node
- * saw none before. Either the network lost the first one, or routers have moved
- * the flow here from a node that may have placed it. Two endpoints that answer
- * one caller take its packets from each other, so the copy waits for a moment
- * until the peers that were asked have answered.
+ * Lookups of flows at peers, for a retransmitted SYN whose flow is unknown
+ * here. Either the first SYN was lost, or routers moved the flow from a node
+ * that may have assigned it. Two endpoints that respond to one client disrupt
+ * its flow, so the copy waits briefly for the peers' responses.
  *
- * Bounded: messages by a budget of their own, flows that are sought by number.
- * What goes beyond is placed at once.
+ * The messages are bounded by a budget, the lookups by number. Flows beyond
+ * these limits are assigned at once.
  *
- * Pure: times are the caller's, in milliseconds.
+ * The module has no clock: callers pass the time in milliseconds.
  */
 #ifndef JT_FLOW_LOOKUP_H
 #define JT_FLOW_LOOKUP_H
 
 #include "jaspertrack/director-t.h"
 
-/* Answers that take longer are not waited for. */
+/* Timeout of a lookup. */
 enum { JT_FLOW_LOOKUP_MS = 25 };
 
 struct jt_flow_lookups;
 
-/* NULL when memory runs out. */
+/* Returns NULL when out of memory. */
 struct jt_flow_lookups *jt_flow_lookups_create(TALLOC_CTX *mem_ctx);
-/* Seek the flow of @packet, a first one. False where the limits
- * forbid it, or it was sought a moment ago. */
+/* Starts a lookup for the flow of @packet, a SYN. Returns false if a limit is
+ * reached or the flow was looked up a moment ago. */
 bool jt_flow_lookup_begin(struct jt_flow_lookups *lookups,
 			  const struct jt_label_packet *packet,
 			  uint64_t now_ms);
-/* So many peers were asked for it. */
+/* Records that @peers peers were asked for the flow. */
 void jt_flow_lookup_asked(struct jt_flow_lookups *lookups,
 			  const struct jt_flow_key *key, size_t peers,
 			  uint64_t now_ms);
-/* Whether answers are still waited for. */
+/* Returns true if responses are still awaited. */
 bool jt_flow_lookup_waits(const struct jt_flow_lookups *lookups,
 			  const struct jt_flow_key *key, uint64_t now_ms);
-/* A peer has answered; @known: it has placed the flow. The packet that the flow
- * was sought for; NULL where it is not waited for any more. */
+/* Records a peer's response; @known: it has assigned the flow. Returns the
+ * packet that waits for the lookup; NULL if it no longer waits. */
 const struct jt_label_packet *
 jt_flow_lookup_answered(struct jt_flow_lookups *lookups,
 			const struct jt_flow_key *key, uint32_t sequence,
--- a/src/label/jt_flow_rate.c
+++ b/src/label/jt_flow_rate.c
@@ -6,17 +6,18 @@
 enum {
 	PERMILLE = 1000,
 	SECOND_MS = 1000,
-	/* Spacing of new flows, in hundredths of what the rate asks for:
-	 * packets may be under way for different times. */
+	/* Margin for varying network delay on the spacing of new flows, in
+	 * percent of the spacing that the rate requires. */
 	SPACING_PERCENT = 110,
-	/* New flows a second that one slot of an endpoint bears where nothing
-	 * better is known: requests of some 25 ms, one a flow. */
-	SLOT_FLOWS = 40,
-	/* Sets of nodes that may not know of each other, as after a cut. */
-	SETS = 2,
-	/* By then a node that has started knows most of the others: they gossip
-	 * fast for that long. */
-	SETTLE_MS = 3000,
+	/* New flows per second that one slot of an endpoint handles by default:
+	 * one request of about 25 ms per flow. */
+	SLOT_FLOWS_PER_S = 40,
+	/* Groups of nodes that may not know of each other, as in a network
+	 * partition. */
+	PARTITIONS = 2,
+	/* By then a started node knows most other nodes: they gossip at a
+	 * higher rate for this long. */
+	PEER_DISCOVERY_MS = 3000,
 };
 
 struct jt_flow_rate *
@@ -41,7 +42,7 @@
 	if (rate->known_since_ms == 0)
 		rate->known_since_ms = now_ms;
 	copy = talloc_realloc(rate, rate->peers, uint64_t, count + 1);
-	/* Without memory the nodes known so far stand in. */
+	/* When out of memory the nodes known so far are kept. */
 	if (copy == NULL)
 		return;
 	if (count > 0)
@@ -54,26 +55,27 @@
 			   const struct jt_incarnation *in, uint32_t permille,
 			   uint64_t now_ms)
 {
-	uint64_t bears = ((uint64_t)permille + PERMILLE - 1) / PERMILLE;
+	uint64_t accepted = ((uint64_t)permille + PERMILLE - 1) / PERMILLE;
 	uint64_t limit =
 		((uint64_t)permille * rate->overshoot_permille / PERMILLE +
 		 (uint64_t)rate->slack * PERMILLE) /
-		PERMILLE / SETS;
+		PERMILLE / PARTITIONS;
 
 	if (permille == 0 || now_ms >= in->cold_until_ms)
 		return JT_FLOW_RATE_ANY;
 	if (rate->known_since_ms == 0 ||
-	    now_ms - rate->known_since_ms < SETTLE_MS)
+	    now_ms - rate->known_since_ms < PEER_DISCOVERY_MS)
 		return 0;
-	return (uint32_t)(bears < limit ? bears : limit);
+	return (uint32_t)(accepted < limit ? accepted : limit);
 }
 
 uint32_t jt_flow_rate_learning(const struct jt_incarnation *in)
 {
-	return jt_incarnation_slots(in) * SLOT_FLOWS;
+	return jt_incarnation_slots(in) * SLOT_FLOWS_PER_S;
 }
 
-/* The order of nodes for an endpoint, different for each endpoint. */
+/* Rank of a node for an endpoint; each endpoint orders the nodes
+ * differently. */
 static uint64_t node_rank(uint64_t node_id, uint64_t endpoint_id)
 {
 	struct jt_random random = {.seed = node_id ^ endpoint_id};
@@ -81,18 +83,20 @@
 	return jt_random_next(&random);
 }
 
-/* Whether this node is among the first @count for the endpoint. */
-static bool among_first(const struct jt_flow_rate *rate, uint64_t endpoint_id,
-			uint64_t count)
+/* Returns true if this node is among the first @count nodes for the
+ * endpoint. */
+static bool ranked_within(const struct jt_flow_rate *rate, uint64_t endpoint_id,
+			  uint64_t count)
 {
-	uint64_t own = node_rank(rate->own_id, endpoint_id), before = 0;
+	uint64_t own = node_rank(rate->own_id, endpoint_id), lower = 0;
 
-	for (size_t i = 0; i < rate->peer_count && before < count; i++)
-		before += node_rank(rate->peers[i], endpoint_id) < own;
-	return before < count;
+	for (size_t i = 0; i < rate->peer_count && lower < count; i++)
+		lower += node_rank(rate->peers[i], endpoint_id) < own;
+	return lower < count;
 }
 
-/* Milliseconds between two new flows of one node that may send some. */
+/* Returns the minimum milliseconds between two new flows of one eligible
+ * node. */
 static uint64_t spacing_ms(const struct jt_flow_rate *rate, uint32_t per_s)
 {
 	uint64_t nodes = rate->peer_count + 1;
@@ -119,7 +123,7 @@
 	if (per_s == JT_FLOW_RATE_ANY)
 		return true;
 	return per_s > 0 && now_ms >= in->next_flow_ms &&
-	       among_first(rate, in->entry.id, per_s);
+	       ranked_within(rate, in->entry.id, per_s);
 }
 
 void jt_flow_rate_given(const struct jt_flow_rate *rate,
--- a/src/label/jt_flow_rate.h
+++ b/src/label/jt_flow_rate.h
@@ -1,58 +1,60 @@
 /*
- * How many new flows one endpoint gets in a second, over all nodes together.
+ * Rate limit of new flows to an endpoint, over all nodes together.
  *
- * Nodes agree on nothing; each works out from the nodes that it knows which few
- * of them may use an endpoint (rendezvous hashing), and one of those few sends
- * it a new flow at most once a second.
+ * Nodes don't coordinate. Each derives from the nodes that it knows which of
+ * them may use an endpoint (rendezvous hashing), and each of these sends it at
+ * most one new flow per second.
  *
- * Two cases need it. The routing may say what a cold endpoint of a service
- * bears: then the few are so few that two sets of nodes that know nothing of
- * each other stay within the limit. And while entries come back to the store,
- * the first endpoints that are known would get the flows of all.
+ * The limit applies in two cases: to cold endpoints of a service whose routing
+ * limits their rate, where two groups of nodes that don't know of each other
+ * still stay within the limit; and while entries return to the store, when the
+ * first known endpoints would otherwise receive the flows of all.
  */
 #ifndef JT_FLOW_RATE_H
 #define JT_FLOW_RATE_H
 
 #include "jt_endpoint_table.h"
 
-/* A rate that bounds nothing. */
+/* Unlimited rate. */
 enum { JT_FLOW_RATE_ANY = UINT32_MAX >> 1 };
 
 struct jt_flow_rate {
-	uint32_t overshoot_permille; /* of what a cold endpoint bears */
-	uint32_t slack;		     /* flows a second beyond that */
+	/* Multiple of a cold endpoint's accepted rate, in thousandths. */
+	uint32_t overshoot_permille;
+	uint32_t slack; /* additional flows per second */
 	uint64_t own_id;
-	uint64_t known_since_ms; /* this node has heard of peers since then */
+	uint64_t known_since_ms; /* when peers first became known */
 	uint64_t *peers;	 /* ids of the other live nodes */
 	size_t peer_count;
 };
 
+/* Returns NULL when out of memory. */
 struct jt_flow_rate *
 jt_flow_rate_create(TALLOC_CTX *mem_ctx,
 		    const struct jt_director_options *options);
-/* The nodes that live, as this one believes at @now_ms. */
+/* Sets the live nodes as known at @now_ms. */
 void jt_flow_rate_nodes(struct jt_flow_rate *rate, uint64_t own_id,
 			const uint64_t *peers, size_t count, uint64_t now_ms);
-/*
- * New flows a second that the incarnation may get from all nodes of one set
- * for its coldness. @permille: what a cold one bears, jt_routed_service.
- */
+/* Returns the new flows per second that the incarnation may get from all nodes
+ * of one group while it is cold. @permille: the rate that a cold one accepts,
+ * see jt_routed_service. */
 uint32_t jt_flow_rate_cold(const struct jt_flow_rate *rate,
 			   const struct jt_incarnation *in, uint32_t permille,
 			   uint64_t now_ms);
-/* The same while other endpoints may be missing: what its slots bear. */
+/* Returns the rate during the initial synchronisation, when other endpoints may
+ * be missing: what its slots can handle. */
 uint32_t jt_flow_rate_learning(const struct jt_incarnation *in);
-/* The incarnation has just come: nodes that all learn of it in one moment send
- * it their first flows one after the other. */
+/* Delays the first flow to a new incarnation by a different time at each node,
+ * because many nodes learn of it at the same moment. */
 void jt_flow_rate_spread(const struct jt_flow_rate *rate,
 			 struct jt_incarnation *in, uint32_t per_s,
 			 uint64_t now_ms);
-/* Whether this node may send the incarnation a new flow now, where it gets
- * @per_s a second. */
+/* Returns true if this node may send the incarnation a new flow now, given its
+ * rate of @per_s flows per second. */
 bool jt_flow_rate_allows(const struct jt_flow_rate *rate,
 			 const struct jt_incarnation *in, uint32_t per_s,
 			 uint64_t now_ms);
-/* It gets one. */
+/* Records that the incarnation was assigned a new flow. */
 void jt_flow_rate_given(const struct jt_flow_rate *rate,
 			struct jt_incarnation *in, uint32_t per_s,
 			uint64_t now_ms);
--- a/src/label/jt_work.c
+++ b/src/label/jt_work.c
@@ -2,20 +2,20 @@
 
 #include <math.h>
 
-/* A request counts for half after so many milliseconds. */
-#define HALF_MS 500.0
+/* Half-life of a request's weight, milliseconds. */
+#define HALF_LIFE_MS 500.0
 
 double jt_work_now(const struct jt_work *work, uint64_t now_ms)
 {
 	if (work->requests == 0 || now_ms <= work->as_of_ms)
 		return work->requests;
 	return work->requests *
-	       exp2(-(double)(now_ms - work->as_of_ms) / HALF_MS);
+	       exp2(-(double)(now_ms - work->as_of_ms) / HALF_LIFE_MS);
 }
 
 double jt_work_per_s(double requests)
 {
-	return requests * M_LN2 * 1000 / HALF_MS;
+	return requests * M_LN2 * 1000 / HALF_LIFE_MS;
 }
 
 void jt_work_add(struct jt_work *work, double requests, uint64_t now_ms)
