--- a/src/label/jt_answer_profile.c
+++ b/src/label/jt_answer_profile.c
@@ -4,30 +4,30 @@
 #include <math.h>
 #include <string.h>
 
-/* Where more than this part of a route's answers is short, that may be the
- * route's way; below, a short one counts the more the less usual it is. */
-#define SHORT_PART_MOST 0.25
-/* The usual length is one that this part of the answers does not exceed: also
- * where most of the first answers are failures, it is that of good ones. It
- * moves by such steps of its logarithm. */
+/* If a larger fraction of a route's responses is short, short ones may be
+ * normal for the route; below it, they count more the rarer they are. */
+#define SHORT_FRACTION_MAX 0.25
+/* The usual length is this quantile of the lengths, so that it is one of good
+ * responses even if most of the first ones are failures. It is adjusted by
+ * steps of its logarithm. */
 #define USUAL_QUANTILE 0.75
 #define LENGTH_STEP 0.05
 
 enum {
-	/* The longest of the first answers is the first idea of what is usual;
-	 * fewer answers than the other tell nothing of failures. */
-	FIRST = 8,
-	LEARN_LEAST = 24,
-	/* The part of short ones changes slowly after so many, so that trouble
-	 * at some endpoints does not become usual before somebody has looked
-	 * after it. */
-	USUAL_ANSWERS = 48,
-	SHORT_MS = 60 * 1000,
-	/* Shorter than the usual by this factor is short, and by so many
-	 * thousandths where it also came so many times sooner. */
-	SHORT_TIMES = 3,
+	/* The usual length starts as the longest of this many responses. */
+	INITIAL_RESPONSES = 8,
+	/* Responses needed before failures are detected. */
+	LEARN_MIN_RESPONSES = 24,
+	/* After this many responses the short fraction is averaged over time,
+	 * so that failures of some endpoints don't soon count as usual. */
+	AVERAGED_RESPONSES = 48,
+	SHORT_FRACTION_MS = 60 * 1000,
+	/* A response is short if it is SHORT_FACTOR times shorter than usual,
+	 * or SHORT_FAST_PERMILLE / 1000 times shorter and FAST_FACTOR times
+	 * faster. */
+	SHORT_FACTOR = 3,
 	SHORT_FAST_PERMILLE = 1500,
-	FAST_TIMES = 4,
+	FAST_FACTOR = 4,
 };
 
 static int profiles_destructor(struct jt_answer_profiles *profiles)
@@ -92,14 +92,14 @@
 {
 	double usual = exp(profile->log_bytes);
 
-	if (bytes * (double)SHORT_TIMES < usual)
+	if (bytes * (double)SHORT_FACTOR < usual)
 		return true;
 	return bytes * (double)SHORT_FAST_PERMILLE < usual * 1000 &&
-	       (double)took_ms * FAST_TIMES < profile->took_ms;
+	       (double)took_ms * FAST_FACTOR < profile->took_ms;
 }
 
-/* The part of short answers, and what chance may have left out of it. */
-static double short_part_most(const struct jt_answer_profile *profile)
+/* Returns the upper confidence bound of the short fraction. */
+static double short_fraction_bound(const struct jt_answer_profile *profile)
 {
 	double part = profile->short_part;
 
@@ -108,31 +108,33 @@
 
 double jt_answer_failure(const struct jt_answer_profile *profile)
 {
-	double unusual;
+	double confidence;
 
-	if (profile->answers < LEARN_LEAST)
+	if (profile->answers < LEARN_MIN_RESPONSES)
 		return 0;
-	unusual = 1 - short_part_most(profile) / SHORT_PART_MOST;
-	return unusual > JT_FAILURE_UNSURE ? unusual : JT_FAILURE_UNSURE;
+	confidence = 1 - short_fraction_bound(profile) / SHORT_FRACTION_MAX;
+	return confidence > JT_FAILURE_UNSURE ? confidence : JT_FAILURE_UNSURE;
 }
 
-/* The part that the answer in hand has in what changes slowly. */
-static double slow_part(const struct jt_answer_profile *profile,
-			uint64_t now_ms)
+/* Returns the weight of the current response in slowly changing averages. */
+static double slow_weight(const struct jt_answer_profile *profile,
+			  uint64_t now_ms)
 {
-	double part = (double)(now_ms - profile->learned_ms) / SHORT_MS;
+	double part =
+		(double)(now_ms - profile->learned_ms) / SHORT_FRACTION_MS;
 
 	return part < 1 ? part : 1;
 }
 
-/* Short answers change what is usual as well, but slowly: the route may have
- * got another way of answering for good. */
-static void length_learn(struct jt_answer_profile *profile, double log_bytes,
-			 bool is_short, double slow)
+/* Updates the usual length. Short responses change it slowly, because the
+ * route's responses may have become shorter permanently. */
+static void length_update(struct jt_answer_profile *profile, double log_bytes,
+			  bool is_short, double slow)
 {
 	if (is_short)
 		profile->log_bytes += (log_bytes - profile->log_bytes) * slow;
-	else if (log_bytes > profile->log_bytes && profile->answers < FIRST)
+	else if (log_bytes > profile->log_bytes &&
+		 profile->answers < INITIAL_RESPONSES)
 		profile->log_bytes = log_bytes;
 	else if (log_bytes > profile->log_bytes)
 		profile->log_bytes += LENGTH_STEP * USUAL_QUANTILE;
@@ -144,11 +146,11 @@
 		     uint64_t took_ms, uint64_t now_ms)
 {
 	bool is_short = jt_answer_is_short(profile, bytes, took_ms);
-	double slow = slow_part(profile, now_ms), part;
+	double slow = slow_weight(profile, now_ms), part;
 
 	profile->learned_ms = now_ms;
-	length_learn(profile, log(bytes > 0 ? bytes : 1), is_short, slow);
-	if (profile->answers < USUAL_ANSWERS) {
+	length_update(profile, log(bytes > 0 ? bytes : 1), is_short, slow);
+	if (profile->answers < AVERAGED_RESPONSES) {
 		profile->answers++;
 		slow = 1.0 / profile->answers;
 	}
--- a/src/label/jt_answer_profile.h
+++ b/src/label/jt_answer_profile.h
@@ -1,10 +1,11 @@
 /*
- * What the answers of a route are like: how long they usually are, and how
- * often a far shorter one comes. A refusal or an error is a page of a few dozen
- * bytes, and a node sees of an answer only how many bytes the caller
- * acknowledges. Where short answers are nothing unusual they say nothing.
+ * Response profile of a route: the usual response length and the fraction of
+ * much shorter ones. A node sees only how many bytes of a response the client
+ * acknowledges, and a rejection or error is a page of a few dozen bytes. Where
+ * short responses are common they don't indicate failures.
  *
- * The time alone says nothing either: one that answers fast may just be free.
+ * The response time alone is no indication either: a fast endpoint may just be
+ * idle.
  */
 #ifndef JT_ANSWER_PROFILE_H
 #define JT_ANSWER_PROFILE_H
@@ -13,17 +14,17 @@
 
 #include <uthash.h>
 
-/* Of the answers of one service on one route. */
+/* Profile of the responses of one service on one route. */
 struct jt_answer_profile {
 	struct {
 		struct jt_address address; /* of the route */
 		uint32_t service_id;
 	} key;
-	uint32_t answers;    /* seen so far, up to a limit */
-	uint64_t learned_ms; /* the last one */
-	double log_bytes;    /* smoothed logarithm of usual lengths */
-	double took_ms;	     /* smoothed time of usual answers */
-	double short_part;   /* of all answers, over some minutes */
+	uint32_t answers;    /* number of responses, up to a limit */
+	uint64_t learned_ms; /* time of the last update */
+	double log_bytes;    /* smoothed logarithm of the usual length */
+	double took_ms;	     /* smoothed time of usual responses */
+	double short_part;   /* fraction of short responses, over a minute */
 	UT_hash_handle hh;
 };
 
@@ -31,25 +32,29 @@
 	struct jt_answer_profile *profiles; /* hash by key */
 };
 
+/* Returns NULL when out of memory. */
 struct jt_answer_profiles *jt_answer_profiles_create(TALLOC_CTX *mem_ctx);
-/* NULL when memory runs out. */
+/* Returns the profile, creating it if needed; NULL when out of memory. */
 struct jt_answer_profile *
 jt_answer_profiles_find(struct jt_answer_profiles *profiles,
 			const struct jt_route *route, uint32_t service_id);
-/* Forget what is known of routes that @routing has no more. */
+/* Removes the profiles of routes that are not in @routing. */
 void jt_answer_profiles_prune(struct jt_answer_profiles *profiles,
 			      const struct jt_routing *routing);
 
-/* Whether an answer of so many bytes, after that time, is far shorter than the
- * usual one, as far as that is known. */
+/* Returns true if a response of @bytes after @took_ms is much shorter than
+ * usual. */
 bool jt_answer_is_short(const struct jt_answer_profile *profile, uint32_t bytes,
 			uint64_t took_ms);
-/* How surely a short answer is a failure, up to 1; 0 before enough is known.
- * JT_FAILURE_UNSURE where short ones are common: that still shows an endpoint
- * which has nothing else, and says little of others. */
+/*
+ * Returns the probability, up to 1, that a short response is a failure; 0 while
+ * there are too few responses. JT_FAILURE_UNSURE where short ones are common:
+ * enough to detect an endpoint that sends nothing else, with little effect on
+ * others.
+ */
 #define JT_FAILURE_UNSURE 0.2
 double jt_answer_failure(const struct jt_answer_profile *profile);
-/* Learn from a whole answer. */
+/* Updates the profile with a complete response. */
 void jt_answer_learn(struct jt_answer_profile *profile, uint32_t bytes,
 		     uint64_t took_ms, uint64_t now_ms);
 
--- a/src/label/jt_latency.c
+++ b/src/label/jt_latency.c
@@ -1,6 +1,6 @@
 #include "jt_latency.h"
 
-/* Bounds of the buckets in milliseconds; the last stands for no bound. */
+/* Bucket bounds in milliseconds; the last one stands for infinity. */
 static const double bounds_ms[] = {0,	5,    10,   20,	  50,	 100, 200,
 				   500, 1000, 2000, 5000, 10000, 1e12};
 
@@ -41,12 +41,12 @@
 }
 
 uint64_t jt_latency_up_to(const struct jt_latency *latency, size_t index,
-			  uint64_t *most_ms)
+			  uint64_t *bound_ms)
 {
 	double sum = 0;
 
 	for (size_t i = 0; i <= index; i++)
 		sum += gsl_histogram_get(latency->histogram, i);
-	*most_ms = index + 2 < BOUNDS ? (uint64_t)bounds_ms[index + 1] : 0;
+	*bound_ms = index + 2 < BOUNDS ? (uint64_t)bounds_ms[index + 1] : 0;
 	return (uint64_t)sum;
 }
--- a/src/label/jt_latency.h
+++ b/src/label/jt_latency.h
@@ -1,7 +1,5 @@
-/*
- * How long requests took, in a histogram of GSL: from the request's bytes to
- * the caller's acknowledgement of the answer, as this node sees it.
- */
+/* Histogram of response times, from the arrival of a request to the client's
+ * acknowledgement of the response, as seen by this node. */
 #ifndef JT_LATENCY_H
 #define JT_LATENCY_H
 
@@ -11,19 +9,20 @@
 #include <talloc.h>
 
 struct jt_latency {
-	gsl_histogram *histogram; /* of milliseconds */
+	gsl_histogram *histogram; /* in milliseconds */
 	double sum_ms;
 	uint64_t count;
 };
 
-/* NULL when memory runs out. */
+/* Returns NULL when out of memory. */
 struct jt_latency *jt_latency_create(TALLOC_CTX *mem_ctx);
+/* Records a response time of @took_ms milliseconds. */
 void jt_latency_add(struct jt_latency *latency, uint64_t took_ms);
-/* How many buckets there are; the last one holds all that took longer. */
+/* Returns the number of buckets; the last one is unbounded. */
 size_t jt_latency_buckets(const struct jt_latency *latency);
-/* Requests that took @most_ms of bucket @index at the most; the last bucket
- * has no bound, and @most_ms is 0. */
+/* Returns the cumulative count of bucket @index and sets @bound_ms to its upper
+ * bound; 0 for the last bucket. */
 uint64_t jt_latency_up_to(const struct jt_latency *latency, size_t index,
-			  uint64_t *most_ms);
+			  uint64_t *bound_ms);
 
 #endif
--- a/src/label/jt_serve_budget.h
+++ b/src/label/jt_serve_budget.h
@@ -1,8 +1,6 @@
-/*
- * How much a node tells peers that are behind: as much as half of its link
- * carries. Beyond that it refuses at once, and who asks turns to another peer;
- * an answer that waits behind many others comes too late for all of them.
- */
+/* Budget for state snapshots sent to peers that are behind: half of the link.
+ * Requests beyond it are rejected at once, so that the peer can ask another
+ * node instead of waiting for a late response. */
 #ifndef JT_SERVE_BUDGET_H
 #define JT_SERVE_BUDGET_H
 
@@ -11,15 +9,17 @@
 #include <stdint.h>
 
 struct jt_serve_budget {
-	uint64_t bytes_per_ms;	/* may be told; 0: any number */
-	uint64_t busy_until_ms; /* the link carries earlier answers so long */
+	uint64_t bytes_per_ms; /* 0: unlimited */
+	/* Until then the link transmits earlier snapshots. */
+	uint64_t busy_until_ms;
 };
 
+/* Sets the budget for a link of @link_mbps Mbit/s; 0: unlimited. */
 void jt_serve_budget_init(struct jt_serve_budget *budget, uint32_t link_mbps);
-/* Whether one more answer may be given. */
+/* Returns true if another snapshot may be sent. */
 bool jt_serve_budget_allows(const struct jt_serve_budget *budget,
 			    uint64_t now_ms);
-/* An answer of so many bytes was given. */
+/* Records that a snapshot of @bytes was sent. */
 void jt_serve_budget_given(struct jt_serve_budget *budget, size_t bytes,
 			   uint64_t now_ms);
 
