--- a/include/jaspertrack/director-t.h
+++ b/include/jaspertrack/director-t.h
@@ -75,7 +75,7 @@
 	uint32_t cold_left_ms; /* remaining slow-start time */
 	uint64_t revision;     /* revision of the discovery entry */
 	uint64_t created;      /* revision that created the entry; 0: unknown */
-	/* revision that removed the entry; 0: present */
+	/* Revision that removed the entry; 0: present. */
 	uint64_t gone_revision;
 	/* The entry still exists, but its revision gone_revision can't be
 	 * decoded. */
@@ -100,7 +100,7 @@
 struct jt_endpoint_load {
 	uint32_t label;
 	uint32_t flows;
-	/* decayed count of recent requests, in thousandths */
+	/* Decayed count of recent requests, in thousandths. */
 	uint32_t work_permille;
 	uint32_t speed; /* encoded by jt_speed_told() */
 };
@@ -119,7 +119,7 @@
 /* The state of an incarnation as seen by this node. */
 enum jt_incarnation_state {
 	JT_INCARNATION_READY,
-	/* announced that it leaves: accepts no new flows */
+	/* Announced that it leaves: accepts no new flows. */
 	JT_INCARNATION_DRAINING,
 	JT_INCARNATION_LAPSED, /* entry removed; may still be serving */
 	JT_INCARNATION_DEAD,   /* declared dead: its flows are reset */
@@ -179,7 +179,7 @@
 	JT_DIRECTOR_SLICES_TOLD,
 	JT_DIRECTOR_NEWS, /* gossip updates up to a revision were received */
 	JT_DIRECTOR_SUSPICION, /* a peer declared the endpoint dead */
-	/* a peer reports overdue responses of the endpoint */
+	/* A peer reports overdue responses of the endpoint. */
 	JT_DIRECTOR_OVERDUE,
 	JT_DIRECTOR_FAILURES_TOLD, /* a peer's failure report */
 	JT_DIRECTOR_IDENTIFIED,	   /* which endpoint responds at an address */
@@ -219,17 +219,17 @@
 			uint32_t first; /* first slice */
 			uint32_t end;	/* one past the last slice */
 			uint64_t revision;
-			/* ids of the received endpoints, sorted */
+			/* Ids of the received endpoints, sorted. */
 			const uint64_t *ids;
 			size_t count;
 		} slices;
 		struct {
-			/* covers all entries changed after it */
+			/* Covers all entries changed after it. */
 			uint64_t since;
 			uint64_t revision;
-			/* in force at the sending peer */
+			/* In force at the sending peer. */
 			uint64_t routing_version;
-			/* listing gap in the peer's state */
+			/* Listing gap in the peer's state. */
 			struct jt_list_gap gap;
 		} news;
 		struct {
@@ -244,7 +244,7 @@
 		struct {
 			uint64_t id; /* the requested endpoint */
 			uint64_t born_ms;
-			/* id of the endpoint that responded; 0: none */
+			/* Id of the endpoint that responded; 0: none. */
 			uint64_t found;
 		} identified;
 		struct {
@@ -276,7 +276,7 @@
 			uint64_t node_id; /* id of this node */
 			const uint64_t *peers; /* other live nodes */
 			size_t peer_count;
-			/* age of the newest complete state of the store */
+			/* Age of the newest complete state of the store. */
 			uint64_t store_age_ms;
 		} tick;
 	} u;
@@ -289,13 +289,13 @@
 	JT_DIRECTOR_HOLD,     /* queue the current packet and retry it later */
 	JT_DIRECTOR_PROBE,    /* open a connection to an endpoint */
 	JT_DIRECTOR_IDENTIFY, /* ask which endpoint responds at an address */
-	/* an endpoint was declared dead: report to peers */
+	/* An endpoint was declared dead: report to peers. */
 	JT_DIRECTOR_VERDICT,
-	/* responses of an endpoint are overdue: report to peers */
+	/* Responses of an endpoint are overdue: report to peers. */
 	JT_DIRECTOR_FAILING,
 	JT_DIRECTOR_FAILURES,	   /* send jt_director_failures() to peers */
 	JT_DIRECTOR_SHARE_REDUCED, /* an endpoint's traffic share was reduced */
-	/* an endpoint's full traffic share was restored */
+	/* An endpoint's full traffic share was restored. */
 	JT_DIRECTOR_SHARE_RESTORED,
 	JT_DIRECTOR_REVIVED,	   /* an endpoint declared dead is alive */
 	JT_DIRECTOR_RESTARTED,	   /* an endpoint restarted under the same id */
@@ -303,7 +303,7 @@
 	JT_DIRECTOR_ZONE_DRAINED,  /* a zone drain began */
 	JT_DIRECTOR_ZONE_RESTORED, /* a zone drain ended */
 	JT_DIRECTOR_SERVICE_FULL,  /* admission control limits a service */
-	/* admission control no longer limits a service */
+	/* Admission control no longer limits a service. */
 	JT_DIRECTOR_SERVICE_FREE,
 	JT_DIRECTOR_FLOW_ASK, /* look up the packet's flow at peers */
 };
@@ -319,7 +319,7 @@
 	JT_DIRECTOR_UNKNOWN_LABEL, /* no known endpoint has this label */
 	JT_DIRECTOR_NO_LABEL,	   /* not a SYN and without a label */
 	JT_DIRECTOR_FORGED,	   /* SYN-ACK, which only endpoints send */
-	/* all endpoints are at their connection limit */
+	/* All endpoints are at their connection limit. */
 	JT_DIRECTOR_NO_CAPACITY,
 	JT_DIRECTOR_NOT_STARTED, /* routing or endpoints not yet received */
 	JT_DIRECTOR_NO_ZONE,	 /* the zones of all endpoints are drained */
@@ -357,7 +357,7 @@
 	uint64_t age_ms;     /* time since the endpoint's entry was received */
 	uint64_t version;    /* of the routing in force */
 	uint32_t service_id; /* of the endpoint */
-	bool peers_know; /* verdict: a peer has already reported the death */
+	bool peers_know;     /* death report: already sent by a peer */
 	/* Share reduced or restored, in thousandths: the traffic share,
 	 * recently failed and served requests, and the failure rate of the
 	 * better endpoints of the service. */
@@ -365,7 +365,7 @@
 	uint32_t failed_permille;
 	uint32_t served_permille;
 	uint32_t usual_permille;
-	/* drained or restored zone; valid until the next event */
+	/* Drained or restored zone; valid until the next event. */
 	const char *zone;
 	struct jt_director_room room; /* overloaded; service full or free */
 };
@@ -404,11 +404,11 @@
 	size_t flow_limit;	    /* cached flows */
 	size_t endpoint_limit;	    /* known incarnations */
 	uint64_t flow_age_limit_ms; /* maximum lifetime of a flow */
-	/* an expired endpoint stays eligible as a fallback for this long */
+	/* An expired endpoint stays eligible as a fallback for this long. */
 	uint32_t lapsed_grace_ms;
 	/* The same for an endpoint that expired during a store outage. */
 	uint32_t returned_grace_ms;
-	/* the store is unreachable when its state is older */
+	/* The store is unreachable when its state is older. */
 	uint32_t store_away_ms;
 	uint32_t probe_pause_ms; /* between probes of one endpoint */
 	uint32_t dead_probe_pause_ms;
@@ -435,7 +435,7 @@
 	uint64_t unreadable; /* entries that can no longer be decoded */
 	uint64_t suspicions;
 	uint64_t routing_refused; /* versions not above the one in force */
-	/* older than the known entry, or table full */
+	/* Entries older than the known one, or beyond the table limit. */
 	uint64_t entries_refused;
 	uint64_t resent;	 /* retransmitted packets */
 	uint64_t overdue;	 /* requests with overdue responses */
--- a/include/jaspertrack/director.h
+++ b/include/jaspertrack/director.h
@@ -21,7 +21,9 @@
 			struct jt_director_event *event,
 			struct jt_director_actions *actions);
 
+/* Returns an empty action list; NULL when out of memory. */
 struct jt_director_actions *jt_director_actions_create(TALLOC_CTX *mem_ctx);
+/* Empties the list but keeps its memory. */
 void jt_director_actions_clear(struct jt_director_actions *actions);
 
 /* Returns true once routing and endpoints are known: held packets may be
@@ -39,6 +41,7 @@
 /* Accessors for drivers; returned pointers are valid until the next event. */
 const struct jt_routing *
 jt_director_routing(const struct jt_director *director);
+/* Returns the event counters since the start. */
 const struct jt_director_counters *
 jt_director_counters(const struct jt_director *director);
 /* Returns the response times of answered requests. */
@@ -103,6 +106,7 @@
 /* Returns the label of an endpoint without a start time. */
 uint32_t jt_flow_label(uint64_t endpoint_id);
 
+/* Return the names used in logs and metrics. */
 const char *jt_director_reason_name(enum jt_director_reason reason);
 const char *jt_incarnation_state_name(enum jt_incarnation_state state);
 const char *jt_death_cause_name(enum jt_death_cause cause);
