--- a/src/label/jt_director_private.h
+++ b/src/label/jt_director_private.h
@@ -19,10 +19,10 @@
 
 struct jt_director {
 	struct jt_director_options options;
-	/* talloc child; NULL until received */
+	/* Talloc child; NULL until received. */
 	const struct jt_routing *routing;
 	uint64_t started_ms; /* when the endpoints became known */
-	/* end of the last store outage; 0: none */
+	/* Last time at which the store was unreachable; 0: never. */
 	uint64_t store_away_until_ms;
 	uint64_t openings_ms; /* last check for overdue SYN responses */
 	double open_ms;	      /* smoothed response time of SYNs */
@@ -45,7 +45,7 @@
 	struct jt_failure_news failure_news;
 	struct jt_peer_loads *peer_loads;
 	struct jt_random random;
-	/* table index at which the next load report starts */
+	/* Table index at which the next load report starts. */
 	size_t loads_told;
 	struct jt_director_counters counters;
 };
