--- a/include/jaspertrack/director-t.h
+++ b/include/jaspertrack/director-t.h
@@ -380,19 +380,19 @@
 /* Faults that tests inject to verify that the checks detect them. */
 enum jt_director_break {
 	JT_DIRECTOR_BREAK_NONE = 0,
-	JT_DIRECTOR_BREAK_GUESS_DEATH =
-		1 << 0, /* declares silent endpoints dead */
+	/* Declares silent endpoints dead. */
+	JT_DIRECTOR_BREAK_GUESS_DEATH = 1 << 0,
 	JT_DIRECTOR_BREAK_NO_DETECTOR = 1 << 1, /* never declares death */
 	JT_DIRECTOR_BREAK_VERSION = 1 << 2,	/* accepts older routing */
-	JT_DIRECTOR_BREAK_PLACE_COPIES =
-		1 << 3, /* reassigns retransmitted SYNs */
-	JT_DIRECTOR_BREAK_DRAINING = 1
-				     << 4, /* assigns flows to draining ones */
-	JT_DIRECTOR_BREAK_FORGET_GONE = 1 << 5, /* forgets removed entries */
-	JT_DIRECTOR_BREAK_STALE_ENTRY = 1 << 6, /* accepts older entries */
-	JT_DIRECTOR_BREAK_ZONE_DRAIN = 1 << 7,	/* ignores zone drains */
-	JT_DIRECTOR_BREAK_COLD = 1 << 8,  /* no rate limit for cold ones */
-	JT_DIRECTOR_BREAK_BIRTH = 1 << 9, /* ignores start times */
+	/* Reassigns retransmitted SYNs. */
+	JT_DIRECTOR_BREAK_PLACE_COPIES = 1 << 3,
+	/* Assigns flows to draining endpoints. */
+	JT_DIRECTOR_BREAK_DRAINING = 1 << 4,
+	JT_DIRECTOR_BREAK_FORGET_GONE = 1 << 5,	   /* forgets removed entries */
+	JT_DIRECTOR_BREAK_STALE_ENTRY = 1 << 6,	   /* accepts older entries */
+	JT_DIRECTOR_BREAK_ZONE_DRAIN = 1 << 7,	   /* ignores zone drains */
+	JT_DIRECTOR_BREAK_COLD = 1 << 8,	   /* no cold rate limit */
+	JT_DIRECTOR_BREAK_BIRTH = 1 << 9,	   /* ignores start times */
 	JT_DIRECTOR_BREAK_REFUSE_PLACED = 1 << 10, /* rejects assigned flows */
 	/* Resets flows at endpoints with a reduced traffic share. */
 	JT_DIRECTOR_BREAK_END_FAILING = 1 << 11,
--- a/src/label/jt_flow_cache.h
+++ b/src/label/jt_flow_cache.h
@@ -33,8 +33,7 @@
 	bool overdue;	     /* the pending response is known to be overdue */
 	/* When its first SYN arrived; 0: the flow is open. */
 	uint64_t opening_ms;
-	/* The pending request is the first since this node assigned the flow.
-	 */
+	/* The pending request is the first since the flow was assigned. */
 	bool placing;
 	bool expected;	 /* the first request is already counted as load */
 	bool answered;	 /* a response arrived after the flow had opened */
