--- a/src/label/jt_director_incarnation.h
+++ b/src/label/jt_director_incarnation.h
@@ -27,7 +27,7 @@
 				     uint64_t now_ms,
 				     struct jt_director_actions *actions);
 /* Assigns the address of @updated, whose entry is new, to the incarnation with
- * the newest entry; the previous owners of the address are dead. */
+ * the newest entry and declares the others at that address dead. */
 void jt_director_address_settle(struct jt_director *director,
 				struct jt_incarnation *updated, uint64_t now_ms,
 				struct jt_director_actions *actions);
