--- a/src/label/jt_choose.c
+++ b/src/label/jt_choose.c
@@ -11,9 +11,9 @@
 #include <string.h>
 
 enum {
-	/* Load of an endpoint of another zone must be this much lower, in
-	 * thousandths of the load of one of the own zone. */
-	REMOTE_PERMILLE = 1500,
+	/* A remote endpoint's load is multiplied by this, in thousandths,
+	 * before it is compared with a local one's. */
+	REMOTE_LOAD_PERMILLE = 1500,
 };
 
 struct jt_chooser *jt_chooser_create(TALLOC_CTX *mem_ctx,
@@ -53,12 +53,12 @@
 	return incarnation->flows + mean * (double)(chooser->nodes - 1);
 }
 
-/* Whether a ready incarnation holds as many flows, by this node's count of all
- * nodes', as its service allows; a limit of 0 allows any number. */
-static bool incarnation_full(const struct jt_chooser *chooser,
-			     const struct jt_incarnation *in,
-			     const struct jt_routed_service *service,
-			     uint64_t now_ms)
+/* Returns true if a ready incarnation has reached its service's connection
+ * limit, by the estimated flows of all nodes. A limit of 0 means no limit. */
+static bool incarnation_at_limit(const struct jt_chooser *chooser,
+				 const struct jt_incarnation *in,
+				 const struct jt_routed_service *service,
+				 uint64_t now_ms)
 {
 	uint32_t connection_limit = service->connection_limit;
 
@@ -67,42 +67,43 @@
 	       jt_chooser_flows(chooser, in, now_ms) >= connection_limit;
 }
 
-/* How willing an incarnation is to take a new flow; lower is better. */
-enum willingness { WILLING, SUSPECTED, FULL, LAST_RESORT, UNWILLING };
+/* Eligibility of an incarnation for a new flow, best first. */
+enum eligibility { ELIGIBLE, SUSPECTED, AT_CAPACITY, LAST_RESORT, INELIGIBLE };
 
-/* Of one that may take new flows: whether something speaks against it. */
-static enum willingness suspected_or_willing(const struct jt_incarnation *in,
-					     uint64_t now_ms)
+/* Returns SUSPECTED if local evidence or a peer's death report speaks against
+ * the incarnation, ELIGIBLE otherwise. */
+static enum eligibility suspected_or_eligible(const struct jt_incarnation *in,
+					      uint64_t now_ms)
 {
 	if (in->suspected_ms != 0 || now_ms < in->avoid_until_ms ||
 	    jt_detector_peer_found_dead(in, now_ms))
 		return SUSPECTED;
-	return WILLING;
+	return ELIGIBLE;
 }
 
-/*
- * An entry that went while the store was away says little: live endpoints are
- * back soon after it, and one that answers is as good as before. Otherwise the
- * endpoint has crashed or is leaving.
- */
-static enum willingness lapsed_willing(const struct jt_chooser *chooser,
-				       const struct jt_incarnation *in,
-				       uint64_t now_ms)
+/* Eligibility of an incarnation whose discovery entry has expired. Entries
+ * that expired during an outage of the store are usually renewed soon after
+ * it, and an endpoint that still answers stays eligible. Otherwise the
+ * endpoint has probably crashed or is shutting down. */
+static enum eligibility expired_eligibility(const struct jt_chooser *chooser,
+					    const struct jt_incarnation *in,
+					    uint64_t now_ms)
 {
 	uint32_t grace_ms = in->away_lapsed ? chooser->returned_grace_ms
 					    : chooser->lapsed_grace_ms;
 
 	if (in->entry.draining || in->entry.unreadable ||
 	    now_ms - in->state_ms >= grace_ms)
-		return UNWILLING;
+		return INELIGIBLE;
 	if (!jt_incarnation_outlives(in, now_ms))
 		return LAST_RESORT;
-	return suspected_or_willing(in, now_ms);
+	return suspected_or_eligible(in, now_ms);
 }
 
-/* Whether entries may be missing, so that the few known endpoints share the
- * flows by what they bear. */
-static bool is_learning(const struct jt_chooser *chooser, uint64_t now_ms)
+/* Returns true during the initial synchronisation, when only some endpoints
+ * may be known and their new flows are limited by their capacity. */
+static bool initial_sync_active(const struct jt_chooser *chooser,
+				uint64_t now_ms)
 {
 	return now_ms < chooser->learning_until_ms &&
 	       jt_mechanism_on(chooser->without, JT_MECHANISM_SPREAD_LEARNING);
@@ -111,12 +112,13 @@
 void jt_chooser_spread(const struct jt_chooser *chooser,
 		       struct jt_incarnation *newcomer, uint64_t now_ms)
 {
-	if (is_learning(chooser, now_ms))
+	if (initial_sync_active(chooser, now_ms))
 		jt_flow_rate_spread(chooser->rate, newcomer,
 				    jt_flow_rate_learning(newcomer), now_ms);
 }
 
-/* New flows a second that the incarnation may get from all nodes. */
+/* Returns the limit of new flows per second to the incarnation from all
+ * nodes. */
 static uint32_t incarnation_rate(const struct jt_chooser *chooser,
 				 const struct jt_incarnation *in,
 				 const struct jt_routed_service *service,
@@ -127,13 +129,14 @@
 	if (!(chooser->break_mechanism & JT_DIRECTOR_BREAK_COLD))
 		per_s = jt_flow_rate_cold(chooser->rate, in,
 					  service->cold_permille, now_ms);
-	if (!is_learning(chooser, now_ms))
+	if (!initial_sync_active(chooser, now_ms))
 		return per_s;
 	learning = jt_flow_rate_learning(in);
 	return learning < per_s ? learning : per_s;
 }
 
-/* Whether this node has to leave the incarnation alone for now. */
+/* Returns true if this node must not assign a new flow to the incarnation
+ * yet. */
 static bool rate_exceeded(const struct jt_chooser *chooser,
 			  const struct jt_incarnation *in,
 			  const struct jt_routed_service *service,
@@ -144,46 +147,45 @@
 		incarnation_rate(chooser, in, service, now_ms), now_ms);
 }
 
-static enum willingness
-incarnation_willing(const struct jt_chooser *chooser,
-		    const struct jt_incarnation *in,
-		    const struct jt_routed_service *service, uint64_t now_ms)
+static enum eligibility incarnation_eligibility(
+	const struct jt_chooser *chooser, const struct jt_incarnation *in,
+	const struct jt_routed_service *service, uint64_t now_ms)
 {
 	if (!jt_endpoint_table_has_label(in) || zone_drained(chooser, in) ||
 	    rate_exceeded(chooser, in, service, now_ms))
-		return UNWILLING;
-	if (incarnation_full(chooser, in, service, now_ms))
+		return INELIGIBLE;
+	if (incarnation_at_limit(chooser, in, service, now_ms))
 		return now_ms < in->avoid_until_ms ||
 				       in->flows >= service->connection_limit
-			       ? UNWILLING
-			       : FULL;
+			       ? INELIGIBLE
+			       : AT_CAPACITY;
 	switch (in->state) {
 	case JT_INCARNATION_READY:
-		return suspected_or_willing(in, now_ms);
+		return suspected_or_eligible(in, now_ms);
 	case JT_INCARNATION_LAPSED:
-		return lapsed_willing(chooser, in, now_ms);
+		return expired_eligibility(chooser, in, now_ms);
 	case JT_INCARNATION_DRAINING:
 		if (chooser->break_mechanism & JT_DIRECTOR_BREAK_DRAINING)
-			return WILLING;
-		return UNWILLING;
+			return ELIGIBLE;
+		return INELIGIBLE;
 	default:
-		return UNWILLING;
+		return INELIGIBLE;
 	}
 }
 
-static bool is_near(const struct jt_chooser *chooser,
-		    const struct jt_incarnation *in)
+static bool in_own_zone(const struct jt_chooser *chooser,
+			const struct jt_incarnation *in)
 {
 	return in->entry.zone_id == chooser->zone_id ||
 	       !jt_mechanism_on(chooser->without, JT_MECHANISM_ZONE_FIRST);
 }
 
-/* What a choice must know of the ready ones among some together. */
+/* Summary of the ready incarnations among the candidates of a choice. */
 struct pool_view {
-	struct jt_target near, far; /* of the own zone, and of all others */
-	/* One that fails requests and is tried nevertheless, in proportion to
-	 * its share; NULL: none. */
-	struct jt_incarnation *tried;
+	struct jt_target local, remote; /* own zone, and all other zones */
+	/* An incarnation with a reduced traffic share that gets this flow as a
+	 * trial; NULL: none. */
+	struct jt_incarnation *trial;
 };
 
 static struct jt_target target_of(const struct jt_chooser *chooser)
@@ -195,25 +197,26 @@
 	};
 }
 
-/* Some incarnations whose work should be spread over them. */
-struct aimed_at {
+/* Incarnations over which the load is distributed. */
+struct target_endpoints {
 	struct jt_incarnation *items[JT_TARGET_LOOK_MOST];
 	size_t count;
 };
 
-static void aimed_add(struct aimed_at *aimed, struct jt_incarnation *in)
+static void target_endpoints_add(struct target_endpoints *endpoints,
+				 struct jt_incarnation *in)
 {
-	if (aimed->count < JT_TARGET_LOOK_MOST)
-		aimed->items[aimed->count++] = in;
+	if (endpoints->count < JT_TARGET_LOOK_MOST)
+		endpoints->items[endpoints->count++] = in;
 }
 
-static struct jt_target target_aim(const struct jt_chooser *chooser,
-				   const struct aimed_at *aimed,
-				   uint64_t now_ms)
+static struct jt_target target_compute(const struct jt_chooser *chooser,
+				       const struct target_endpoints *endpoints,
+				       uint64_t now_ms)
 {
 	struct jt_target target = target_of(chooser);
 
-	jt_target_aim(&target, aimed->items, aimed->count, now_ms);
+	jt_target_aim(&target, endpoints->items, endpoints->count, now_ms);
 	return target;
 }
 
@@ -233,58 +236,60 @@
 		jt_target_answered(&target, usual, incarnation, answer, now_ms);
 }
 
-/* True for so large a @part of the times that it is asked. */
-static bool happens(struct jt_chooser *chooser, double part)
+/* Returns true with the given probability. */
+static bool random_chance(struct jt_chooser *chooser, double probability)
 {
-	return (double)(jt_random_next(&chooser->random) % 1000) < 1000 * part;
+	return (double)(jt_random_next(&chooser->random) % 1000) <
+	       1000 * probability;
 }
 
-/* Whether one that was drawn to be tried is fast enough for that now: a slow
- * one is drawn as often as others, but should have less of the work. */
-static bool is_wanted(struct jt_chooser *chooser,
-		      const struct jt_target *target,
-		      const struct jt_incarnation *in, uint64_t now_ms)
+/* Returns true if an incarnation drawn for a trial should get it: the
+ * probability is lower for a slow one, whose share of the load is smaller. */
+static bool trial_allowed(struct jt_chooser *chooser,
+			  const struct jt_target *target,
+			  const struct jt_incarnation *in, uint64_t now_ms)
 {
-	return happens(chooser, jt_target_part(target, in, now_ms));
+	return random_chance(chooser, jt_target_part(target, in, now_ms));
 }
 
-static struct pool_view pool_look(struct jt_chooser *chooser,
-				  struct incarnations some, uint64_t now_ms)
+static struct pool_view pool_view_collect(struct jt_chooser *chooser,
+					  struct incarnations candidates,
+					  uint64_t now_ms)
 {
 	struct pool_view view = {0};
-	struct jt_incarnation *tried_of[JT_COMPARE_MOST];
-	struct aimed_at near = {.count = 0}, far = {.count = 0};
-	size_t tried_count = 0, reduced = 0;
+	struct jt_incarnation *trial_candidates[JT_COMPARE_MOST];
+	struct target_endpoints local = {.count = 0}, remote = {.count = 0};
+	size_t trial_count = 0, reduced = 0;
 
-	for (size_t i = 0; i < some.count; i++) {
-		struct jt_incarnation *in = some.items[i];
-		bool is_local = is_near(chooser, in);
+	for (size_t i = 0; i < candidates.count; i++) {
+		struct jt_incarnation *in = candidates.items[i];
+		bool is_local = in_own_zone(chooser, in);
 
 		if (in->state != JT_INCARNATION_READY ||
 		    zone_drained(chooser, in))
 			continue;
-		if (is_local && tried_count < JT_COMPARE_MOST)
-			tried_of[tried_count++] = in;
+		if (is_local && trial_count < JT_COMPARE_MOST)
+			trial_candidates[trial_count++] = in;
 		if (jt_choose_is_reduced(chooser, in, now_ms))
 			reduced++;
 		else
-			aimed_add(is_local ? &near : &far, in);
+			target_endpoints_add(is_local ? &local : &remote, in);
 	}
-	view.near = target_aim(chooser, &near, now_ms);
-	view.far = target_aim(chooser, &far, now_ms);
-	if (reduced > 0 && tried_count > 0)
-		view.tried = jt_choose_draw_tried(chooser, tried_of,
-						  tried_count, now_ms);
-	if (view.tried != NULL &&
-	    !is_wanted(chooser, &view.near, view.tried, now_ms))
-		view.tried = NULL;
+	view.local = target_compute(chooser, &local, now_ms);
+	view.remote = target_compute(chooser, &remote, now_ms);
+	if (reduced > 0 && trial_count > 0)
+		view.trial = jt_choose_draw_tried(chooser, trial_candidates,
+						  trial_count, now_ms);
+	if (view.trial != NULL &&
+	    !trial_allowed(chooser, &view.local, view.trial, now_ms))
+		view.trial = NULL;
 	return view;
 }
 
 struct candidate {
 	struct jt_incarnation *incarnation;
 	double load;
-	uint32_t equals; /* candidates with the same load so far */
+	uint32_t ties; /* candidates with the same lowest load */
 };
 
 static void candidate_offer(struct jt_chooser *chooser, struct candidate *best,
@@ -296,100 +301,105 @@
 		*best = (struct candidate){in, load, 1};
 		return;
 	}
-	best->equals++;
-	if (jt_random_next(&chooser->random) % best->equals == 0)
+	best->ties++;
+	if (jt_random_next(&chooser->random) % best->ties == 0)
 		best->incarnation = in;
 }
 
-/* Whether a flow goes to the best one of other zones, not of the own. */
-static bool goes_far(struct jt_chooser *chooser, const struct pool_view *view,
-		     const struct candidate *local,
-		     const struct candidate *remote)
+/* Returns true if the flow should go to the best remote candidate. */
+static bool prefer_remote(struct jt_chooser *chooser,
+			  const struct pool_view *view,
+			  const struct candidate *local,
+			  const struct candidate *remote)
 {
-	if (!view->near.measured ||
+	if (!view->local.measured ||
 	    !jt_mechanism_on(chooser->without, JT_MECHANISM_ZONE_ROOM))
-		return remote->load * REMOTE_PERMILLE / 1000 < local->load;
-	return happens(chooser, jt_zone_spill(&view->near, &view->far));
+		return remote->load * REMOTE_LOAD_PERMILLE / 1000 < local->load;
+	return random_chance(chooser,
+			     jt_zone_spill(&view->local, &view->remote));
 }
 
-static struct jt_incarnation *best_of(struct jt_chooser *chooser,
-				      struct incarnations some,
-				      const struct jt_routed_service *service,
-				      enum willingness most, uint64_t now_ms)
+static struct jt_incarnation *
+best_candidate(struct jt_chooser *chooser, struct incarnations candidates,
+	       const struct jt_routed_service *service, enum eligibility worst,
+	       uint64_t now_ms)
 {
 	struct candidate local = {0}, remote = {0};
-	enum willingness lowest = most;
-	struct pool_view view = pool_look(chooser, some, now_ms);
+	enum eligibility best_rank = worst;
+	struct pool_view view = pool_view_collect(chooser, candidates, now_ms);
 
-	for (size_t i = 0; i < some.count; i++) {
-		struct jt_incarnation *in = some.items[i];
-		enum willingness willing =
-			incarnation_willing(chooser, in, service, now_ms);
+	for (size_t i = 0; i < candidates.count; i++) {
+		struct jt_incarnation *in = candidates.items[i];
+		enum eligibility rank =
+			incarnation_eligibility(chooser, in, service, now_ms);
 		double load;
 
-		if (willing == WILLING && in == view.tried)
+		if (rank == ELIGIBLE && in == view.trial)
 			return in;
-		if (willing == WILLING &&
+		if (rank == ELIGIBLE &&
 		    jt_choose_is_reduced(chooser, in, now_ms))
-			willing = SUSPECTED;
-		if (willing > lowest)
+			rank = SUSPECTED;
+		if (rank > best_rank)
 			continue;
-		if (willing < lowest) {
+		if (rank < best_rank) {
 			memset(&local, 0, sizeof(local));
 			memset(&remote, 0, sizeof(remote));
-			lowest = willing;
+			best_rank = rank;
 		}
-		load = jt_target_load(is_near(chooser, in) ? &view.near
-							   : &view.far,
+		load = jt_target_load(in_own_zone(chooser, in) ? &view.local
+							       : &view.remote,
 				      in, now_ms) *
 		       JT_FULL_SHARE_PERMILLE /
 		       jt_choose_share_permille(chooser, in, now_ms);
 		candidate_offer(chooser,
-				is_near(chooser, in) ? &local : &remote, in,
+				in_own_zone(chooser, in) ? &local : &remote, in,
 				load);
 	}
 	if (local.incarnation == NULL)
 		return remote.incarnation;
 	if (remote.incarnation == NULL)
 		return local.incarnation;
-	return goes_far(chooser, &view, &local, &remote) ? remote.incarnation
-							 : local.incarnation;
+	return prefer_remote(chooser, &view, &local, &remote)
+		       ? remote.incarnation
+		       : local.incarnation;
 }
 
-/* An endpoint that is as willing as @most: of a sample, or of all where that
- * has none that is willing without reserve. */
+/* Returns an endpoint whose eligibility is @worst or better. Searches a random
+ * sample first, then the whole pool if the sample has no ELIGIBLE one. */
 static struct jt_incarnation *
 pool_choose(struct jt_chooser *chooser, const struct jt_service_pool *pool,
-	    const struct jt_routed_service *service, enum willingness most,
+	    const struct jt_routed_service *service, enum eligibility worst,
 	    uint64_t now_ms)
 {
-	struct jt_incarnation *room[SAMPLE_MOST];
-	struct incarnations some = pool_sample(chooser, pool, room);
+	struct jt_incarnation *buffer[SAMPLE_MOST];
+	struct incarnations sample = pool_sample(chooser, pool, buffer);
 	struct jt_incarnation *chosen =
-		best_of(chooser, some, service, WILLING, now_ms);
+		best_candidate(chooser, sample, service, ELIGIBLE, now_ms);
 
-	if (chosen != NULL || (most == WILLING && some.count == pool->count))
+	if (chosen != NULL ||
+	    (worst == ELIGIBLE && sample.count == pool->count))
 		return chosen;
-	return best_of(chooser, pool_all(pool), service, most, now_ms);
+	return best_candidate(chooser, pool_all(pool), service, worst, now_ms);
 }
 
-/* What the routing says of the service; no limits where it says nothing. */
+/* Returns the limits of the service; no limits if the routing has none for
+ * it. */
 static const struct jt_routed_service *
 service_limits(const struct jt_routing *routing, uint32_t service_id)
 {
-	static const struct jt_routed_service unlimited;
+	static const struct jt_routed_service no_limits;
 	const struct jt_routed_service *service =
 		jt_routing_service(routing, service_id);
 
-	return service != NULL ? service : &unlimited;
+	return service != NULL ? service : &no_limits;
 }
 
-/* An endpoint of the first part, by weight, that has one that is as willing
- * as @most. */
+/* Returns an endpoint, with eligibility @worst or better, of the first part in
+ * order of weight that has one. */
 static struct jt_incarnation *
 parts_choose(struct jt_chooser *chooser, const struct jt_endpoint_table *table,
 	     const struct jt_routing *routing, struct jt_split *split,
-	     enum willingness most, uint64_t now_ms)
+	     enum eligibility worst, uint64_t now_ms)
 {
 	unsigned tried = 0;
 	int part;
@@ -403,7 +413,7 @@
 		struct jt_incarnation *chosen = NULL;
 
 		if (pool != NULL)
-			chosen = pool_choose(chooser, pool, service, most,
+			chosen = pool_choose(chooser, pool, service, worst,
 					     now_ms);
 		if (chosen != NULL) {
 			jt_split_give(split, (size_t)part);
@@ -418,7 +428,7 @@
 	return NULL;
 }
 
-/* What keeps a new flow from the incarnation. */
+/* Returns why the incarnation is not eligible for a new flow. */
 static enum jt_director_reason
 incarnation_refusal(const struct jt_chooser *chooser,
 		    const struct jt_incarnation *in,
@@ -428,7 +438,7 @@
 		return in->state == JT_INCARNATION_READY
 			       ? JT_DIRECTOR_NO_ZONE
 			       : JT_DIRECTOR_NO_ENDPOINT;
-	if (incarnation_full(chooser, in, service, now_ms))
+	if (incarnation_at_limit(chooser, in, service, now_ms))
 		return JT_DIRECTOR_NO_CAPACITY;
 	if (in->state == JT_INCARNATION_READY &&
 	    rate_exceeded(chooser, in, service, now_ms))
@@ -436,15 +446,15 @@
 	return JT_DIRECTOR_NO_ENDPOINT;
 }
 
-/* Why no endpoint of the route takes a new flow: one that is full comes first,
- * then one that is cold or whose zone is drained. */
+/* Returns why no endpoint of the route is eligible. A reached connection limit
+ * takes precedence over a cold endpoint or a drained zone. */
 static enum jt_director_reason
-parts_refusal(const struct jt_chooser *chooser,
+route_refusal(const struct jt_chooser *chooser,
 	      const struct jt_endpoint_table *table,
 	      const struct jt_routing *routing, const struct jt_route *route,
 	      uint64_t now_ms)
 {
-	enum jt_director_reason refusal = JT_DIRECTOR_NO_ENDPOINT, one;
+	enum jt_director_reason refusal = JT_DIRECTOR_NO_ENDPOINT, reason;
 
 	for (size_t i = 0; i < route->part_count; i++) {
 		uint32_t service_id = route->parts[i].service_id;
@@ -452,15 +462,15 @@
 			service_limits(routing, service_id);
 		const struct jt_service_pool *pool =
 			jt_endpoint_table_pool(table, service_id);
-		size_t members = pool != NULL ? pool->count : 0;
-
-		for (size_t k = 0; k < members; k++) {
-			one = incarnation_refusal(chooser, pool->members[k],
-						  service, now_ms);
-			if (one == JT_DIRECTOR_NO_CAPACITY)
-				return one;
-			if (one != JT_DIRECTOR_NO_ENDPOINT)
-				refusal = one;
+		size_t member_count = pool != NULL ? pool->count : 0;
+
+		for (size_t k = 0; k < member_count; k++) {
+			reason = incarnation_refusal(chooser, pool->members[k],
+						     service, now_ms);
+			if (reason == JT_DIRECTOR_NO_CAPACITY)
+				return reason;
+			if (reason != JT_DIRECTOR_NO_ENDPOINT)
+				refusal = reason;
 		}
 	}
 	return refusal;
@@ -475,20 +485,22 @@
 {
 	struct jt_split *split = jt_splits_find(chooser->splits, route);
 	struct jt_incarnation *chosen = NULL;
-	int least =
+	int first_rank =
 		jt_mechanism_on(chooser->without, JT_MECHANISM_PARTS_GIVE_WAY)
-			? WILLING
+			? ELIGIBLE
 			: LAST_RESORT;
 
 	*refusal = JT_DIRECTOR_NO_ENDPOINT;
 	if (split == NULL)
 		return NULL;
-	/* A part whose endpoints all seem to have ended gives way to others. */
-	for (int most = least; most < UNWILLING && chosen == NULL; most++)
+	/* Prefers an eligible endpoint of any part to a less eligible one of
+	 * the part that is due. */
+	for (int worst = first_rank; worst < INELIGIBLE && chosen == NULL;
+	     worst++)
 		chosen = parts_choose(chooser, table, routing, split,
-				      (enum willingness)most, now_ms);
+				      (enum eligibility)worst, now_ms);
 	if (chosen == NULL)
 		*refusal =
-			parts_refusal(chooser, table, routing, route, now_ms);
+			route_refusal(chooser, table, routing, route, now_ms);
 	return chosen;
 }
--- a/src/label/jt_choose_pool.h
+++ b/src/label/jt_choose_pool.h
@@ -1,17 +1,19 @@
-/* The endpoints that a choice looks at; for the files of the chooser alone. */
+/*
+ * Sampling of a service's endpoints; internal to the chooser.
+ */
 #ifndef JT_CHOOSE_POOL_H
 #define JT_CHOOSE_POOL_H
 
 #include "jt_choose.h"
 
 enum {
-	/* A choice looks at no more endpoints: the best of so many at random is
-	 * hardly worse than the best of all, and costs the same in a pool of
-	 * any size. Whoever looks at all finds one where few are willing. */
+	/* Endpoints examined by one choice. The best of a random sample of
+	 * this size is nearly as good as the best of the pool, at a cost that
+	 * does not depend on the pool's size. */
 	SAMPLE_MOST = 64,
 };
 
-/* Some incarnations of one service. */
+/* A set of incarnations of one service; the array is not owned. */
 struct incarnations {
 	struct jt_incarnation *const *items;
 	size_t count;
@@ -22,21 +24,22 @@
 	return (struct incarnations){pool->members, pool->count};
 }
 
-/* So many members of the pool at random, which may be drawn twice; all where
- * there are no more. @room holds them. */
+/* Returns SAMPLE_MOST random members of the pool, possibly with duplicates,
+ * or all members if there are no more than that. The result may refer to
+ * @buffer. */
 static inline struct incarnations
 pool_sample(struct jt_chooser *chooser, const struct jt_service_pool *pool,
-	    struct jt_incarnation *room[SAMPLE_MOST])
+	    struct jt_incarnation *buffer[SAMPLE_MOST])
 {
 	if (pool->count <= SAMPLE_MOST)
 		return pool_all(pool);
 	for (size_t i = 0; i < SAMPLE_MOST; i++)
-		room[i] = pool->members[jt_random_next(&chooser->random) %
-					pool->count];
-	return (struct incarnations){room, SAMPLE_MOST};
+		buffer[i] = pool->members[jt_random_next(&chooser->random) %
+					  pool->count];
+	return (struct incarnations){buffer, SAMPLE_MOST};
 }
 
-/* Whether operators keep new flows from the incarnation's zone. */
+/* Returns true if an operator has drained the incarnation's zone. */
 static inline bool zone_drained(const struct jt_chooser *chooser,
 				const struct jt_incarnation *in)
 {
--- a/src/label/jt_choose_share.c
+++ b/src/label/jt_choose_share.c
@@ -17,18 +17,18 @@
 	       JT_FULL_SHARE_PERMILLE;
 }
 
-/*
- * If all were alike, each would get one in @count new flows. A reduced one gets
- * that times its share when each choice draws one at random and tries it with
- * that probability. Loads can't do it: where a node sees less than one request
- * of each endpoint, the least loaded one is any that was left alone.
- */
-struct jt_incarnation *jt_choose_draw_tried(struct jt_chooser *chooser,
-					    struct jt_incarnation *const *near,
-					    size_t count, uint64_t now_ms)
+/* With equal shares each of @count endpoints would get one of @count new
+ * flows. Each choice draws one endpoint at random and selects it with a
+ * probability equal to its reduced share. Comparing loads would not enforce
+ * the share: a node that sends each endpoint less than one recent request
+ * would find the unused endpoints least loaded. */
+struct jt_incarnation *
+jt_choose_draw_tried(struct jt_chooser *chooser,
+		     struct jt_incarnation *const *candidates, size_t count,
+		     uint64_t now_ms)
 {
 	struct jt_incarnation *drawn =
-		near[jt_random_next(&chooser->random) % count];
+		candidates[jt_random_next(&chooser->random) % count];
 	uint32_t share = jt_choose_share_permille(chooser, drawn, now_ms);
 
 	if (share < JT_FULL_SHARE_PERMILLE &&
@@ -37,8 +37,8 @@
 	return NULL;
 }
 
-/* Requests lately at the incarnation from all nodes, as far as is known. */
-static double requests_lately(const struct jt_chooser *chooser,
+/* Returns the estimated recent requests of all nodes at the incarnation. */
+static double recent_requests(const struct jt_chooser *chooser,
 			      const struct jt_incarnation *in, uint64_t now_ms)
 {
 	return jt_work_now(&in->work, now_ms) +
@@ -46,7 +46,8 @@
 		       (double)(chooser->nodes - 1);
 }
 
-/* Of a large pool, as many as are compared at once, from a place at random. */
+/* Compares at most JT_COMPARE_MOST members, from a random position in a larger
+ * pool. */
 void jt_chooser_compare(struct jt_chooser *chooser,
 			struct jt_service_pool *pool, uint64_t now_ms)
 {
@@ -65,7 +66,7 @@
 		if (in->state != JT_INCARNATION_READY ||
 		    jt_zone_drains_has(chooser->zone_drains, in->entry.zone_id))
 			continue;
-		requests += requests_lately(chooser, in, now_ms);
+		requests += recent_requests(chooser, in, now_ms);
 		slots += jt_incarnation_slots(in);
 		ready[count++] = in;
 	}
--- a/src/label/jt_choose_share.h
+++ b/src/label/jt_choose_share.h
@@ -1,6 +1,6 @@
 /*
- * How far the failures of endpoints decide a choice: each gets the share of new
- * flows that jt_outlier.h finds it worth.
+ * Applies the traffic shares of outlier detection (jt_outlier.h) to the choice
+ * of an endpoint.
  */
 #ifndef JT_CHOOSE_SHARE_H
 #define JT_CHOOSE_SHARE_H
@@ -8,17 +8,18 @@
 #include "jt_choose.h"
 #include "jt_outlier.h"
 
-/* What the incarnation is worth of an ordinary share of new flows. */
+/* Returns the incarnation's traffic share in thousandths. */
 uint32_t jt_choose_share_permille(const struct jt_chooser *chooser,
 				  const struct jt_incarnation *in,
 				  uint64_t now_ms);
-/* Whether that is less than an ordinary share. */
+/* Returns true if the incarnation's traffic share is below the full share. */
 bool jt_choose_is_reduced(const struct jt_chooser *chooser,
 			  const struct jt_incarnation *in, uint64_t now_ms);
-/* One of the @count at @near whose share is reduced and which is tried now, in
- * proportion to its share; NULL: none is. */
-struct jt_incarnation *jt_choose_draw_tried(struct jt_chooser *chooser,
-					    struct jt_incarnation *const *near,
-					    size_t count, uint64_t now_ms);
+/* Draws one of @count candidates at random. Returns it if its share is reduced
+ * and it is selected with a probability equal to that share, NULL otherwise. */
+struct jt_incarnation *
+jt_choose_draw_tried(struct jt_chooser *chooser,
+		     struct jt_incarnation *const *candidates, size_t count,
+		     uint64_t now_ms);
 
 #endif
--- a/src/label/jt_fill.c
+++ b/src/label/jt_fill.c
@@ -2,42 +2,45 @@
 
 #include <math.h>
 
-enum { LEVEL_STEPS = 16 };
+enum { BISECTION_STEPS = 16 };
 
-/* Nobody is planned to be busier than that part of the time: queues would grow
- * without bounds. */
-#define BUSY_MOST 0.95
-/* One that should rest counts as that busy, so that it is comparable. */
-#define BUSY_LEAST 0.01
-/* All together count as that busy at the least: with hardly any work the very
- * fastest would get all of it, and much would hang on few. */
-#define BUSY_TOGETHER_LEAST 0.2
-/* The marginal time at BUSY_MOST with one slot, rounded up. */
-#define LEVEL_MOST 500.0
+/* Maximum planned utilisation of an endpoint; queues grow without bound as it
+ * approaches 1. */
+#define UTILISATION_MAX 0.95
+/* Minimum utilisation of an endpoint, so that its optimal load is never 0. */
+#define UTILISATION_MIN 0.01
+/* Minimum utilisation of all endpoints together. Keeps the load from
+ * concentrating on the very fastest when there is little of it. */
+#define TOTAL_UTILISATION_MIN 0.2
+/* Upper bound of the marginal response time at UTILISATION_MAX with one
+ * slot. */
+#define LEVEL_MAX 500.0
 
-/* The utilisation at which the marginal time is @times that of an idle one. */
+/* Returns the utilisation at which the marginal response time is @times that
+ * of an idle endpoint. */
 static double utilisation(double times, double slots)
 {
 	double b = 2 * times + slots - 1;
-	double powered;
+	double u_to_slots;
 
 	if (times <= 1)
-		return BUSY_LEAST;
-	powered = (b - sqrt(b * b - 4 * times * (times - 1))) / (2 * times);
-	return fmin(fmax(pow(powered, 1 / slots), BUSY_LEAST), BUSY_MOST);
+		return UTILISATION_MIN;
+	u_to_slots = (b - sqrt(b * b - 4 * times * (times - 1))) / (2 * times);
+	return fmin(fmax(pow(u_to_slots, 1 / slots), UTILISATION_MIN),
+		    UTILISATION_MAX);
 }
 
 double jt_fill_share(const struct jt_fill_endpoint *endpoint, double level)
 {
-	double busy = isinf(level) ? BUSY_MOST
-				   : utilisation(level / endpoint->slowness,
-						 endpoint->slots);
+	double planned = isinf(level) ? UTILISATION_MAX
+				      : utilisation(level / endpoint->slowness,
+						    endpoint->slots);
 
-	return busy * endpoint->slots / endpoint->slowness;
+	return planned * endpoint->slots / endpoint->slowness;
 }
 
-static double shares_sum(const struct jt_fill_endpoint *endpoints, size_t count,
-			 double level)
+static double loads_sum(const struct jt_fill_endpoint *endpoints, size_t count,
+			double level)
 {
 	double sum = 0;
 
@@ -47,21 +50,21 @@
 }
 
 double jt_fill_level(const struct jt_fill_endpoint *endpoints, size_t count,
-		     double busy_slots)
+		     double load_slots)
 {
-	double low = 0, high = log(LEVEL_MOST), power = 0;
+	double low = 0, high = log(LEVEL_MAX), capacity = 0;
 
 	for (size_t i = 0; i < count; i++) {
 		low = fmin(low, log(endpoints[i].slowness));
-		power += endpoints[i].slots / endpoints[i].slowness;
+		capacity += endpoints[i].slots / endpoints[i].slowness;
 	}
-	busy_slots = fmax(busy_slots, power * BUSY_TOGETHER_LEAST);
-	if (shares_sum(endpoints, count, LEVEL_MOST) <= busy_slots)
+	load_slots = fmax(load_slots, capacity * TOTAL_UTILISATION_MIN);
+	if (loads_sum(endpoints, count, LEVEL_MAX) <= load_slots)
 		return INFINITY;
-	for (int step = 0; step < LEVEL_STEPS; step++) {
+	for (int step = 0; step < BISECTION_STEPS; step++) {
 		double middle = (low + high) / 2;
 
-		if (shares_sum(endpoints, count, exp(middle)) < busy_slots)
+		if (loads_sum(endpoints, count, exp(middle)) < load_slots)
 			low = middle;
 		else
 			high = middle;
--- a/src/label/jt_fill.h
+++ b/src/label/jt_fill.h
@@ -1,13 +1,14 @@
 /*
- * How busy each endpoint of a service should be, so that requests are done
- * soonest on average: the fastest alone while they are nearly idle, slower ones
- * as soon as a request would be done as soon there, all alike near overload.
+ * Optimal distribution of a service's load over its endpoints: the utilisation
+ * of each endpoint that minimises the mean response time. At low load only the
+ * fastest endpoints are used; slower ones are added as the response time of the
+ * fast ones rises, and near overload all are utilised alike.
  *
- * For endpoints of several slots the mean time at one with utilisation u is
- * taken as its time for a request / (1 - u^slots): exact for queues of one and
- * two slots (M/M/1, M/M/2). The optimum has the same marginal time at each
- * endpoint that gets any (Tantawi and Towsley 1985; for the threshold at which
- * a slow server is used, Lin and Kumar 1984).
+ * The mean response time of an endpoint with utilisation u is modelled as
+ * service time / (1 - u^slots), which is exact for M/M/1 and M/M/2 queues. In
+ * the optimum the marginal response time is the same at every endpoint in use
+ * (Tantawi and Towsley 1985; for the threshold at which a slow server is used,
+ * Lin and Kumar 1984).
  */
 #ifndef JT_FILL_H
 #define JT_FILL_H
@@ -15,16 +16,18 @@
 #include <stddef.h>
 
 struct jt_fill_endpoint {
-	double slots;	 /* requests that it works on at once */
-	double slowness; /* time for a request, 1: the usual one */
+	double slots;	 /* requests served concurrently */
+	double slowness; /* relative response time; 1: usual */
 };
 
-/* So much time at the margin, in usual times, is spent at each endpoint that
- * gets any request when all together have work for @busy_slots slots of usual
- * speed. INFINITY where they hardly bear it. */
+/* Returns the marginal response time, in units of the usual service time, at
+ * which the endpoints together carry a load of @load_slots slots of usual
+ * speed. Returns INFINITY if that load is close to their total capacity or
+ * above it. */
 double jt_fill_level(const struct jt_fill_endpoint *endpoints, size_t count,
-		     double busy_slots);
-/* Work that the endpoint then has, in slots of usual speed; never 0. */
+		     double load_slots);
+/* Returns the endpoint's optimal load at that marginal response time, in slots
+ * of usual speed; always above 0. */
 double jt_fill_share(const struct jt_fill_endpoint *endpoint, double level);
 
 #endif
--- a/src/label/jt_target.c
+++ b/src/label/jt_target.c
@@ -5,28 +5,28 @@
 #include <math.h>
 
 enum {
-	/* Answers that a service's mean time for a request spans. */
-	SERVE_ANSWERS = 64,
+	/* Answers over which a service's mean service time is averaged. */
+	SERVICE_TIME_ANSWERS = 64,
 };
 
-/* A cold endpoint counts as this much slower. */
-#define COLD_SLOWNESS 2.0
+/* A cold endpoint counts as at least this many times slower than usual. */
+#define COLD_RELATIVE_TIME 2.0
 
-static double slowness_of(const struct jt_target *target,
-			  const struct jt_incarnation *in, uint64_t now_ms)
+static double relative_time(const struct jt_target *target,
+			    const struct jt_incarnation *in, uint64_t now_ms)
 {
-	double slowness = 1;
+	double relative = 1;
 
 	if (jt_mechanism_on(target->without, JT_MECHANISM_SLOWNESS))
-		slowness = jt_speed_slowness(&in->speed, target->nodes, now_ms);
-	if (now_ms < in->cold_until_ms && slowness < COLD_SLOWNESS &&
+		relative = jt_speed_slowness(&in->speed, target->nodes, now_ms);
+	if (now_ms < in->cold_until_ms && relative < COLD_RELATIVE_TIME &&
 	    jt_mechanism_on(target->without, JT_MECHANISM_COLD))
-		slowness = COLD_SLOWNESS;
-	return slowness;
+		relative = COLD_RELATIVE_TIME;
+	return relative;
 }
 
-/* Work of each peer there, in the mean. */
-static double peer_work(const struct jt_target *target,
+/* Returns the mean recent load of each peer at the endpoint. */
+static double peer_load(const struct jt_target *target,
 			const struct jt_incarnation *in, uint64_t now_ms)
 {
 	if (!jt_mechanism_on(target->without, JT_MECHANISM_PEER_WORK))
@@ -34,12 +34,12 @@
 	return jt_peer_loads_work(target->peer_loads, in->label, now_ms);
 }
 
-/* Requests lately that the endpoint got from all nodes. */
-static double all_work(const struct jt_target *target,
-		       const struct jt_incarnation *in, uint64_t now_ms)
+/* Returns the estimated recent requests of all nodes at the endpoint. */
+static double total_load(const struct jt_target *target,
+			 const struct jt_incarnation *in, uint64_t now_ms)
 {
 	return jt_work_now(&in->work, now_ms) +
-	       peer_work(target, in, now_ms) * (double)(target->nodes - 1);
+	       peer_load(target, in, now_ms) * (double)(target->nodes - 1);
 }
 
 void jt_target_aim(struct jt_target *target,
@@ -48,7 +48,7 @@
 {
 	struct jt_fill_endpoint fill[JT_TARGET_LOOK_MOST];
 	struct jt_service_pool *pool;
-	double work = 0, slots = 0;
+	double load = 0, slots = 0;
 
 	target->level = INFINITY;
 	target->slots = 0;
@@ -59,8 +59,8 @@
 		count = JT_TARGET_LOOK_MOST;
 	for (size_t i = 0; i < count; i++) {
 		fill[i].slots = jt_incarnation_slots(endpoints[i]);
-		fill[i].slowness = slowness_of(target, endpoints[i], now_ms);
-		work += all_work(target, endpoints[i], now_ms);
+		fill[i].slowness = relative_time(target, endpoints[i], now_ms);
+		load += total_load(target, endpoints[i], now_ms);
 		slots += fill[i].slots;
 	}
 	pool = endpoints[0]->pool;
@@ -69,7 +69,7 @@
 	if (target->measured &&
 	    jt_mechanism_on(target->without, JT_MECHANISM_FAST_FIRST))
 		target->level = jt_fill_level(fill, count,
-					      jt_work_per_s(work) *
+					      jt_work_per_s(load) *
 						      pool->serve_ms / 1000);
 	for (size_t i = 0; i < count; i++)
 		target->share +=
@@ -81,7 +81,7 @@
 {
 	struct jt_fill_endpoint fill = {
 		.slots = jt_incarnation_slots(in),
-		.slowness = slowness_of(target, in, now_ms),
+		.slowness = relative_time(target, in, now_ms),
 	};
 
 	if (target->share == 0)
@@ -94,10 +94,10 @@
 {
 	struct jt_fill_endpoint fill = {
 		.slots = jt_incarnation_slots(in),
-		.slowness = slowness_of(target, in, now_ms),
+		.slowness = relative_time(target, in, now_ms),
 	};
 
-	return (jt_work_now(&in->work, now_ms) + peer_work(target, in, now_ms) +
+	return (jt_work_now(&in->work, now_ms) + peer_load(target, in, now_ms) +
 		(double)in->waiting + 1) /
 	       jt_fill_share(&fill, target->level);
 }
@@ -109,14 +109,15 @@
 	struct jt_service_pool *pool = in->pool;
 	double took_ms = jt_usual_took_ms(kind, answer);
 	double log_ratio = jt_usual_answered(kind, took_ms);
-	double usual_ms;
+	double normalized_ms;
 
 	if (pool == NULL)
 		return;
-	usual_ms = took_ms / slowness_of(target, in, now_ms);
+	normalized_ms = took_ms / relative_time(target, in, now_ms);
 	if (pool->serve_ms == 0)
-		pool->serve_ms = usual_ms;
+		pool->serve_ms = normalized_ms;
 	else
-		pool->serve_ms += (usual_ms - pool->serve_ms) / SERVE_ANSWERS;
+		pool->serve_ms +=
+			(normalized_ms - pool->serve_ms) / SERVICE_TIME_ANSWERS;
 	jt_speed_answered(&in->speed, log_ratio, target->nodes, now_ms);
 }
--- a/src/label/jt_target.h
+++ b/src/label/jt_target.h
@@ -1,6 +1,7 @@
 /*
- * How much work each endpoint of a service should have, and how far from it
- * each is: the one that lacks most gets the next flow.
+ * Computes how the load of a service should be distributed over its endpoints,
+ * and how loaded each endpoint is relative to that target. The least loaded
+ * endpoint gets the next flow.
  */
 #ifndef JT_TARGET_H
 #define JT_TARGET_H
@@ -10,31 +11,33 @@
 
 struct jt_target {
 	struct jt_peer_loads *peer_loads;
-	uint64_t nodes;	  /* that share the endpoints, this one too */
-	uint32_t without; /* mechanisms that are off */
-	/* Of the endpoints at hand: */
-	double level;  /* jt_fill_level() */
-	double slots;  /* requests that all work on at once */
-	double share;  /* of the work, at the mean of them */
-	bool measured; /* it is known how long their requests take */
+	/* Nodes that share the endpoints, including this one. */
+	uint64_t nodes;
+	uint32_t without; /* disabled features */
+	/* Results of jt_target_aim() for a set of endpoints: */
+	double level;  /* marginal response time, jt_fill_level() */
+	double slots;  /* total slots of the endpoints */
+	double share;  /* mean optimal load per endpoint */
+	bool measured; /* true if the service time is known */
 };
 
-/* Endpoints of one service that may get new flows; more than
- * JT_TARGET_LOOK_MOST are judged by so many. */
+/* Endpoints of one service that are considered; further ones are ignored. */
 enum { JT_TARGET_LOOK_MOST = 64 };
 
+/* Computes the optimal load distribution over endpoints of one service. Ignores
+ * those beyond JT_TARGET_LOOK_MOST. */
 void jt_target_aim(struct jt_target *target,
 		   struct jt_incarnation *const *endpoints, size_t count,
 		   uint64_t now_ms);
-/* Work there after one more flow, of this node's share, over what it should
- * have; lower is better. */
+/* Returns the endpoint's load, with one more flow of this node, relative to
+ * its optimal load; the endpoint with the lowest value is the least loaded. */
 double jt_target_load(const struct jt_target *target,
 		      const struct jt_incarnation *in, uint64_t now_ms);
-/* What the endpoint should have of the mean share, 1 at the most: little where
- * it is slow and others have room. */
+/* Returns the endpoint's optimal load relative to the mean, at most 1. It is
+ * low for a slow endpoint while others have headroom. */
 double jt_target_part(const struct jt_target *target,
 		      const struct jt_incarnation *in, uint64_t now_ms);
-/* A request of that kind was answered there. */
+/* Records the answer to a request of the given kind at the endpoint. */
 void jt_target_answered(const struct jt_target *target, struct jt_usual *kind,
 			struct jt_incarnation *in,
 			const struct jt_answer *answer, uint64_t now_ms);
