--- a/src/label/jt_endpoint_table.c
+++ b/src/label/jt_endpoint_table.c
@@ -6,17 +6,17 @@
 #include <utlist.h>
 #include <xxhash.h>
 
-enum { POOL_ROOM = 16 }; /* members of a new pool */
+enum { POOL_INITIAL_CAPACITY = 16 }; /* members */
 
 uint32_t jt_incarnation_label(uint64_t endpoint_id, uint64_t born_ms)
 {
-	const uint64_t parts[] = {endpoint_id, born_ms};
-	uint64_t whole = endpoint_id;
+	const uint64_t input[] = {endpoint_id, born_ms};
+	uint64_t hash = endpoint_id;
 	uint32_t label;
 
 	if (born_ms != 0)
-		whole = XXH64(parts, sizeof(parts), 0);
-	label = (uint32_t)(whole >> 32) ^ (uint32_t)whole;
+		hash = XXH64(input, sizeof(input), 0);
+	label = (uint32_t)(hash >> 32) ^ (uint32_t)hash;
 	return label ? label : 1;
 }
 
@@ -97,7 +97,7 @@
 	return found;
 }
 
-/* An address as one number, without the padding of its structure. */
+/* Packs an address into an integer, for use as a hash key. */
 static uint64_t address_key(struct jt_address address)
 {
 	return (uint64_t)address.ip << 16 | address.port;
@@ -146,9 +146,10 @@
 			 sizeof(rest->address_key), rest);
 }
 
-/* Whether @a came to discovery before @b: the same at every node. */
-static int label_order(const struct jt_incarnation *a,
-		       const struct jt_incarnation *b)
+/* Orders incarnations by their creation in discovery, the same on every
+ * node. */
+static int label_compare(const struct jt_incarnation *a,
+			 const struct jt_incarnation *b)
 {
 	if (a->entry.created != b->entry.created)
 		return a->entry.created < b->entry.created ? -1 : 1;
@@ -157,7 +158,7 @@
 
 bool jt_endpoint_table_has_label(const struct jt_incarnation *incarnation)
 {
-	/* The first of a list has the last as the one before it. */
+	/* In utlist, the head's prev is the tail, whose next is NULL. */
 	return incarnation->label_prev->label_next == NULL;
 }
 
@@ -168,7 +169,7 @@
 		jt_endpoint_table_labelled(table, incarnation->label);
 	struct jt_incarnation *oldest = first;
 
-	DL_INSERT_INORDER2(oldest, incarnation, label_order, label_prev,
+	DL_INSERT_INORDER2(oldest, incarnation, label_compare, label_prev,
 			   label_next);
 	if (oldest == first)
 		return;
@@ -206,20 +207,20 @@
 	return pool;
 }
 
-/* Make room for one more member. */
+/* Makes room for one more member. */
 static bool pool_grow(struct jt_service_pool *pool)
 {
-	size_t room = pool->room ? pool->room * 2 : POOL_ROOM;
+	size_t capacity = pool->room ? pool->room * 2 : POOL_INITIAL_CAPACITY;
 	struct jt_incarnation **members;
 
 	if (pool->count < pool->room)
 		return true;
 	members = talloc_realloc(pool, pool->members, struct jt_incarnation *,
-				 room);
+				 capacity);
 	if (members == NULL)
 		return false;
 	pool->members = members;
-	pool->room = room;
+	pool->room = capacity;
 	return true;
 }
 
@@ -267,16 +268,16 @@
 		pool_remove(table, pool);
 }
 
-/* The slice of an id: spread evenly, whatever ids look like. */
+/* Returns the slice of an id; ids are hashed to spread them evenly. */
 static struct jt_endpoint_slice *slice_of(struct jt_endpoint_table *table,
 					  uint64_t id)
 {
 	return &table->slices[XXH64(&id, sizeof(id), 0) % JT_DIRECTOR_SLICES];
 }
 
-/* What discovery tells of the incarnation is of a later revision now. */
-static void slice_note(struct jt_endpoint_table *table,
-		       const struct jt_incarnation *incarnation)
+/* Updates the slice's latest revision after a change of the incarnation. */
+static void slice_revision_update(struct jt_endpoint_table *table,
+				  const struct jt_incarnation *incarnation)
 {
 	struct jt_endpoint_slice *slice =
 		slice_of(table, incarnation->entry.id);
@@ -293,7 +294,7 @@
 		slice_of(table, incarnation->entry.id);
 
 	DL_APPEND2(slice->members, incarnation, slice_prev, slice_next);
-	slice_note(table, incarnation);
+	slice_revision_update(table, incarnation);
 }
 
 static void slice_leave(struct jt_endpoint_table *table,
@@ -315,23 +316,24 @@
 	incarnation->cold_until_ms = now_ms + entry->cold_left_ms;
 }
 
-/* The same for one that is in the table. */
+/* Replaces the entry of an incarnation that is in the table. */
 static void entry_replace(struct jt_endpoint_table *table,
 			  struct jt_incarnation *known,
 			  const struct jt_endpoint_entry *entry,
 			  uint64_t now_ms)
 {
-	bool moves = !jt_address_same(entry->address, known->entry.address);
-	bool changes_pool = entry->service_id != known->entry.service_id;
+	bool address_changed =
+		!jt_address_same(entry->address, known->entry.address);
+	bool service_changed = entry->service_id != known->entry.service_id;
 
-	if (moves)
+	if (address_changed)
 		address_leave(table, known);
-	if (changes_pool)
+	if (service_changed)
 		pool_leave(table, known);
 	entry_copy(known, entry, now_ms);
-	if (moves)
+	if (address_changed)
 		address_join(table, known);
-	if (changes_pool)
+	if (service_changed)
 		pool_join(table, known);
 }
 
@@ -370,8 +372,8 @@
 	incarnation->earlier_label = 0;
 }
 
-/* Forget all that was observed of it, by this node and by peers. */
-static void observed_clear(struct jt_incarnation *incarnation)
+/* Clears all observations of the incarnation by this node and its peers. */
+static void observations_clear(struct jt_incarnation *incarnation)
 {
 	size_t begin = offsetof(struct jt_incarnation, state);
 	size_t end = offsetof(struct jt_incarnation, pool);
@@ -379,10 +381,9 @@
 	memset((char *)incarnation + begin, 0, end - begin);
 }
 
-/*
- * The incarnation is another one from now on, as its entry tells: what is
- * known of the earlier one no longer counts, and its flows are gone.
- */
+/* Turns the incarnation into the new one that its entry describes: discards
+ * the observations of the earlier one, whose flows have ended, and changes the
+ * label. */
 static void incarnation_restart(struct jt_endpoint_table *table,
 				struct jt_incarnation *incarnation,
 				uint64_t now_ms)
@@ -391,7 +392,7 @@
 
 	label_leave(table, incarnation);
 	earlier_label_leave(table, incarnation);
-	observed_clear(incarnation);
+	observations_clear(incarnation);
 	incarnation->state_ms = now_ms;
 	incarnation->label = jt_incarnation_label(incarnation->entry.id,
 						  incarnation->entry.born_ms);
@@ -401,21 +402,20 @@
 		 sizeof(earlier_label), incarnation);
 }
 
-/* When the incarnation first came to discovery, of two times it is said to
- * have; 0: unknown. An entry that lapsed and came back is created anew, and
- * nodes that start after that must not see another order than those that know
- * the first time. */
-static uint64_t created_first(uint64_t a, uint64_t b)
+/* Returns the earlier of two creation times of an incarnation; 0: unknown. An
+ * entry that expired and was renewed has a later creation time, and nodes that
+ * start after that must order incarnations as the others do. */
+static uint64_t created_earlier(uint64_t a, uint64_t b)
 {
 	if (a == 0 || b == 0)
 		return a + b;
 	return a < b ? a : b;
 }
 
-/* The incarnation came at @created: its place among those of its label may be
- * another. */
-static void created_note(struct jt_endpoint_table *table,
-			 struct jt_incarnation *incarnation, uint64_t created)
+/* Sets the creation time of the incarnation, which may change its order among
+ * those with the same label. */
+static void created_update(struct jt_endpoint_table *table,
+			   struct jt_incarnation *incarnation, uint64_t created)
 {
 	if (created == incarnation->entry.created)
 		return;
@@ -431,34 +431,35 @@
 {
 	struct jt_incarnation *known =
 		jt_endpoint_table_by_id(table, entry->id);
-	uint64_t gone_revision, created, former;
+	uint64_t gone_revision, created, previous_created;
 	bool unreadable, restarted;
 
 	if (known == NULL)
 		return entry_add(table, entry, now_ms, incarnation);
 	known->told = true;
 	restarted = entry->born_ms != known->entry.born_ms;
-	former = known->entry.created;
+	previous_created = known->entry.created;
 	created = restarted ? entry->created
-			    : created_first(entry->created, former);
+			    : created_earlier(entry->created, previous_created);
 	if (!stale && entry->revision <= known->entry.revision) {
 		if (!restarted)
-			created_note(table, known, created);
+			created_update(table, known, created);
 		return JT_ENTRY_OLD;
 	}
 	gone_revision = known->entry.gone_revision;
 	unreadable = known->entry.unreadable;
 	entry_replace(table, known, entry, now_ms);
-	known->entry.created = former;
-	created_note(table, known, created);
-	/* What it said before it went is news, but does not bring it back. */
+	known->entry.created = previous_created;
+	created_update(table, known, created);
+	/* An update older than the removal is accepted but does not undo the
+	 * removal. */
 	if (!stale && gone_revision > entry->revision) {
 		known->entry.gone_revision = gone_revision;
 		known->entry.unreadable = unreadable;
 	}
 	if (restarted)
 		incarnation_restart(table, known, now_ms);
-	slice_note(table, known);
+	slice_revision_update(table, known);
 	*incarnation = known;
 	return restarted ? JT_ENTRY_RESTARTED : JT_ENTRY_CHANGED;
 }
@@ -469,7 +470,7 @@
 {
 	incarnation->entry.gone_revision = revision;
 	incarnation->learned_ms = now_ms;
-	slice_note(table, incarnation);
+	slice_revision_update(table, incarnation);
 	jt_endpoint_table_watch(table, incarnation);
 }
 
--- a/src/label/jt_endpoint_table.h
+++ b/src/label/jt_endpoint_table.h
@@ -1,13 +1,14 @@
 /*
- * The incarnations of endpoints that a node knows, each with what discovery
- * told, what the data path showed, and how old that is.
+ * Table of the known incarnations of endpoints: what discovery reported, what
+ * was observed of them on the data path, and the age of both.
  *
- * An endpoint that starts again under its id is another incarnation, told by
- * its birth: it takes the place of the earlier one, with a label of its own.
- * Packets with the earlier label follow it, for its own reset.
+ * An endpoint that restarts under the same id is a new incarnation, identified
+ * by its start time. It replaces the earlier one and gets its own label.
+ * Packets with the earlier label are still forwarded to it, so that it resets
+ * their flows.
  *
- * An incarnation whose entry has gone is kept as long as one of its flows may
- * live: its flows still need its address.
+ * An incarnation whose discovery entry was removed is kept as long as one of
+ * its flows may be open, because its address is still needed.
  */
 #ifndef JT_ENDPOINT_TABLE_H
 #define JT_ENDPOINT_TABLE_H
@@ -24,102 +25,117 @@
 struct jt_service_pool;
 
 struct jt_incarnation {
-	/* What discovery told. */
+	/* Reported by discovery. */
 	struct jt_endpoint_entry entry;
 	uint32_t label;
-	uint32_t earlier_label; /* before it started again, 0: it has not */
-	uint64_t learned_ms;	/* when the entry was last taken */
+	uint32_t earlier_label; /* label before the last restart; 0: none */
+	uint64_t learned_ms;	/* when the entry was last updated */
 	uint64_t cold_until_ms;
-	bool told; /* since the last complete list */
+	/* Reported since the last full listing began. */
+	bool told;
 
-	/*
-	 * What this node and its peers observed of it, from here to `pool`:
-	 * nothing of that holds for the next incarnation (observed_clear()).
-	 */
+	/* Observations of this node and its peers, from here to `pool`. All
+	 * of them are cleared when the endpoint restarts
+	 * (observations_clear()). */
 	enum jt_incarnation_state state;
-	enum jt_death_cause cause; /* of JT_INCARNATION_DEAD */
+	enum jt_death_cause cause; /* valid in JT_INCARNATION_DEAD */
 	uint64_t state_ms;	   /* when the state was entered */
-	uint64_t next_flow_ms; /* none from this node before, where limited */
-	bool away_lapsed;      /* its entry went while the store was away */
+	/* No new flow from this node before that time, if the rate is
+	 * limited. */
+	uint64_t next_flow_ms;
+	/* The entry expired during an outage of the store. */
+	bool away_lapsed;
 
-	/* Load, by this node's own flows. */
+	/* Load of this node's own flows. */
 	uint32_t flows;
 	struct jt_work work;
-	uint32_t waiting; /* flows with a request not yet answered */
+	uint32_t waiting; /* flows with an unanswered request */
 	struct jt_speed speed;
 
-	/* The failure detector's view. */
-	uint64_t progress_ms;	 /* last sign of life on a flow */
-	uint64_t suspected_ms;	 /* an open flow gets nothing, since when */
-	bool flow_dead;		 /* surely nothing, not only late */
-	uint32_t unanswered;	 /* first packets without an answer, in a row */
-	uint64_t avoid_until_ms; /* no new flows until then, for that */
-	uint64_t peer_verdict_ms; /* a peer found it dead then, 0: none did */
-	uint64_t probe_sent_ms;	  /* of the probe under way */
-	uint64_t probe_next_ms;	  /* not before */
-	uint32_t vain_connects;	  /* since the last sign of life on a flow */
-	uint32_t failed_probes;	  /* in a row, since the last sign of life */
+	/* State of the failure detector. */
+	uint64_t progress_ms; /* last progress on a flow */
+	/* An open flow has had no progress since then; 0: no suspicion. */
+	uint64_t suspected_ms;
+	/* Packets on an open flow were not acknowledged repeatedly, or a peer
+	 * has reported the endpoint dead. */
+	bool flow_dead;
+	/* Consecutive first packets without an answer. */
+	uint32_t unanswered;
+	/* No new flows until then because of unanswered first packets. */
+	uint64_t avoid_until_ms;
+	/* When a peer reported the endpoint dead; 0: not reported. */
+	uint64_t peer_verdict_ms;
+	uint64_t probe_sent_ms; /* when the last probe was sent */
+	uint64_t probe_next_ms; /* earliest time of the next probe */
+	/* Successful probes since the last progress on a flow. */
+	uint32_t vain_connects;
+	/* Consecutive failures since the last progress. */
+	uint32_t failed_probes;
 	bool probing;
-	bool probe_owed;    /* the last one said nothing, and is made up for */
-	uint64_t proven_ms; /* the probe that showed it dead was sent then */
-	bool proof_wanted;  /* flows came since: they may be the next one's */
+	/* Repeat the last probe, which was inconclusive. */
+	bool probe_owed;
+	/* When the probe was sent that confirmed the death. */
+	uint64_t proven_ms;
+	/* Flows have arrived that may belong to the next incarnation; confirm
+	 * again whether the endpoint is dead. */
+	bool proof_wanted;
 
 	struct jt_outlier outlier; /* failed requests (jt_outlier.h) */
 
 	struct jt_service_pool *pool;
-	size_t pool_place; /* among the pool's members */
+	size_t pool_place; /* index in the pool's members */
 	uint64_t address_key;
 	UT_hash_handle by_earlier_label;
-	/* Others that have or had the same address. */
+	/* Other incarnations that have or had the same address. */
 	struct jt_incarnation *address_next, *address_prev;
-	UT_hash_handle by_address; /* the first of each address alone */
+	UT_hash_handle by_address; /* only the first of each address */
 	struct jt_incarnation *slice_next, *slice_prev;
 	struct jt_incarnation *watched_next, *watched_prev;
-	bool watched; /* something is due there some time */
+	bool watched; /* true if in the table's watched list */
 	UT_hash_handle by_id;
-	/*
-	 * Ids are folded to labels, so that two may have the same one. The one
-	 * that came first to discovery has it, and flows follow it there; the
-	 * others get no new flows as long as it is known.
-	 */
+	/* Labels are hashes of ids and may collide. The incarnation that
+	 * was registered with discovery first owns the label and gets its
+	 * flows; the others are not eligible for new flows while the first
+	 * is known. */
 	struct jt_incarnation *label_next, *label_prev; /* oldest first */
-	UT_hash_handle by_label; /* the oldest of each label alone */
+	UT_hash_handle by_label; /* only the oldest of each label */
 };
 
 /* The incarnations of one service. */
 struct jt_service_pool {
 	uint32_t service_id;
-	struct jt_incarnation **members; /* in no order */
+	struct jt_incarnation **members; /* unordered */
 	size_t count;
 	size_t room;
-	double answer_ms; /* smoothed time to an answer; 0: unknown */
-	double serve_ms;  /* the same without the way, over more answers */
+	double answer_ms; /* smoothed response time; 0: unknown */
+	/* Smoothed service time: without the network path, averaged over more
+	 * answers. */
+	double serve_ms;
 	struct jt_outlier_peers outliers;
 	UT_hash_handle hh;
 };
 
-/*
- * A part of the table, the same incarnations at every node: it is fetched from
- * peers slice by slice, and what is new in it is found without the rest.
- */
+/* A slice of the table, which has the same members on every node. Slices are
+ * fetched from peers one by one, and only the members changed since a
+ * revision. */
 struct jt_endpoint_slice {
 	struct jt_incarnation *members;
-	uint64_t newest; /* no member was told at a later revision */
+	uint64_t newest; /* latest revision of any member */
 };
 
 struct jt_endpoint_table {
-	size_t limit; /* incarnations known at once */
+	size_t limit; /* maximum number of incarnations */
 	struct jt_endpoint_slice slices[JT_DIRECTOR_SLICES];
 	struct jt_incarnation *ids;
 	struct jt_incarnation *labels;
 	struct jt_incarnation *earlier_labels;
-	struct jt_incarnation *addresses; /* the first of each */
-	struct jt_incarnation *watched;	  /* by watched_next, in no order */
+	struct jt_incarnation *addresses; /* only the first of each address */
+	struct jt_incarnation *watched;	  /* unordered, by watched_next */
 	struct jt_service_pool *pools;
 	size_t count;
 };
 
-/* Of the newest that discovery told of it. */
+/* Returns the latest revision that discovery reported for the incarnation. */
 static inline uint64_t jt_incarnation_revision(const struct jt_incarnation *in)
 {
 	if (in->entry.gone_revision > in->entry.revision)
@@ -127,16 +143,18 @@
 	return in->entry.revision;
 }
 
-/* Requests that it works on at once: one where its entry says nothing. */
+/* Returns the number of requests served concurrently; 1 if the entry has no
+ * capacity. */
 static inline uint32_t jt_incarnation_slots(const struct jt_incarnation *in)
 {
 	return in->entry.capacity > 0 ? in->entry.capacity : 1;
 }
 
-/* A flow that got on so lately shows that its endpoint lives. */
+/* Progress on a flow within this time shows that the endpoint is alive. */
 enum { JT_LIVES_MS = 1000 };
 
-/* Whether its entry went just because the store was away. */
+/* Returns true if the entry expired during an outage of the store and the
+ * endpoint is known to be alive. */
 static inline bool jt_incarnation_outlives(const struct jt_incarnation *in,
 					   uint64_t now_ms)
 {
@@ -146,31 +164,32 @@
 enum jt_entry_result {
 	JT_ENTRY_NEW,
 	JT_ENTRY_CHANGED,
-	JT_ENTRY_RESTARTED, /* of another incarnation under the same id */
-	JT_ENTRY_OLD,	    /* not newer than what is known */
-	JT_ENTRY_NO_ROOM,
+	JT_ENTRY_RESTARTED, /* new incarnation under the same id */
+	JT_ENTRY_OLD,	    /* not newer than the known entry */
+	JT_ENTRY_NO_ROOM,   /* table full, or out of memory */
 };
 
-/* Orders ids, uint64_t, for qsort() and bsearch(). */
+/* Comparison function for uint64_t ids, for qsort() and bsearch(). */
 int jt_endpoint_id_compare(const void *one, const void *other);
 
+/* Creates a table of at most @limit incarnations. Returns NULL if out of
+ * memory. */
 struct jt_endpoint_table *jt_endpoint_table_create(TALLOC_CTX *mem_ctx,
 						   size_t limit);
-/*
- * Take discovery's @entry over, but for when it went. @stale takes older
- * entries as well (tests). @incarnation is set where the entry is taken. State
- * changes are the caller's.
- */
+/* Adds or updates the incarnation from a discovery @entry, except for its
+ * removal. @stale accepts older revisions too (for tests). Sets @incarnation
+ * if the entry was accepted. The caller must handle state changes. */
 enum jt_entry_result
 jt_endpoint_table_take(struct jt_endpoint_table *table,
 		       const struct jt_endpoint_entry *entry, bool stale,
 		       uint64_t now_ms, struct jt_incarnation **incarnation);
-/* Its entry went at @revision, as discovery told at @now_ms. */
+/* Records that the entry was removed at @revision, learned at @now_ms. */
 void jt_endpoint_table_gone(struct jt_endpoint_table *table,
 			    struct jt_incarnation *incarnation,
 			    uint64_t revision, uint64_t now_ms);
-/* Something may be due at the incarnation some time: a probe, or its end. Once
- * nothing is, jt_endpoint_table_unwatch() takes it off the list. */
+/* Adds the incarnation to the list of those that need timed work, such as a
+ * probe or their removal. Call jt_endpoint_table_unwatch() when there is none
+ * left. */
 void jt_endpoint_table_watch(struct jt_endpoint_table *table,
 			     struct jt_incarnation *incarnation);
 void jt_endpoint_table_unwatch(struct jt_endpoint_table *table,
@@ -179,32 +198,35 @@
 			      struct jt_incarnation *incarnation);
 struct jt_incarnation *
 jt_endpoint_table_by_id(const struct jt_endpoint_table *table, uint64_t id);
-/* The one of those with @label that flows with it follow; where none has it,
- * the one whose earlier incarnation had. */
+/* Returns the incarnation to which flows with @label are forwarded: its owner,
+ * or otherwise the one whose earlier incarnation had the label. Returns NULL
+ * if there is none. */
 struct jt_incarnation *
 jt_endpoint_table_by_label(const struct jt_endpoint_table *table,
 			   uint32_t label);
-/* The one of those that have @label now: what is told of an earlier incarnation
- * is not about the one in its place. */
+/* Returns the current owner of @label, or NULL. Ignores the labels of earlier
+ * incarnations, so that a report about one is not applied to its successor. */
 struct jt_incarnation *
 jt_endpoint_table_labelled(const struct jt_endpoint_table *table,
 			   uint32_t label);
-/* Whether the flow was placed at this incarnation, not at an earlier one. */
+/* Returns true if the flow was assigned to this incarnation and not to an
+ * earlier one. */
 static inline bool jt_incarnation_placed(const struct jt_incarnation *in,
 					 uint32_t flow_label)
 {
 	return in->label == flow_label;
 }
 
-/* Whether flows can be told from those of all others by its label. */
+/* Returns true if the incarnation owns its label, so that its flows can be
+ * identified by it. */
 bool jt_endpoint_table_has_label(const struct jt_incarnation *incarnation);
-/* The first incarnation that discovery told at @address; the others follow by
+/* Returns the first incarnation with @address, or NULL; the others follow by
  * address_next. */
 struct jt_incarnation *
 jt_endpoint_table_at(const struct jt_endpoint_table *table,
 		     struct jt_address address);
-/* Any order: for (in = first(table); in != NULL; in = next(in)). The one at
- * hand may be removed once the next is known. */
+/* Iterates in any order: for (in = first(table); in != NULL; in = next(in)).
+ * The current incarnation may be removed after its successor was read. */
 static inline struct jt_incarnation *
 jt_endpoint_table_first(const struct jt_endpoint_table *table)
 {
@@ -217,7 +239,7 @@
 	return incarnation->by_id.next;
 }
 
-/* NULL when no incarnation of the service is known. */
+/* Returns NULL if no incarnation of the service is known. */
 struct jt_service_pool *
 jt_endpoint_table_pool(const struct jt_endpoint_table *table,
 		       uint32_t service_id);
--- a/src/label/jt_split.c
+++ b/src/label/jt_split.c
@@ -5,8 +5,9 @@
 #include <string.h>
 
 enum {
-	/* Counts are halved there, so that old ones weigh less. */
-	SPLIT_MEMORY = 4096,
+	/* Counts are halved when their sum reaches this, so that older flows
+	 * weigh less. */
+	COUNTS_SUM_MAX = 4096,
 };
 
 struct jt_splits *jt_splits_create(TALLOC_CTX *mem_ctx)
@@ -47,7 +48,7 @@
 	split->given[part]++;
 	for (size_t i = 0; i < split->route.part_count; i++)
 		sum += split->given[i];
-	if (sum < SPLIT_MEMORY)
+	if (sum < COUNTS_SUM_MAX)
 		return;
 	for (size_t i = 0; i < split->route.part_count; i++)
 		split->given[i] /= 2;
@@ -99,18 +100,18 @@
 int jt_split_next(const struct jt_split *split, unsigned tried)
 {
 	const struct jt_route *route = &split->route;
-	double least = INFINITY;
+	double lowest = INFINITY;
 	int next = -1;
 
 	for (size_t i = 0; i < route->part_count; i++) {
-		double behind;
+		double relative_count;
 
 		if (route->parts[i].weight == 0 || tried >> i & 1)
 			continue;
-		behind = ((double)split->given[i] + 0.5) /
-			 route->parts[i].weight;
-		if (behind < least) {
-			least = behind;
+		relative_count = ((double)split->given[i] + 0.5) /
+				 route->parts[i].weight;
+		if (relative_count < lowest) {
+			lowest = relative_count;
 			next = (int)i;
 		}
 	}
--- a/src/label/jt_split.h
+++ b/src/label/jt_split.h
@@ -1,6 +1,7 @@
 /*
- * How the new flows of a route are split over its parts: each goes to the part
- * that is furthest behind its weight, so that shares are exact over any run.
+ * Splits the new flows of a route over its parts: each flow goes to the part
+ * that is furthest behind its weight, which keeps the shares exact over any
+ * period.
  */
 #ifndef JT_SPLIT_H
 #define JT_SPLIT_H
@@ -11,12 +12,12 @@
 
 #include <uthash.h>
 
-/* Flows and requests that a route's parts got so far. */
+/* Flows and requests assigned to the parts of a route so far. */
 struct jt_split {
-	struct jt_address address; /* of the route */
-	struct jt_route route;	   /* as it was when counting began */
+	struct jt_address address; /* address of the route */
+	struct jt_route route;	   /* the route when counting began */
 	uint64_t given[JT_ROUTE_PART_LIMIT];
-	struct jt_usual usual[JT_ROUTE_PART_LIMIT]; /* time of requests */
+	struct jt_usual usual[JT_ROUTE_PART_LIMIT]; /* response times by part */
 	UT_hash_handle hh;
 };
 
@@ -25,20 +26,22 @@
 };
 
 struct jt_splits *jt_splits_create(TALLOC_CTX *mem_ctx);
-/* The split of the route, which begins anew when the route's parts have
- * changed. NULL when memory runs out. */
+/* Returns the split of the route, created if necessary. Its counts are reset
+ * when the route's parts have changed. Returns NULL if out of memory. */
 struct jt_split *jt_splits_find(struct jt_splits *splits,
 				const struct jt_route *route);
-/* A flow or request went to the part. */
+/* Records a flow or request assigned to the part. */
 void jt_split_give(struct jt_split *split, size_t part);
-/* The part furthest behind its weight of those not in @tried (bits), or -1. */
+/* Returns the part furthest behind its weight among those not in the bit set
+ * @tried, or -1 if there is none. */
 int jt_split_next(const struct jt_split *split, unsigned tried);
-/* A request of the route went to @service_id on a flow that is open. */
+/* Records a request of the route to @service_id on an open flow. */
 void jt_splits_count(struct jt_splits *splits, const struct jt_route *route,
 		     uint32_t service_id);
-/* Time of requests of the route at @service_id, NULL when it is no part. */
+/* Returns the response times of the route's requests at @service_id, or NULL
+ * if the service is not a part of the route. */
 struct jt_usual *jt_split_usual(struct jt_split *split, uint32_t service_id);
-/* Forget the splits of routes that @routing has no more. */
+/* Removes the splits of routes that are not in @routing. */
 void jt_splits_prune(struct jt_splits *splits,
 		     const struct jt_routing *routing);
 
--- a/src/label/jt_zone_choice.c
+++ b/src/label/jt_zone_choice.c
@@ -2,19 +2,19 @@
 
 #include <math.h>
 
-/* Bytes between zones cost: a request goes there only if it saves so many times
- * what it would take there. */
-#define FAR_TIMES 1.5
+/* A remote endpoint is used only if the local marginal response time exceeds
+ * the remote one by this factor, since traffic between zones is costly. */
+#define REMOTE_TIME_FACTOR 1.5
 
 double jt_zone_spill(const struct jt_target *near, const struct jt_target *far)
 {
-	double most = far->slots / (near->slots + far->slots);
+	double max_spill = far->slots / (near->slots + far->slots);
 	double spill;
 
 	if (isinf(far->level))
 		return 0;
 	if (isinf(near->level))
-		return most;
-	spill = 1 - FAR_TIMES * far->level / near->level;
-	return fmax(0, fmin(spill, most));
+		return max_spill;
+	spill = 1 - REMOTE_TIME_FACTOR * far->level / near->level;
+	return fmax(0, fmin(spill, max_spill));
 }
--- a/src/label/jt_zone_choice.h
+++ b/src/label/jt_zone_choice.h
@@ -1,20 +1,21 @@
 /*
- * Which part of a node's new flows goes to other zones: none while the own one
- * has room, and more the longer requests would take there.
+ * Decides which part of a node's new flows goes to other zones: none while the
+ * own zone has headroom, and more the longer the response time in the own zone
+ * is compared with the others.
  *
- * The part follows the work that is known of both sides, which is seconds old.
- * All nodes of a zone see nearly the same: were they to send all flows to where
- * it is better, two zones would hand their load back and forth. So each sends a
- * part only, which grows with the difference, and never more than if there were
- * no zones.
+ * The load data of both sides is some seconds old and nearly the same on all
+ * nodes of a zone. If all of them sent every flow to the better side, load
+ * would oscillate between the zones. Each node therefore diverts only a part,
+ * which grows with the difference and never exceeds the part that the other
+ * zones would get if zones were ignored.
  */
 #ifndef JT_ZONE_CHOICE_H
 #define JT_ZONE_CHOICE_H
 
 #include "jt_target.h"
 
-/* The part of new flows that go to the others, 0 to 1, by what was aimed at in
- * the own zone and in all others. */
+/* Returns the part of new flows that goes to other zones, 0 to 1, from the
+ * load targets of the own zone (@near) and of all other zones (@far). */
 double jt_zone_spill(const struct jt_target *near, const struct jt_target *far);
 
 #endif
--- a/src/label/jt_zone_drains.c
+++ b/src/label/jt_zone_drains.c
@@ -12,7 +12,7 @@
 	return false;
 }
 
-static void draining_collect(struct jt_zone_drains *drains)
+static void draining_update(struct jt_zone_drains *drains)
 {
 	drains->draining_count = 0;
 	for (size_t i = 0; i < drains->count; i++) {
@@ -32,7 +32,7 @@
 	return NULL;
 }
 
-/* The zone whose drain ended first, NULL when all are in drain. */
+/* Returns the zone whose drain ended first, or NULL if all are drained. */
 static struct jt_zone_state *zone_oldest_ended(struct jt_zone_drains *drains)
 {
 	struct jt_zone_state *oldest = NULL;
@@ -48,8 +48,8 @@
 	return oldest;
 }
 
-/* Room for a zone that is not known, NULL when there is none. */
-static struct jt_zone_state *zone_room(struct jt_zone_drains *drains)
+/* Returns a slot for a new zone, or NULL if all zones are drained. */
+static struct jt_zone_state *zone_slot(struct jt_zone_drains *drains)
 {
 	struct jt_zone_state *oldest;
 
@@ -71,7 +71,7 @@
 
 	if (drain->revision <= drains->forgotten_revision)
 		return JT_ZONE_SAME;
-	added = zone_room(drains);
+	added = zone_slot(drains);
 	if (added == NULL)
 		return JT_ZONE_NO_ROOM;
 	*added = (struct jt_zone_state){
@@ -80,7 +80,7 @@
 		.since_ms = now_ms,
 		.told = true,
 	};
-	draining_collect(drains);
+	draining_update(drains);
 	*state = added;
 	return drain->draining ? JT_ZONE_BEGAN : JT_ZONE_SAME;
 }
@@ -103,7 +103,7 @@
 	if (drain->draining == was_draining)
 		return JT_ZONE_SAME;
 	known->since_ms = now_ms;
-	draining_collect(drains);
+	draining_update(drains);
 	*state = known;
 	return drain->draining ? JT_ZONE_BEGAN : JT_ZONE_ENDED;
 }
--- a/src/label/jt_zone_drains.h
+++ b/src/label/jt_zone_drains.h
@@ -1,12 +1,11 @@
 /*
- * Which zones operators drain: endpoints there get no new flows until the
- * drain ends; open flows stay.
+ * Zones that operators drain: their endpoints get no new flows until the drain
+ * ends, and open flows continue.
  *
- * Every change carries the store's revision, which orders it: one that comes
- * late, twice or out of order changes nothing, so that the state of a zone
- * never goes back within a process. The end of a drain is kept as well.
- *
- * Bounded: the oldest drain that has ended gives way to a new zone.
+ * Changes are ordered by the store's revision, and old or repeated ones are
+ * ignored, so that a zone's state never reverts within a process. Ended drains
+ * are kept too, as far as the limit allows: the oldest ended drain is dropped
+ * for a new zone.
  */
 #ifndef JT_ZONE_DRAINS_H
 #define JT_ZONE_DRAINS_H
@@ -16,37 +15,38 @@
 struct jt_zone_state {
 	struct jt_zone_drain drain;
 	uint32_t zone_id;  /* jt_name_id() of the zone */
-	uint64_t since_ms; /* when this node learned of the change */
-	bool told;	   /* since the last complete list began */
+	uint64_t since_ms; /* when this node learned the state */
+	/* Reported since the last full listing began. */
+	bool told;
 };
 
 struct jt_zone_drains {
 	struct jt_zone_state zones[JT_ZONE_DRAIN_LIMIT];
 	size_t count;
-	/* Newest revision of a drain that gave way: older changes of zones that
-	 * are not known are not taken. */
+	/* Latest revision of a dropped drain. Older changes of unknown zones
+	 * are ignored. */
 	uint64_t forgotten_revision;
-	/* Zones in drain now: each choice of an endpoint looks here. */
+	/* Zones currently drained, for fast lookup. */
 	uint32_t draining[JT_ZONE_DRAIN_LIMIT];
 	size_t draining_count;
 };
 
 enum jt_zone_result {
-	JT_ZONE_SAME,  /* not newer, or nothing else than what is known */
-	JT_ZONE_BEGAN, /* the zone is in drain from now on */
-	JT_ZONE_ENDED, /* and not any more */
+	JT_ZONE_SAME,  /* not newer, or no change of the state */
+	JT_ZONE_BEGAN, /* the zone is drained now */
+	JT_ZONE_ENDED, /* the zone is not drained any more */
 	JT_ZONE_NO_ROOM,
 };
 
-/* A drain began or ended. @state is set on JT_ZONE_BEGAN and JT_ZONE_ENDED,
- * good until the next change. */
+/* Applies the start or end of a drain. On JT_ZONE_BEGAN and JT_ZONE_ENDED sets
+ * @state, which stays valid until the next change. */
 enum jt_zone_result jt_zone_drains_take(struct jt_zone_drains *drains,
 					const struct jt_zone_drain *drain,
 					uint64_t now_ms,
 					const struct jt_zone_state **state);
-/* Whether the endpoints of the zone get no new flows. */
+/* Returns true if the zone is drained. */
 bool jt_zone_drains_has(const struct jt_zone_drains *drains, uint32_t zone_id);
-/* A complete list begins. */
+/* Starts a full listing: marks all zones as not yet reported. */
 void jt_zone_drains_listing(struct jt_zone_drains *drains);
 
 #endif
