--- a/src/label/jt_detector.c
+++ b/src/label/jt_detector.c
@@ -2,15 +2,16 @@
 
 enum {
 	AVOID_MS = 500,
-	AVOID_DOUBLINGS = 3,
-	/* Failed probes in a row that prove death where no flow shows it: a
-	 * connection may get no answer because many nodes open one at that
-	 * moment, and an endpoint that leaves takes no more of them. */
-	PROBES_PROVE = 2,
-	/* A peer's verdict counts for so long: by then discovery has dropped
-	 * most endpoints that have ended. Where heartbeats are slow and it has
-	 * not, new flows show again whether the endpoint answers. */
-	PEER_VERDICT_MS = 5000,
+	AVOID_DOUBLINGS_MAX = 3,
+	/* Consecutive failed probes that confirm death without evidence
+	 * from a flow. A single one may be due to a burst of connections
+	 * from many nodes, or to an endpoint that is shutting down and
+	 * accepts no more. */
+	PROBES_TO_CONFIRM = 2,
+	/* Time for which a peer's death report is used. By then discovery has
+	 * removed most terminated endpoints; otherwise new flows show whether
+	 * the endpoint answers. */
+	PEER_REPORT_MS = 5000,
 };
 
 void jt_detector_init(struct jt_detector *detector,
@@ -47,16 +48,17 @@
 				 uint64_t now_ms)
 {
 	return incarnation->peer_verdict_ms != 0 &&
-	       now_ms - incarnation->peer_verdict_ms < PEER_VERDICT_MS;
+	       now_ms - incarnation->peer_verdict_ms < PEER_REPORT_MS;
 }
 
-/* Twice as long after each first packet without an answer. */
+/* Avoids the incarnation, twice as long after each consecutive unanswered
+ * first packet. */
 static void avoid(struct jt_incarnation *incarnation, uint64_t now_ms)
 {
 	uint32_t doublings = incarnation->unanswered;
 
-	if (doublings > AVOID_DOUBLINGS)
-		doublings = AVOID_DOUBLINGS;
+	if (doublings > AVOID_DOUBLINGS_MAX)
+		doublings = AVOID_DOUBLINGS_MAX;
 	incarnation->unanswered++;
 	incarnation->avoid_until_ms =
 		now_ms + ((uint64_t)AVOID_MS << doublings);
@@ -95,7 +97,7 @@
 	if (incarnation->state != JT_INCARNATION_DEAD)
 		return incarnation->probe_owed ||
 		       (incarnation->failed_probes > 0 &&
-			incarnation->failed_probes < PROBES_PROVE);
+			incarnation->failed_probes < PROBES_TO_CONFIRM);
 	return incarnation->proof_wanted ||
 	       (incarnation->cause != JT_DEATH_REPLACED &&
 		incarnation->entry.gone_revision == 0);
@@ -104,12 +106,12 @@
 void jt_detector_want_proof(const struct jt_detector *detector,
 			    struct jt_incarnation *incarnation)
 {
-	uint64_t soon_ms =
+	uint64_t earliest_ms =
 		incarnation->probe_sent_ms + detector->probe_pause_ms;
 
 	incarnation->proof_wanted = true;
-	if (incarnation->probe_next_ms > soon_ms)
-		incarnation->probe_next_ms = soon_ms;
+	if (incarnation->probe_next_ms > earliest_ms)
+		incarnation->probe_next_ms = earliest_ms;
 }
 
 bool jt_detector_pending(const struct jt_incarnation *incarnation)
@@ -127,12 +129,11 @@
 	incarnation->probe_sent_ms = now_ms;
 }
 
-/*
- * Whether one failed probe is enough where no flow proves anything: a flow's
- * data was sent again, or an endpoint that should take connections refuses.
- */
-static bool once_is_enough(const struct jt_incarnation *incarnation,
-			   enum jt_probe_outcome outcome)
+/* Returns true if a single failed probe confirms death without evidence from
+ * an unacknowledged flow: if a client retransmits on an open flow, or a ready
+ * endpoint refuses the connection. */
+static bool single_failure_confirms(const struct jt_incarnation *incarnation,
+				    enum jt_probe_outcome outcome)
 {
 	if (incarnation->suspected_ms != 0)
 		return true;
@@ -140,10 +141,10 @@
 	       incarnation->state == JT_INCARNATION_READY;
 }
 
-/* Whether a probe that got no connection proves death. */
-static bool failure_proves(const struct jt_detector *detector,
-			   const struct jt_incarnation *incarnation,
-			   enum jt_probe_outcome outcome, bool far_from_full)
+/* Returns true if a failed probe confirms that the incarnation is dead. */
+static bool failure_confirms(const struct jt_detector *detector,
+			     const struct jt_incarnation *incarnation,
+			     enum jt_probe_outcome outcome, bool far_from_full)
 {
 	if (detector->break_mechanism & JT_DIRECTOR_BREAK_GUESS_DEATH)
 		return true;
@@ -151,18 +152,21 @@
 		return false;
 	if (!incarnation->flow_dead && !far_from_full)
 		return false;
-	if (!incarnation->flow_dead && !once_is_enough(incarnation, outcome) &&
-	    incarnation->failed_probes < PROBES_PROVE)
+	if (!incarnation->flow_dead &&
+	    !single_failure_confirms(incarnation, outcome) &&
+	    incarnation->failed_probes < PROBES_TO_CONFIRM)
 		return false;
-	/* Where nobody answers what left after the probe, this node may be the
-	 * one that is cut off, or its link holds packets back. */
+	/* If no endpoint has answered a packet sent after the probe, this node
+	 * may be disconnected or its link may delay packets. */
 	return outcome == JT_PROBE_REFUSED ||
 	       detector->contact_ms >= incarnation->probe_sent_ms;
 }
 
-/* Something answers at the address: is it this incarnation? */
-static enum jt_detector_verdict connected(struct jt_detector *detector,
-					  struct jt_incarnation *incarnation)
+/* Handles a successful probe: decides if the identity at the address must be
+ * verified. */
+static enum jt_detector_verdict
+probe_connected(struct jt_detector *detector,
+		struct jt_incarnation *incarnation)
 {
 	if (incarnation->probe_sent_ms > detector->contact_ms)
 		detector->contact_ms = incarnation->probe_sent_ms;
@@ -178,15 +182,13 @@
 	return JT_VERDICT_NONE;
 }
 
-/*
- * A probe of a dead incarnation got no connection. Flows that were seen before
- * it have ended: the endpoint had not started again by then. One that has, and
- * may be full already, is asked twice.
- */
-static enum jt_detector_verdict still_dead(const struct jt_detector *detector,
-					   struct jt_incarnation *incarnation,
-					   enum jt_probe_outcome outcome,
-					   bool far_from_full)
+/* Handles a failed probe of a dead incarnation. If it confirms that the
+ * endpoint had not restarted by then, flows seen before the probe have ended.
+ * Two failures are needed if a restarted endpoint might be full. */
+static enum jt_detector_verdict
+dead_probe_failed(const struct jt_detector *detector,
+		  struct jt_incarnation *incarnation,
+		  enum jt_probe_outcome outcome, bool far_from_full)
 {
 	if (incarnation->entry.born_ms == 0)
 		return JT_VERDICT_NONE;
@@ -194,7 +196,7 @@
 	    detector->contact_ms < incarnation->probe_sent_ms)
 		return JT_VERDICT_NONE;
 	incarnation->failed_probes++;
-	if (!far_from_full && incarnation->failed_probes < PROBES_PROVE)
+	if (!far_from_full && incarnation->failed_probes < PROBES_TO_CONFIRM)
 		return JT_VERDICT_NONE;
 	incarnation->proven_ms = incarnation->probe_sent_ms;
 	return JT_VERDICT_STILL_DEAD;
@@ -214,16 +216,16 @@
 			       : detector->probe_pause_ms);
 	*cause = JT_DEATH_NONE;
 	if (outcome == JT_PROBE_CONNECTED)
-		return connected(detector, incarnation);
+		return probe_connected(detector, incarnation);
 	if (outcome == JT_PROBE_VOID) {
 		incarnation->probe_owed = incarnation->suspected_ms != 0;
 		return JT_VERDICT_NONE;
 	}
 	if (dead)
-		return still_dead(detector, incarnation, outcome,
-				  far_from_full);
+		return dead_probe_failed(detector, incarnation, outcome,
+					 far_from_full);
 	incarnation->failed_probes++;
-	if (failure_proves(detector, incarnation, outcome, far_from_full)) {
+	if (failure_confirms(detector, incarnation, outcome, far_from_full)) {
 		incarnation->proven_ms = incarnation->probe_sent_ms;
 		*cause = outcome == JT_PROBE_REFUSED ? JT_DEATH_REFUSED
 						     : JT_DEATH_SILENT;
@@ -253,7 +255,7 @@
 			       ? JT_VERDICT_STILL_DEAD
 			       : JT_VERDICT_DEAD;
 	}
-	/* Who has the address is not the detector's to settle. */
+	/* The detector does not decide which incarnation owns an address. */
 	if (dead && incarnation->cause == JT_DEATH_REPLACED)
 		return JT_VERDICT_NONE;
 	incarnation->vain_connects = 0;
--- a/src/label/jt_outlier.c
+++ b/src/label/jt_outlier.c
@@ -3,58 +3,59 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Failing requests that all endpoints are taken to have had before any is
- * known: one sign alone proves little where requests are many. */
+/* Requests added to an endpoint's total as a prior, so that a single failure
+ * has little effect. */
 #define PRIOR_REQUESTS 0.3
-/* Before the first failure, as many were served as come in this part of the
- * time over which requests are counted (jt_work.h), some 0.15 s: so many
- * further failures make it doubtful, at any rate of requests. */
-#define SERVED_BEFORE 0.2
-/* An overdue answer stands for so many failures: it comes late, and whoever
- * waits for the next ones loses most. */
+/* At the first failure, the endpoint is assumed to have served the requests of
+ * this part of the averaging time (jt_work.h). The number of failures that
+ * makes it an outlier is then independent of the request rate. */
+#define SERVED_BEFORE_PART 0.2
+/* Weight of an overdue answer in failures: it is detected late, and clients
+ * wait long for the next ones. */
 #define OVERDUE_WEIGHT 8.0
-/* The share falls with this power of the part of requests that is served: what
- * others serve better is left to them. */
+/* The share falls with this power of the success rate relative to others. */
 #define SHARE_POWER 4.0
-/* A failure counts for that where the service is full. */
-#define ROOM_WEIGHT_LEAST 0.3
-/* Signs that count for less than this are forgotten. */
-#define FAILED_LEAST 0.02
+/* Minimum weight of a failure, when the service has no free slots. */
+#define FREE_SLOTS_WEIGHT_MIN 0.3
+/* Weighted failures below this are forgotten. */
+#define FAILED_MIN 0.02
 
 enum {
-	/* No answer is overdue before so many times the service's usual time.
-	 */
-	OVERDUE_TIMES = 8,
-	/* The usual time moves by this part of the difference to each. */
-	USUAL_PART = 16,
-	/* Signs count for half after so long, those of overdue answers longer:
-	 * each try there costs a caller its patience. */
+	/* An answer is overdue after this multiple of the service's mean
+	 * response time. */
+	OVERDUE_FACTOR = 8,
+	/* Divisor of the moving average of response times. */
+	RESPONSE_TIME_DIVISOR = 16,
+	/* Half-life of failures; longer for overdue answers, because each
+	 * trial of such an endpoint makes a client wait. */
 	HALF_LIFE_MS = 500,
 	HALF_LIFE_OVERDUE_MS = 1000,
-	/* Twice as long where it still fails after that, or fails again when
-	 * its share is back, up to the other. */
-	STILL_FAILING_MS = 500,
-	HALF_LIFE_MOST_MS = 2000,
-	/* Without any sign for so long, it starts anew. */
+	/* The half-life doubles, up to the maximum, if failures continue for
+	 * this time or recur after the share was restored. */
+	HALF_LIFE_DOUBLE_MS = 500,
+	HALF_LIFE_MAX_MS = 2000,
+	/* Without failures for this time the half-life is reset. */
 	FORGET_MS = 15000,
-	/* Peers are told of overdue answers at most once in that time. */
-	TELL_MS = 1000,
-	/* The endpoints of a service are compared so often. */
-	COMPARE_MS = 50,
-	/* The better ones: the first of so many equal parts. */
-	BETTER_PARTS = 4,
-	/* What is always left, so that one that serves again is found. */
-	LEAST_PERMILLE = 20,
-	/* A smaller reduction is none. */
-	FULL_FROM_PERMILLE = 850,
-	/* Reduced is told below the one, restored above the other. */
-	TOLD_BELOW_PERMILLE = 500,
-	TOLD_ABOVE_PERMILLE = 900,
-	/* One whose share is below that surely fails. */
-	LOW_PERMILLE = 300,
+	/* Minimum time between reports of overdue answers to peers. */
+	REPORT_INTERVAL_MS = 1000,
+	/* Interval of the comparison of a service's endpoints. */
+	COMPARE_INTERVAL_MS = 50,
+	/* The reference is this quantile of failure rates, the lower
+	 * quartile. */
+	REFERENCE_QUANTILE = 4,
+	/* Minimum share, which allows recovery to be detected. */
+	SHARE_MIN_PERMILLE = 20,
+	/* A share of at least this is treated as full. */
+	TREAT_AS_FULL_PERMILLE = 850,
+	/* A reduction is reported below the first value, a restoration above
+	 * the second. */
+	REDUCED_BELOW_PERMILLE = 500,
+	RESTORED_ABOVE_PERMILLE = 900,
+	/* An endpoint with a lower share is certain to fail requests. */
+	LOW_SHARE_PERMILLE = 300,
 };
 
-/* Requests that failed and were served, as they count now. */
+/* Weighted failed and served requests, decayed to the present. */
 struct counts {
 	double failed;
 	double served;
@@ -69,8 +70,8 @@
 	if (pool->answer_ms == 0)
 		pool->answer_ms = (double)took_ms;
 	else
-		pool->answer_ms +=
-			((double)took_ms - pool->answer_ms) / USUAL_PART;
+		pool->answer_ms += ((double)took_ms - pool->answer_ms) /
+				   RESPONSE_TIME_DIVISOR;
 }
 
 uint64_t jt_outlier_limit_ms(const struct jt_incarnation *incarnation)
@@ -79,7 +80,7 @@
 	uint64_t limit_ms = 0;
 
 	if (pool != NULL)
-		limit_ms = (uint64_t)(pool->answer_ms * OVERDUE_TIMES);
+		limit_ms = (uint64_t)(pool->answer_ms * OVERDUE_FACTOR);
 	return limit_ms > JT_OVERDUE_LEAST_MS ? limit_ms : JT_OVERDUE_LEAST_MS;
 }
 
@@ -88,55 +89,56 @@
 {
 	const struct jt_outlier *outlier = &in->outlier;
 	struct counts counts = {outlier->failed, outlier->served};
-	double left;
+	double remaining;
 
 	if (outlier->half_life_ms == 0 || now_ms <= outlier->as_of_ms)
 		return counts;
-	left = exp2(-(double)(now_ms - outlier->as_of_ms) /
-		    outlier->half_life_ms);
-	counts.failed *= left;
-	counts.served *= left;
+	remaining = exp2(-(double)(now_ms - outlier->as_of_ms) /
+			 outlier->half_life_ms);
+	counts.failed *= remaining;
+	counts.served *= remaining;
 	return counts;
 }
 
-static double requests_of(struct counts counts)
+static double total_requests(struct counts counts)
 {
 	return counts.failed + counts.served + PRIOR_REQUESTS;
 }
 
-static double failing_part(struct counts counts)
+static double failure_rate(struct counts counts)
 {
-	return counts.failed / requests_of(counts);
+	return counts.failed / total_requests(counts);
 }
 
-/* The same, less what chance may have added: its standard error. */
-static double surely_failing_part(struct counts counts)
+/* Returns the failure rate less its standard error. */
+static double failure_rate_lower_bound(struct counts counts)
 {
-	double part = failing_part(counts);
-	double sure = part - sqrt(part * (1 - part) / requests_of(counts));
+	double rate = failure_rate(counts);
+	double lower = rate - sqrt(rate * (1 - rate) / total_requests(counts));
 
-	return sure > 0 ? sure : 0;
+	return lower > 0 ? lower : 0;
 }
 
 uint32_t jt_outlier_share_permille(const struct jt_incarnation *incarnation,
 				   uint64_t now_ms)
 {
-	double served, usually_served, share;
+	double served, reference_served, share;
 
 	if (!jt_outlier_pending(incarnation) || incarnation->pool == NULL)
 		return JT_FULL_SHARE_PERMILLE;
-	served = 1 - surely_failing_part(counts_now(incarnation, now_ms));
-	usually_served = 1 - incarnation->pool->outliers.usual;
-	if (served >= usually_served)
+	served = 1 - failure_rate_lower_bound(counts_now(incarnation, now_ms));
+	reference_served = 1 - incarnation->pool->outliers.usual;
+	if (served >= reference_served)
 		return JT_FULL_SHARE_PERMILLE;
 	share = JT_FULL_SHARE_PERMILLE *
-		pow(served / usually_served, SHARE_POWER);
-	if (share >= FULL_FROM_PERMILLE)
+		pow(served / reference_served, SHARE_POWER);
+	if (share >= TREAT_AS_FULL_PERMILLE)
 		return JT_FULL_SHARE_PERMILLE;
-	return share > LEAST_PERMILLE ? (uint32_t)share : LEAST_PERMILLE;
+	return share > SHARE_MIN_PERMILLE ? (uint32_t)share
+					  : SHARE_MIN_PERMILLE;
 }
 
-/* Bring the counts up to now. */
+/* Decays the counts to the present. */
 static void counts_advance(struct jt_incarnation *in, uint64_t now_ms)
 {
 	struct jt_outlier *outlier = &in->outlier;
@@ -146,45 +148,43 @@
 	outlier->served = counts.served;
 	outlier->as_of_ms = now_ms;
 	if (outlier->low_since_ms == 0 &&
-	    jt_outlier_share_permille(in, now_ms) < LOW_PERMILLE)
+	    jt_outlier_share_permille(in, now_ms) < LOW_SHARE_PERMILLE)
 		outlier->low_since_ms = now_ms;
 }
 
-/* One that still fails, or fails again, is forgiven later. */
+/* Doubles the half-life of an endpoint that still fails, or fails again. */
 static void half_life_lengthen(struct jt_outlier *outlier, uint64_t now_ms)
 {
 	if (outlier->low_since_ms == 0 ||
-	    now_ms - outlier->low_since_ms < STILL_FAILING_MS)
+	    now_ms - outlier->low_since_ms < HALF_LIFE_DOUBLE_MS)
 		return;
 	outlier->low_since_ms = now_ms;
-	if (outlier->half_life_ms < HALF_LIFE_MOST_MS)
+	if (outlier->half_life_ms < HALF_LIFE_MAX_MS)
 		outlier->half_life_ms *= 2;
 }
 
-/* The first failure for long: what came before it was served, as many as with
- * that share. */
+/* Starts counting at the first remembered failure, assuming earlier requests
+ * served at the given share. */
 static void counts_begin(struct jt_incarnation *in, uint32_t share_permille,
 			 uint64_t now_ms)
 {
 	in->outlier.failed = 0;
-	in->outlier.served = in->pool->outliers.requests * SERVED_BEFORE *
+	in->outlier.served = in->pool->outliers.requests * SERVED_BEFORE_PART *
 			     share_permille / JT_FULL_SHARE_PERMILLE;
 	in->outlier.as_of_ms = now_ms;
 }
 
-/*
- * Where a service has hardly a free slot, endpoints refuse what they have no
- * room for, one now and another then: a failure says less of the one that it
- * came from. One that fails nearly all still stands out.
- */
-static double room_weight(const struct jt_service_pool *pool)
+/* Returns the weight of a failure. When a service has few free slots, its
+ * endpoints reject excess requests in turn, and a failure says little about
+ * the endpoint; one that fails nearly all requests still stands out. */
+static double failure_weight(const struct jt_service_pool *pool)
 {
-	return fmax(pool->outliers.room, ROOM_WEIGHT_LEAST);
+	return fmax(pool->outliers.room, FREE_SLOTS_WEIGHT_MIN);
 }
 
-static void failure_note(struct jt_incarnation *in, double weight,
-			 uint32_t share_permille, uint32_t half_life_ms,
-			 uint64_t now_ms)
+static void failure_record(struct jt_incarnation *in, double weight,
+			   uint32_t share_permille, uint32_t half_life_ms,
+			   uint64_t now_ms)
 {
 	struct jt_outlier *outlier = &in->outlier;
 
@@ -200,14 +200,15 @@
 	half_life_lengthen(outlier, now_ms);
 	if (outlier->half_life_ms < half_life_ms)
 		outlier->half_life_ms = half_life_ms;
-	outlier->failed += weight * room_weight(in->pool);
+	outlier->failed += weight * failure_weight(in->pool);
 	outlier->failed_ms = now_ms;
 }
 
 void jt_outlier_failed(struct jt_incarnation *incarnation, double weight,
 		       uint32_t share_permille, uint64_t now_ms)
 {
-	failure_note(incarnation, weight, share_permille, HALF_LIFE_MS, now_ms);
+	failure_record(incarnation, weight, share_permille, HALF_LIFE_MS,
+		       now_ms);
 }
 
 void jt_outlier_served(struct jt_incarnation *incarnation, double requests,
@@ -222,81 +223,83 @@
 bool jt_outlier_overdue(struct jt_incarnation *incarnation, uint64_t now_ms)
 {
 	struct jt_outlier *outlier = &incarnation->outlier;
-	bool tell =
-		outlier->told_ms == 0 || now_ms - outlier->told_ms >= TELL_MS;
+	bool report = outlier->told_ms == 0 ||
+		      now_ms - outlier->told_ms >= REPORT_INTERVAL_MS;
 
-	failure_note(incarnation, OVERDUE_WEIGHT, JT_FULL_SHARE_PERMILLE,
-		     HALF_LIFE_OVERDUE_MS, now_ms);
-	if (tell)
+	failure_record(incarnation, OVERDUE_WEIGHT, JT_FULL_SHARE_PERMILLE,
+		       HALF_LIFE_OVERDUE_MS, now_ms);
+	if (report)
 		outlier->told_ms = now_ms;
-	return tell;
+	return report;
 }
 
 void jt_outlier_told(struct jt_incarnation *incarnation, uint64_t now_ms)
 {
-	failure_note(incarnation, OVERDUE_WEIGHT, JT_FULL_SHARE_PERMILLE,
-		     HALF_LIFE_OVERDUE_MS, now_ms);
+	failure_record(incarnation, OVERDUE_WEIGHT, JT_FULL_SHARE_PERMILLE,
+		       HALF_LIFE_OVERDUE_MS, now_ms);
 	incarnation->outlier.told_ms = now_ms;
 }
 
 bool jt_outlier_compare_due(const struct jt_service_pool *pool, uint64_t now_ms)
 {
 	return pool->outliers.compared_ms == 0 ||
-	       now_ms - pool->outliers.compared_ms >= COMPARE_MS;
+	       now_ms - pool->outliers.compared_ms >= COMPARE_INTERVAL_MS;
 }
 
-static int part_compare(const void *a, const void *b)
+static int rate_compare(const void *a, const void *b)
 {
 	double left = *(const double *)a, right = *(const double *)b;
 
 	return (left > right) - (left < right);
 }
 
-/* What is left of signs that nobody told of for long. */
-static void signs_forget(struct jt_incarnation *in, uint64_t now_ms)
+/* Forgets decayed failures of an endpoint whose share is full again. */
+static void failures_forget(struct jt_incarnation *in, uint64_t now_ms)
 {
 	struct jt_outlier *outlier = &in->outlier;
 
-	if (outlier->failed < FAILED_LEAST && !outlier->reduced &&
+	if (outlier->failed < FAILED_MIN && !outlier->reduced &&
 	    jt_outlier_share_permille(in, now_ms) >= JT_FULL_SHARE_PERMILLE)
 		outlier->failed = 0;
 }
 
-/* The part of their slots that is free, where each got so many @requests
- * lately and failed that part of them: who refuses works on nothing. */
-static double room_of(const struct jt_service_pool *pool, double requests,
-		      double failing, double slots)
+/* Returns the free part of the slots, given the mean recent requests and
+ * failure rate of each endpoint. Rejected requests occupy no slot. */
+static double free_slots_part(const struct jt_service_pool *pool,
+			      double requests, double failing, double slots)
 {
-	double busy =
+	double busy_slots =
 		requests * (1 - failing) * pool->answer_ms / JT_WORK_MEMORY_MS;
 
-	return 1 - busy / slots;
+	return 1 - busy_slots / slots;
 }
 
 void jt_outlier_compare(struct jt_service_pool *pool,
-			struct jt_incarnation *const *some, size_t count,
-			double requests, double slots, uint64_t now_ms)
+			struct jt_incarnation *const *incarnations,
+			size_t count, double requests, double slots,
+			uint64_t now_ms)
 {
 	struct jt_outlier_peers *outliers = &pool->outliers;
-	double parts[JT_COMPARE_MOST], sum = 0;
+	double rates[JT_COMPARE_MOST], sum = 0;
 	size_t compared = count < JT_COMPARE_MOST ? count : JT_COMPARE_MOST;
 
 	outliers->requests = requests;
 	outliers->compared_ms = now_ms;
 	for (size_t i = 0; i < compared; i++) {
-		parts[i] = 0;
-		if (!jt_outlier_pending(some[i]))
+		rates[i] = 0;
+		if (!jt_outlier_pending(incarnations[i]))
 			continue;
-		counts_advance(some[i], now_ms);
-		parts[i] = failing_part(counts_now(some[i], now_ms));
-		sum += parts[i];
-		signs_forget(some[i], now_ms);
+		counts_advance(incarnations[i], now_ms);
+		rates[i] = failure_rate(counts_now(incarnations[i], now_ms));
+		sum += rates[i];
+		failures_forget(incarnations[i], now_ms);
 	}
 	if (compared == 0)
 		return;
-	outliers->room = room_of(pool, requests, sum / (double)compared, slots);
-	qsort(parts, compared, sizeof(parts[0]), part_compare);
-	outliers->usual = parts[(compared - 1) / BETTER_PARTS];
+	outliers->room =
+		free_slots_part(pool, requests, sum / (double)compared, slots);
+	qsort(rates, compared, sizeof(rates[0]), rate_compare);
+	outliers->usual = rates[(compared - 1) / REFERENCE_QUANTILE];
 }
 
 struct jt_outlier_view jt_outlier_view(const struct jt_incarnation *incarnation,
@@ -321,8 +324,8 @@
 {
 	struct jt_outlier *outlier = &incarnation->outlier;
 	uint32_t share = jt_outlier_share_permille(incarnation, now_ms);
-	bool reduced = outlier->reduced ? share < TOLD_ABOVE_PERMILLE
-					: share < TOLD_BELOW_PERMILLE;
+	bool reduced = outlier->reduced ? share < RESTORED_ABOVE_PERMILLE
+					: share < REDUCED_BELOW_PERMILLE;
 
 	if (reduced == outlier->reduced)
 		return false;
--- a/src/label/jt_outlier_state.h
+++ b/src/label/jt_outlier_state.h
@@ -1,32 +1,35 @@
-/* What is remembered of the failures of an endpoint and of its service
- * (jt_outlier.h). */
+/*
+ * Failure statistics of an endpoint and of its service (jt_outlier.h).
+ */
 #ifndef JT_OUTLIER_STATE_H
 #define JT_OUTLIER_STATE_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Of one incarnation; all zero where no failure is known. */
+/* Statistics of one incarnation; all zero if no failure is known. */
 struct jt_outlier {
-	/* Requests that failed lately, by the weight of the signs, and that
-	 * were served, both as this node saw them and was told. */
+	/* Recent requests that failed, by weight, and that were served, as
+	 * seen by this node and reported by peers. */
 	double failed;
 	double served;
-	uint64_t as_of_ms;     /* of both */
-	uint32_t half_life_ms; /* of both; 0: no failure is known */
-	uint64_t failed_ms;    /* the last sign */
-	uint64_t told_ms;      /* when this node or a peer told all */
+	uint64_t as_of_ms;     /* time of both counts */
+	uint32_t half_life_ms; /* of both counts; 0: no failure known */
+	uint64_t failed_ms;    /* last failure */
+	uint64_t told_ms;      /* last report to or from peers */
 	uint64_t
-		low_since_ms; /* the share was low then, and signs came since */
-	bool reduced;	      /* it is told as reduced */
+		/* When the share was first low, or the half-life last doubled;
+		 * 0: the share was not low. */
+		low_since_ms;
+	bool reduced; /* the last reported state */
 };
 
-/* Of all incarnations of one service. */
+/* Statistics of all incarnations of one service. */
 struct jt_outlier_peers {
-	uint64_t compared_ms; /* the last look at all */
-	double requests;      /* lately at one of them, from all nodes */
-	double room;	      /* part of their slots that is free, if known */
-	double usual;	      /* failing part of the better ones */
+	uint64_t compared_ms; /* last comparison */
+	double requests;      /* mean recent requests, all nodes */
+	double room;	      /* free part of their slots, if known */
+	double usual;	      /* lower quartile of failure rates */
 };
 
 #endif
