--- a/src/label/admission/jt_admission.c
+++ b/src/label/admission/jt_admission.c
@@ -8,26 +8,28 @@
 #include <uthash.h>
 
 enum {
-	/* Priorities of one service that are told apart. */
-	PRIORITIES_MOST = 8,
-	/* A flow that opens has done so before its caller sends a copy. */
-	OPENING_MS = 200,
-	/* A priority without new flows for so long keeps nothing free. */
+	/* Priorities distinguished per service. */
+	PRIORITIES_MAX = 8,
+	/* Horizon for flows being opened; a flow that opens does so before the
+	 * client retransmits. */
+	OPENING_HORIZON_MS = 200,
+	/* A priority without new flows for this time reserves no capacity. */
 	ACTIVE_MS = 5000,
-	/* Endpoints' slots are counted anew that often. */
-	SLOTS_MS = 1000,
+	/* Interval between counts of the endpoints' slots. */
+	SLOTS_COUNT_INTERVAL_MS = 1000,
 	PERMILLE = 1000,
 };
 
-/* The least urgent leave so much of the limit to others: more than the flows
- * in flight vary by from one moment to the next. */
+/* Part of the limit that the least urgent priority leaves to the others.
+ * Exceeds short-term fluctuations of the flows in flight. */
 #define RESERVE_PART 0.3
 
 struct admission_priority {
 	uint32_t priority;
-	bool routed;   /* a route in force has it */
-	double credit; /* flows that it may open by the floor */
-	uint64_t asked_ms;
+	/* Used by a route of the current routing. */
+	bool in_routing;
+	double floor_credit; /* flows that the floor admits now */
+	uint64_t last_flow_ms;
 	struct jt_group_shares *shares;
 	uint64_t admitted;
 	uint64_t refused;
@@ -36,21 +38,21 @@
 struct admission_service {
 	uint32_t service_id;
 	bool watched;
-	uint32_t target_ms; /* the shortest of its routes */
-	struct admission_priority priorities[PRIORITIES_MOST];
+	uint32_t target_ms; /* lowest of its routes */
+	struct admission_priority priorities[PRIORITIES_MAX];
 	size_t priority_count; /* most urgent first */
 	struct jt_in_flight opening;
 	struct jt_in_flight requests;
 	struct jt_concurrency_limit limit;
 	uint64_t slots;
-	uint64_t slots_ms; /* when they were counted */
+	uint64_t slots_ms; /* when the slots were counted */
 	UT_hash_handle hh;
 };
 
 struct jt_admission {
 	struct admission_service *services;
-	double floor; /* part of the answers */
-	bool on;
+	double floor; /* flows admitted per answer */
+	bool enabled;
 };
 
 struct jt_admission *
@@ -62,7 +64,7 @@
 
 	if (admission == NULL)
 		return NULL;
-	admission->on =
+	admission->enabled =
 		jt_mechanism_on(options->without, JT_MECHANISM_ADMISSION);
 	admission->floor = (double)options->admission_floor_permille / PERMILLE;
 	return admission;
@@ -78,7 +80,7 @@
 	return service;
 }
 
-/* One that is watched, or NULL. */
+/* Returns the service if it is watched, otherwise NULL. */
 static struct admission_service *
 service_watched(const struct jt_admission *admission, uint32_t service_id)
 {
@@ -87,22 +89,22 @@
 	return service != NULL && service->watched ? service : NULL;
 }
 
-/* Where most of the route's new flows go. */
+/* Returns the service that gets most of the route's new flows. */
 static uint32_t route_service(const struct jt_route *route)
 {
-	size_t most = 0;
+	size_t largest = 0;
 
 	for (size_t i = 1; i < route->part_count; i++) {
-		if (route->parts[i].weight > route->parts[most].weight)
-			most = i;
+		if (route->parts[i].weight > route->parts[largest].weight)
+			largest = i;
 	}
-	return route->parts[most].service_id;
+	return route->parts[largest].service_id;
 }
 
 /* Routing */
 
-static struct admission_service *service_need(struct jt_admission *admission,
-					      uint32_t service_id)
+static struct admission_service *service_ensure(struct jt_admission *admission,
+						uint32_t service_id)
 {
 	struct admission_service *service = service_find(admission, service_id);
 
@@ -112,71 +114,73 @@
 	if (service == NULL)
 		return NULL;
 	service->service_id = service_id;
-	jt_in_flight_init(&service->opening, OPENING_MS);
+	jt_in_flight_init(&service->opening, OPENING_HORIZON_MS);
 	HASH_ADD(hh, admission->services, service_id, sizeof(service_id),
 		 service);
 	return service;
 }
 
-/* The place of the priority, or of the first that is less urgent. */
-static size_t priority_place(const struct admission_service *service,
+/* Returns the index of the priority, or of the first less urgent one. */
+static size_t priority_index(const struct admission_service *service,
 			     uint32_t priority)
 {
-	size_t place = 0;
+	size_t index = 0;
 
-	while (place < service->priority_count &&
-	       service->priorities[place].priority < priority)
-		place++;
-	return place;
+	while (index < service->priority_count &&
+	       service->priorities[index].priority < priority)
+		index++;
+	return index;
 }
 
-static void priority_need(struct jt_admission *admission,
-			  struct admission_service *service, uint32_t priority)
+static void priority_ensure(struct jt_admission *admission,
+			    struct admission_service *service,
+			    uint32_t priority)
 {
-	size_t place = priority_place(service, priority);
+	size_t index = priority_index(service, priority);
 	struct jt_group_shares *shares;
 
-	if (place < service->priority_count &&
-	    service->priorities[place].priority == priority) {
-		service->priorities[place].routed = true;
+	if (index < service->priority_count &&
+	    service->priorities[index].priority == priority) {
+		service->priorities[index].in_routing = true;
 		return;
 	}
-	if (service->priority_count == PRIORITIES_MOST)
+	if (service->priority_count == PRIORITIES_MAX)
 		return;
 	shares = talloc_zero(admission, struct jt_group_shares);
 	if (shares == NULL)
 		return;
-	for (size_t i = service->priority_count; i > place; i--)
+	for (size_t i = service->priority_count; i > index; i--)
 		service->priorities[i] = service->priorities[i - 1];
-	service->priorities[place] = (struct admission_priority){
-		.priority = priority, .routed = true, .shares = shares};
+	service->priorities[index] = (struct admission_priority){
+		.priority = priority, .in_routing = true, .shares = shares};
 	service->priority_count++;
 }
 
-static void route_note(struct jt_admission *admission,
-		       const struct jt_route *route)
+static void route_apply(struct jt_admission *admission,
+			const struct jt_route *route)
 {
 	struct admission_service *service;
 
 	if (route->target_ms == 0 || route->part_count == 0)
 		return;
-	service = service_need(admission, route_service(route));
+	service = service_ensure(admission, route_service(route));
 	if (service == NULL)
 		return;
 	if (service->target_ms == 0 || route->target_ms < service->target_ms)
 		service->target_ms = route->target_ms;
-	priority_need(admission, service, route->priority);
+	priority_ensure(admission, service, route->priority);
 }
 
-/* Priorities stay known with their counts, also when no route has them. */
-static void service_settle(struct admission_service *service)
+/* Updates whether the service is watched. Priorities without a route keep their
+ * counts. */
+static void service_watched_update(struct admission_service *service)
 {
-	size_t routed = 0;
+	size_t routed_count = 0;
 	bool watched;
 
 	for (size_t i = 0; i < service->priority_count; i++)
-		routed += service->priorities[i].routed;
-	watched = routed > 1;
+		routed_count += service->priorities[i].in_routing;
+	watched = routed_count > 1;
 	if (watched && !service->watched) {
 		jt_in_flight_init(&service->requests, service->target_ms);
 		service->limit = (struct jt_concurrency_limit){0};
@@ -185,11 +189,11 @@
 	service->watched = watched;
 }
 
-static void service_reset(struct admission_service *service)
+static void service_routes_clear(struct admission_service *service)
 {
 	service->target_ms = 0;
 	for (size_t i = 0; i < service->priority_count; i++)
-		service->priorities[i].routed = false;
+		service->priorities[i].in_routing = false;
 }
 
 void jt_admission_routing(struct jt_admission *admission,
@@ -197,19 +201,19 @@
 {
 	struct admission_service *service;
 
-	if (!admission->on)
+	if (!admission->enabled)
 		return;
 	for (service = admission->services; service != NULL;
 	     service = service->hh.next)
-		service_reset(service);
+		service_routes_clear(service);
 	for (size_t i = 0; i < routing->route_count; i++)
-		route_note(admission, &routing->routes[i]);
+		route_apply(admission, &routing->routes[i]);
 	for (service = admission->services; service != NULL;
 	     service = service->hh.next)
-		service_settle(service);
+		service_watched_update(service);
 }
 
-/* Asking */
+/* Admission */
 
 static uint32_t service_in_flight(struct admission_service *service,
 				  uint64_t now_ms)
@@ -221,60 +225,63 @@
 static bool priority_active(const struct admission_priority *priority,
 			    uint64_t now_ms)
 {
-	return priority->asked_ms != 0 &&
-	       now_ms - priority->asked_ms < ACTIVE_MS;
+	return priority->last_flow_ms != 0 &&
+	       now_ms - priority->last_flow_ms < ACTIVE_MS;
 }
 
-/* What of the limit the priority at @place may fill. */
+/* Returns the part of the concurrency limit available to the priority at
+ * @index. */
 static double priority_limit(const struct admission_service *service,
-			     size_t place, uint64_t now_ms)
+			     size_t index, uint64_t now_ms)
 {
-	size_t before = 0, active = 0;
+	size_t more_urgent = 0, active = 0;
 
 	for (size_t i = 0; i < service->priority_count; i++) {
 		if (!priority_active(&service->priorities[i], now_ms))
 			continue;
 		active++;
-		before += i < place;
+		more_urgent += i < index;
 	}
 	if (active < 2)
 		return service->limit.limit;
 	return service->limit.limit *
-	       (1 - RESERVE_PART * (double)before / (double)(active - 1));
+	       (1 - RESERVE_PART * (double)more_urgent / (double)(active - 1));
 }
 
-static struct jt_director_room room_of(struct admission_service *service,
-				       size_t place, uint64_t now_ms)
+static struct jt_director_room room_describe(struct admission_service *service,
+					     size_t index, uint64_t now_ms)
 {
 	return (struct jt_director_room){
-		.priority = service->priorities[place].priority,
-		.limit = (uint32_t)ceil(priority_limit(service, place, now_ms)),
+		.priority = service->priorities[index].priority,
+		.limit = (uint32_t)ceil(priority_limit(service, index, now_ms)),
 		.in_flight = service_in_flight(service, now_ms),
 		.delay_ms = (uint32_t)service->limit.delay_ms,
 		.allowed_ms = (uint32_t)service->limit.allowed_ms,
 	};
 }
 
-/* Whether the limit, and the group's share of it, leave room for one more. */
-static bool has_room(const struct admission_service *service,
-		     const struct jt_director_room *room, size_t place,
-		     const struct jt_group *group, uint64_t now_ms)
+/* Returns true if the limit, and the group's share of it, allow one more
+ * flow. */
+static bool below_limit(const struct admission_service *service,
+			const struct jt_director_room *room, size_t index,
+			const struct jt_group *group, uint64_t now_ms)
 {
 	if (service->limit.limit == 0)
 		return true;
 	if (room->in_flight >= room->limit)
 		return false;
 	return group == NULL ||
-	       jt_group_shares_admit(service->priorities[place].shares, group,
+	       jt_group_shares_admit(service->priorities[index].shares, group,
 				     room->in_flight, room->limit, now_ms);
 }
 
-/* Use up what the priority may open by its floor; false: nothing is left. */
-static bool floor_use(struct admission_priority *priority)
+/* Uses one flow of the priority's floor credit; returns false if there is
+ * none. */
+static bool floor_credit_use(struct admission_priority *priority)
 {
-	if (priority->credit < 1)
+	if (priority->floor_credit < 1)
 		return false;
-	priority->credit -= 1;
+	priority->floor_credit -= 1;
 	return true;
 }
 
@@ -287,21 +294,22 @@
 		service_watched(admission, route_service(route));
 	struct admission_priority *priority;
 	struct jt_group *group;
-	size_t place;
-	bool fits;
+	size_t index;
+	bool has_capacity;
 
 	if (service == NULL || route->target_ms == 0)
 		return verdict;
-	place = priority_place(service, route->priority);
-	if (place == service->priority_count)
-		place--;
-	priority = &service->priorities[place];
-	priority->asked_ms = now_ms;
+	index = priority_index(service, route->priority);
+	if (index == service->priority_count)
+		index--;
+	priority = &service->priorities[index];
+	priority->last_flow_ms = now_ms;
 	group = jt_group_shares_ask(priority->shares, route->address, now_ms);
-	verdict.room = room_of(service, place, now_ms);
+	verdict.room = room_describe(service, index, now_ms);
 	verdict.room.route = route->name;
-	fits = has_room(service, &verdict.room, place, group, now_ms);
-	if (!floor_use(priority) && !fits) {
+	has_capacity =
+		below_limit(service, &verdict.room, index, group, now_ms);
+	if (!floor_credit_use(priority) && !has_capacity) {
 		verdict.admitted = false;
 		priority->refused++;
 		jt_concurrency_limit_refused(&service->limit, now_ms);
@@ -313,7 +321,7 @@
 	return verdict;
 }
 
-/* What becomes of flows */
+/* Flow and request events */
 
 void jt_admission_placed(struct jt_admission *admission, uint32_t service_id,
 			 uint64_t now_ms)
@@ -367,7 +375,8 @@
 	for (size_t i = 0; i < service->priority_count; i++) {
 		struct admission_priority *priority = &service->priorities[i];
 
-		priority->credit = fmin(1, priority->credit + admission->floor);
+		priority->floor_credit =
+			fmin(1, priority->floor_credit + admission->floor);
 	}
 }
 
@@ -381,7 +390,7 @@
 		jt_in_flight_end(&service->requests, requested_ms, now_ms);
 }
 
-/* Time */
+/* Periodic update */
 
 static void slots_count(struct admission_service *service,
 			const struct jt_endpoint_table *endpoints,
@@ -389,13 +398,14 @@
 {
 	const struct jt_service_pool *pool =
 		jt_endpoint_table_pool(endpoints, service->service_id);
-	size_t members = pool != NULL ? pool->count : 0;
+	size_t member_count = pool != NULL ? pool->count : 0;
 
-	if (service->slots_ms != 0 && now_ms - service->slots_ms < SLOTS_MS)
+	if (service->slots_ms != 0 &&
+	    now_ms - service->slots_ms < SLOTS_COUNT_INTERVAL_MS)
 		return;
 	service->slots_ms = now_ms;
 	service->slots = 0;
-	for (size_t i = 0; i < members; i++) {
+	for (size_t i = 0; i < member_count; i++) {
 		const struct jt_incarnation *in = pool->members[i];
 
 		if (in->state == JT_INCARNATION_READY)
@@ -424,15 +434,15 @@
 
 	for (service = admission->services; service != NULL;
 	     service = service->hh.next) {
-		struct jt_limit_service limits = {
+		struct jt_limit_service limit_inputs = {
 			.target_ms = service->target_ms, .nodes = nodes};
 		struct jt_admission_view view;
 
 		if (!service->watched)
 			continue;
 		slots_count(service, endpoints, now_ms);
-		limits.slots = service->slots;
-		if (jt_concurrency_limit_step(&service->limit, &limits,
+		limit_inputs.slots = service->slots;
+		if (jt_concurrency_limit_step(&service->limit, &limit_inputs,
 					      now_ms) == JT_LIMIT_SAME)
 			continue;
 		view = view_of(service);
--- a/src/label/admission/jt_admission.h
+++ b/src/label/admission/jt_admission.h
@@ -1,15 +1,16 @@
 /*
- * Admission: which new flows a service takes when there is too little room.
+ * Admission control: decides which new flows a service accepts under overload.
  *
- * A service whose routes differ in priority, and say in which time they want
- * answers, is watched: how long requests take, and how many are in flight
- * through this node. Once answers wait too long, a limit holds
- * (jt_concurrency_limit.h): new flows of the most urgent routes may fill it,
- * those of others a part of it. What finds no room is refused at once. A floor
- * lets a small part of each priority pass whatever the others want.
+ * A service is watched if its routes have different priorities and a target
+ * response time. Its response times and the requests in flight through this
+ * node are measured. When responses take too long, a concurrency limit applies
+ * (jt_concurrency_limit.h): new flows of the most urgent routes may use all of
+ * it, those of other routes a part. New flows beyond it are refused at once. A
+ * floor admits a small rate of new flows of each priority regardless of the
+ * limit.
  *
- * Only flows that have no endpoint yet are refused. Requests on open flows
- * count, but nothing happens to them.
+ * Only flows without an endpoint are refused. Requests on open flows are
+ * counted but never refused.
  */
 #ifndef JT_ADMISSION_H
 #define JT_ADMISSION_H
@@ -19,23 +20,23 @@
 
 struct jt_admission;
 
-/* Why a new flow was admitted or not. */
+/* Result of an admission request for a new flow. */
 struct jt_admission_verdict {
 	bool admitted;
 	struct jt_director_room room;
 };
 
-/* How a service stands, for metrics and log lines. */
+/* State of a service, for metrics and log lines. */
 struct jt_admission_view {
 	uint32_t service_id;
-	uint32_t limit; /* 0: none */
+	uint32_t limit; /* 0: no limit */
 	uint32_t in_flight;
 	uint32_t delay_ms;
 	uint32_t allowed_ms;
 	uint32_t offered_per_s;
 };
 
-/* What a service's first packets met, by the route's priority. */
+/* First packets of a service by priority of the route. */
 struct jt_admission_counts {
 	uint32_t service_id;
 	uint32_t priority;
@@ -46,47 +47,50 @@
 struct jt_admission *
 jt_admission_create(TALLOC_CTX *mem_ctx,
 		    const struct jt_director_options *options);
-/* Another routing is in force: it says which services are watched. */
+/* Applies a new routing, which determines the watched services. */
 void jt_admission_routing(struct jt_admission *admission,
 			  const struct jt_routing *routing);
 
-/* Whether a new flow of the route may be placed. */
+/* Decides if a new flow of the route is admitted. */
 struct jt_admission_verdict jt_admission_ask(struct jt_admission *admission,
 					     const struct jt_route *route,
 					     uint64_t now_ms);
-/* A first packet was placed at an endpoint of the service. */
+/* Records that a first packet was assigned to an endpoint of the service. */
 void jt_admission_placed(struct jt_admission *admission, uint32_t service_id,
 			 uint64_t now_ms);
-/* That flow has opened, or is forgotten. */
+/* Records that the flow assigned at @placed_ms has opened, or was discarded. */
 void jt_admission_opened(struct jt_admission *admission, uint32_t service_id,
 			 uint64_t placed_ms, uint64_t now_ms);
-/* A request was passed on. */
+/* Records that a request was forwarded. */
 void jt_admission_requested(struct jt_admission *admission, uint32_t service_id,
 			    uint64_t now_ms);
-/* The first @bytes of its answer were acknowledged. @placed: it was the first
- * request of a flow that this node placed, and tells what a new flow meets;
- * later ones are bound to their flow's endpoint. */
+/* Records that the first @bytes of the answer to a request were acknowledged.
+ * @placed: it was the first request of a flow that this node assigned, so that
+ * its response time applies to new flows; later requests are bound to their
+ * flow's endpoint. */
 void jt_admission_answered(struct jt_admission *admission, uint32_t service_id,
 			   uint64_t requested_ms, uint32_t bytes, bool placed,
 			   uint64_t now_ms);
-/* It never will be, as far as this node sees. */
+/* Records that no answer to the request is expected any more. */
 void jt_admission_given_up(struct jt_admission *admission, uint32_t service_id,
 			   uint64_t requested_ms, uint64_t now_ms);
 
-/* A service has a limit from now on, or has none any more. */
+/* Called when the concurrency limit of a service begins or ends. */
 typedef void (*jt_admission_changed)(const struct jt_admission_view *view,
 				     void *private_data);
 
-/* Some time has passed. */
+/* Updates the concurrency limits; call it regularly. */
 void jt_admission_tick(struct jt_admission *admission,
 		       const struct jt_endpoint_table *endpoints,
 		       uint64_t nodes, uint64_t now_ms,
 		       jt_admission_changed changed, void *private_data);
 
-/* The @index-th watched service; false past the last. */
+/* Gets the state of the watched service at @index; returns false past the
+ * last. */
 bool jt_admission_view_at(const struct jt_admission *admission, size_t index,
 			  struct jt_admission_view *view);
-/* The @index-th priority of a watched service; false past the last. */
+/* Gets the counts of one priority of a watched service, by an index over all
+ * of them; returns false past the last. */
 bool jt_admission_counts_at(const struct jt_admission *admission, size_t index,
 			    struct jt_admission_counts *counts);
 
--- a/src/label/admission/jt_concurrency_limit.c
+++ b/src/label/admission/jt_concurrency_limit.c
@@ -4,93 +4,96 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The delay that counts is that of the quickest quarter: open flows that are
- * bound to slow endpoints say nothing of what a new flow meets. It may take
- * this part of the target: the slowest of a mixed lot take about four times
- * that, and are still in time. */
+/* The controlled delay is the lower quartile of the response times, since
+ * requests bound to slow endpoints do not reflect what a new flow meets. It
+ * may reach this part of the target: the slowest requests take about four
+ * times as long and are still in time. */
 #define DELAY_QUANTILE 4
 #define DELAY_PART 0.23
-/* A service whose work takes long beside its target is left this part. */
-#define DELAY_PART_MOST 0.32
-/* While endpoints take what they get, this part: an answer that is late serves
- * its caller better than none, and nobody is turned away for it. */
-#define DELAY_PART_PATIENT 0.5
-/* Endpoints that reject more than this part of the requests have full queues:
- * what waits there costs others their answers. */
-#define REJECTED_MOST 0.05
-/* The allowed delay goes down by this part of the difference a step while they
- * do, and up by this part once there is no limit any more: what is refused
- * keeps them from rejecting. */
-#define PRESSURE_RISE 0.35
-#define PRESSURE_FALL 0.01
-/* Work that does not wait: the quickest quarter take half as long again as the
- * quickest tenth, and the queue may add as much. The mean is about twice it. */
-#define QUICK_TIMES 2
-#define QUICK_TO_WORK 2
-/* An answer in less than this part of the quickest tenth is no work done: an
- * endpoint has rejected the request. So is one in this part of the target,
- * whatever the quickest are: where all are so quick, nothing waits. */
-#define REJECTED_PART 0.33
-#define REJECTED_TARGET_PART 0.02
-/* So has an endpoint that answers with so small a part of the usual length: a
- * status without a body. */
-#define SHORT_PART 0.2
-/* An answer moves the usual length by this part of it, one that was rejected by
- * this part of that. */
-#define BYTES_STEP 0.02
-#define REJECTED_WEIGHT 0.1
-/* The quickest tenth follows a quicker one by this part a step, and a slower
- * one by this: that may have waited. */
-#define QUICK_FALL 0.2
-#define QUICK_RISE 0.02
-/* With less of the slots at work than this, waiting has another cause. */
-#define LOAD_LEAST 0.5
-/* With less than this nothing keeps a service full. */
-#define LOAD_FREE 0.2
-/* Rates follow what was counted by this part a step. */
-#define RATE_PART 0.4
-/* A step moves the limit by no more than this. */
-#define FALL_MOST 0.7
-#define RISE_MOST 1.2
-/* But by up to this where hardly anything waits: the demand has fallen. */
-#define RISE_IDLE 1.5
-#define IDLE_PART 0.5
-/* A step raises the limit by this part of its geometric mean with the demand,
- * which keeps nodes' limits in proportion to their demands; and by no more than
- * this part of itself, however often callers come back. */
+/* Maximum of that part, for services whose service time is long relative to
+ * the target. */
+#define DELAY_PART_MAX 0.32
+/* Allowed part while endpoints reject few requests: a late answer is better
+ * than a refusal. */
+#define DELAY_PART_RELAXED 0.5
+/* Endpoints that reject more than this part of the requests have full
+ * queues. */
+#define REJECTED_PART_MAX 0.05
+/* Each step, the pressure rises by the first amount while endpoints reject too
+ * much, and falls by the second once there is no limit. It does not fall under
+ * a limit, since refusals keep the endpoints from rejecting. */
+#define PRESSURE_INCREASE 0.35
+#define PRESSURE_DECREASE 0.01
+/* Allowed delay as a multiple of the lowest decile: the lower quartile without
+ * queueing is 1.5 times the lowest decile, and queueing may add as much. The
+ * mean service time is about twice the lowest decile. */
+#define ALLOWED_TO_FAST_DELAY 2
+#define SERVICE_TO_FAST_DELAY 2
+/* An answer within this part of the lowest decile, or this part of the target,
+ * is classified as a rejection. The second applies to services whose answers
+ * are all so fast that nothing queues. */
+#define REJECTION_DELAY_PART 0.33
+#define REJECTION_TARGET_PART 0.02
+/* An answer shorter than this part of the usual length is classified as a
+ * rejection, such as a status without a body. */
+#define REJECTION_LENGTH_PART 0.2
+/* Step of the usual length per answer, and the weight of rejections in it. */
+#define LENGTH_STEP 0.02
+#define LENGTH_REJECTION_WEIGHT 0.1
+/* Part of the difference by which the lowest decile follows a lower and a
+ * higher value per step. The higher value may include queueing. */
+#define FAST_DELAY_FALL_FACTOR 0.2
+#define FAST_DELAY_RISE_FACTOR 0.02
+/* With a lower utilisation of the slots, a long delay is not due to load. */
+#define BEGIN_UTILISATION_MIN 0.5
+/* With a lower utilisation, the limit ends. */
+#define END_UTILISATION 0.2
+/* Smoothing factor of rates per step. */
+#define RATE_SMOOTHING 0.4
+/* Bounds of the change of the limit per step. */
+#define LIMIT_FACTOR_MIN 0.7
+#define LIMIT_FACTOR_MAX 1.2
+/* Upper bound of the change at low delay, and the delay, relative to the
+ * allowed one, below which it applies. */
+#define LOW_DELAY_FACTOR_MAX 1.5
+#define LOW_DELAY_PART 0.5
+/* A step raises the limit by this part of the geometric mean of limit and
+ * demand, which keeps the nodes' limits in proportion to their demands. The
+ * increase is bounded, since refused clients that retry inflate the demand. */
 #define DEMAND_PART 0.03
-#define DEMAND_RISE_MOST 0.08
-#define LIMIT_LEAST 1.0
-/* All nodes together may have so many in flight for each slot, whatever the
- * delay: one at work and one that waits, so that no slot is ever idle. */
-#define IN_FLIGHT_A_SLOT 2.0
+#define DEMAND_INCREASE_MAX 0.08
+#define LIMIT_MIN 1.0
+/* Minimum limit of all nodes together, in requests for each slot: one in
+ * service and one queued, so that no slot is idle. */
+#define IN_FLIGHT_PER_SLOT_MIN 2.0
 
 enum {
-	/* Fewer answers say little: a step waits for more, but so long. */
-	SAMPLES_LEAST = 6,
-	/* A limit begins on so many: fewer are late by chance. */
+	/* A step needs this many answers, but waits STEP_MAX_MS at most. */
+	SAMPLES_MIN = 6,
+	/* Answers needed to begin a limit; fewer may be late by chance. */
 	SAMPLES_TO_BEGIN = 16,
 	STEP_MS = 80,
-	STEP_MOST_MS = 400,
-	/* So many answers count for half of the delay; few are noise. */
+	STEP_MAX_MS = 400,
+	/* Number of answers at which a new delay gets half of the weight. */
 	SMOOTH_SAMPLES = 8,
-	/* Nothing refused for so long: the demand fits. */
-	FITS_MS = 1000,
+	/* Without refusals for this time the demand fits, and the limit
+	 * ends. */
+	END_WITHOUT_REFUSALS_MS = 1000,
 	MS_PER_S = 1000,
 };
 
-/* Follows the length that a quarter of the answers exceed. */
-static void usual_bytes_note(struct jt_concurrency_limit *limit, double bytes,
-			     bool rejected)
+/* Updates the estimate of the length that a quarter of the answers exceed. */
+static void usual_bytes_update(struct jt_concurrency_limit *limit, double bytes,
+			       bool rejected)
 {
-	double weight = rejected ? REJECTED_WEIGHT : 1;
+	double weight = rejected ? LENGTH_REJECTION_WEIGHT : 1;
 
 	if (limit->usual_bytes == 0)
 		limit->usual_bytes = bytes;
 	if (bytes > limit->usual_bytes)
-		limit->usual_bytes *= 1 + 3 * BYTES_STEP;
+		limit->usual_bytes *= 1 + 3 * LENGTH_STEP;
 	else
-		limit->usual_bytes *= 1 - weight * BYTES_STEP;
+		limit->usual_bytes *= 1 - weight * LENGTH_STEP;
 }
 
 bool jt_concurrency_limit_answered(struct jt_concurrency_limit *limit,
@@ -98,9 +101,9 @@
 {
 	struct jt_limit_samples *samples = &limit->samples;
 	bool rejected = (double)took_ms < limit->work_least_ms ||
-			bytes < limit->usual_bytes * SHORT_PART;
+			bytes < limit->usual_bytes * REJECTION_LENGTH_PART;
 
-	usual_bytes_note(limit, bytes, rejected);
+	usual_bytes_update(limit, bytes, rejected);
 	if (rejected) {
 		samples->rejected++;
 		return false;
@@ -137,22 +140,22 @@
 	return (int)*left - (int)*right;
 }
 
-/* What the quickest tenth is when little waits. A node that has just started
- * takes the service for one that is quick beside its target. */
-static void quick_note(struct jt_concurrency_limit *limit, double quick_ms,
-		       uint32_t target_ms)
+/* Updates the lowest decile. The initial value is capped, as if the service
+ * were fast relative to the target. */
+static void fast_delay_update(struct jt_concurrency_limit *limit,
+			      double quick_ms, uint32_t target_ms)
 {
-	double more_ms;
+	double difference_ms;
 
 	if (limit->quick_ms == 0)
-		limit->quick_ms =
-			fmin(quick_ms, target_ms * DELAY_PART / QUICK_TIMES);
-	more_ms = quick_ms - limit->quick_ms;
-	/* While there is a limit the quickest wait as well. */
-	if (more_ms < 0)
-		limit->quick_ms += more_ms * QUICK_FALL;
+		limit->quick_ms = fmin(quick_ms, target_ms * DELAY_PART /
+							 ALLOWED_TO_FAST_DELAY);
+	difference_ms = quick_ms - limit->quick_ms;
+	/* Under a limit even the fastest answers include queueing. */
+	if (difference_ms < 0)
+		limit->quick_ms += difference_ms * FAST_DELAY_FALL_FACTOR;
 	else if (limit->limit == 0)
-		limit->quick_ms += more_ms * QUICK_RISE;
+		limit->quick_ms += difference_ms * FAST_DELAY_RISE_FACTOR;
 }
 
 static double sample_at(const struct jt_limit_samples *samples, size_t index)
@@ -160,9 +163,10 @@
 	return samples->took_ms[index];
 }
 
-/* A limit is steered by a smoothed delay: that of a few answers is noise. */
-static void delay_note(struct jt_concurrency_limit *limit, double delay_ms,
-		       size_t count)
+/* Updates the delay. It is smoothed under a limit, since a few answers are
+ * noisy. */
+static void delay_update(struct jt_concurrency_limit *limit, double delay_ms,
+			 size_t count)
 {
 	double part = 1;
 
@@ -171,7 +175,8 @@
 	limit->delay_ms += (delay_ms - limit->delay_ms) * part;
 }
 
-static void answers_note(struct jt_concurrency_limit *limit, uint32_t target_ms)
+static void answers_process(struct jt_concurrency_limit *limit,
+			    uint32_t target_ms)
 {
 	struct jt_limit_samples *samples = &limit->samples;
 	size_t count = samples->answers < JT_LIMIT_SAMPLES ? samples->answers
@@ -180,26 +185,28 @@
 	if (count > 0) {
 		qsort(samples->took_ms, count, sizeof(samples->took_ms[0]),
 		      compare_delays);
-		delay_note(limit, sample_at(samples, count / DELAY_QUANTILE),
-			   count);
-		quick_note(limit, sample_at(samples, count / 10), target_ms);
-	} else if (samples->rejected >= SAMPLES_LEAST) {
-		/* The service itself may have become so quick. */
-		quick_note(limit, 0, target_ms);
+		delay_update(limit, sample_at(samples, count / DELAY_QUANTILE),
+			     count);
+		fast_delay_update(limit, sample_at(samples, count / 10),
+				  target_ms);
+	} else if (samples->rejected >= SAMPLES_MIN) {
+		/* All answers were so fast that the service itself may be
+		 * faster now. */
+		fast_delay_update(limit, 0, target_ms);
 	}
-	limit->work_least_ms = fmax(limit->quick_ms * REJECTED_PART,
-				    target_ms * REJECTED_TARGET_PART);
+	limit->work_least_ms = fmax(limit->quick_ms * REJECTION_DELAY_PART,
+				    target_ms * REJECTION_TARGET_PART);
 }
 
-static void rate_note(double *rate, uint32_t count, uint64_t elapsed_ms)
+static void rate_update(double *rate, uint32_t count, uint64_t elapsed_ms)
 {
 	double now = (double)count * MS_PER_S / (double)elapsed_ms;
 
-	*rate += (now - *rate) * RATE_PART;
+	*rate += (now - *rate) * RATE_SMOOTHING;
 }
 
-/* How hard endpoints are pressed, by what they reject. */
-static void pressure_note(struct jt_concurrency_limit *limit)
+/* Updates the pressure on the endpoints from the rate of rejections. */
+static void pressure_update(struct jt_concurrency_limit *limit)
 {
 	const struct jt_limit_samples *samples = &limit->samples;
 	double ended = (double)samples->answers + samples->rejected;
@@ -207,105 +214,111 @@
 	if (ended > 0)
 		limit->rejected_part +=
 			(samples->rejected / ended - limit->rejected_part) *
-			RATE_PART;
-	if (limit->rejected_part > REJECTED_MOST)
-		limit->pressure = fmin(1, limit->pressure + PRESSURE_RISE);
+			RATE_SMOOTHING;
+	if (limit->rejected_part > REJECTED_PART_MAX)
+		limit->pressure = fmin(1, limit->pressure + PRESSURE_INCREASE);
 	else if (limit->limit == 0)
-		limit->pressure = fmax(0, limit->pressure - PRESSURE_FALL);
+		limit->pressure = fmax(0, limit->pressure - PRESSURE_DECREASE);
 }
 
 static double allowed_ms(const struct jt_concurrency_limit *limit,
 			 uint32_t target_ms)
 {
-	double patient = target_ms * DELAY_PART_PATIENT;
-	double pressed = limit->quick_ms * QUICK_TIMES;
+	double relaxed_ms = target_ms * DELAY_PART_RELAXED;
+	double pressed_ms = limit->quick_ms * ALLOWED_TO_FAST_DELAY;
 
-	pressed = fmin(fmax(pressed, target_ms * DELAY_PART),
-		       target_ms * DELAY_PART_MOST);
-	return patient - (patient - pressed) * limit->pressure;
+	pressed_ms = fmin(fmax(pressed_ms, target_ms * DELAY_PART),
+			  target_ms * DELAY_PART_MAX);
+	return relaxed_ms - (relaxed_ms - pressed_ms) * limit->pressure;
 }
 
-/* What part of the slots is at work, if each node passes on as much as this
- * one. */
-static double slots_load(const struct jt_concurrency_limit *limit,
-			 const struct jt_limit_service *service)
+/* Returns the estimated utilisation of the slots, assuming that each node
+ * forwards as much as this one. */
+static double slots_utilisation(const struct jt_concurrency_limit *limit,
+				const struct jt_limit_service *service)
 {
-	double work_s = limit->quick_ms * QUICK_TO_WORK / MS_PER_S;
+	double service_time_s =
+		limit->quick_ms * SERVICE_TO_FAST_DELAY / MS_PER_S;
 
-	return limit->begun_per_s * (double)service->nodes * work_s /
+	return limit->begun_per_s * (double)service->nodes * service_time_s /
 	       fmax((double)service->slots, 1);
 }
 
-/* What @per_s requests a second have in flight at the allowed delay. */
+/* Returns the requests in flight at @per_s requests per second and the allowed
+ * delay. */
 static double in_flight_at(const struct jt_concurrency_limit *limit,
 			   double per_s)
 {
 	return per_s * limit->allowed_ms / MS_PER_S;
 }
 
-/* Whether there are answers enough for a step. */
-static bool samples_suffice(const struct jt_concurrency_limit *limit)
+/* Returns true if there are enough answers for a step. */
+static bool has_enough_samples(const struct jt_concurrency_limit *limit)
 {
 	const struct jt_limit_samples *samples = &limit->samples;
 
-	if (samples->answers < SAMPLES_LEAST)
+	if (samples->answers < SAMPLES_MIN)
 		return false;
 	return limit->limit != 0 ||
 	       samples->answers + samples->rejected >= SAMPLES_TO_BEGIN;
 }
 
-/* The limit is never lower. */
-static double limit_least(const struct jt_limit_service *service)
+/* Returns the minimum limit of this node. */
+static double limit_min(const struct jt_limit_service *service)
 {
-	return fmax(LIMIT_LEAST, IN_FLIGHT_A_SLOT * (double)service->slots /
-					 fmax((double)service->nodes, 1));
+	return fmax(LIMIT_MIN, IN_FLIGHT_PER_SLOT_MIN * (double)service->slots /
+				       fmax((double)service->nodes, 1));
 }
 
-static enum jt_limit_change limit_begin(struct jt_concurrency_limit *limit,
-					double load, double least)
+static enum jt_limit_change limit_try_begin(struct jt_concurrency_limit *limit,
+					    double utilisation, double minimum)
 {
-	if (load < LOAD_LEAST || limit->delay_ms <= limit->allowed_ms ||
-	    !samples_suffice(limit))
+	if (utilisation < BEGIN_UTILISATION_MIN ||
+	    limit->delay_ms <= limit->allowed_ms || !has_enough_samples(limit))
 		return JT_LIMIT_SAME;
-	limit->limit = fmax(least, in_flight_at(limit, limit->answers_per_s));
+	limit->limit = fmax(minimum, in_flight_at(limit, limit->answers_per_s));
 	return JT_LIMIT_BEGAN;
 }
 
-/* What the delay alone makes of the limit. */
-static double limit_by_delay(const struct jt_concurrency_limit *limit)
+/* Returns the limit adjusted by the delay alone. */
+static double delay_adjusted_limit(const struct jt_concurrency_limit *limit)
 {
-	bool idle = limit->delay_ms < limit->allowed_ms * IDLE_PART;
+	bool low_delay = limit->delay_ms < limit->allowed_ms * LOW_DELAY_PART;
 	double factor = sqrt(limit->allowed_ms / fmax(limit->delay_ms, 1));
-	double most = idle ? RISE_IDLE : RISE_MOST;
-	double moved;
+	double max_factor = low_delay ? LOW_DELAY_FACTOR_MAX : LIMIT_FACTOR_MAX;
+	double adjusted;
 
-	/* A limit that kept nothing out is no reason for the short delay. */
+	/* Without refusals, the limit did not cause the low delay. */
 	if (factor > 1 && limit->samples.refused == 0)
 		factor = 1;
-	moved = limit->limit * fmin(fmax(factor, FALL_MOST), most);
-	/* What is done now may have twice as much in flight. */
-	if (idle)
-		moved = fmax(moved, in_flight_at(limit, limit->answers_per_s));
-	return moved;
+	adjusted =
+		limit->limit * fmin(fmax(factor, LIMIT_FACTOR_MIN), max_factor);
+	/* At low delay, the current throughput leaves room for about twice as
+	 * much in flight. */
+	if (low_delay)
+		adjusted = fmax(adjusted,
+				in_flight_at(limit, limit->answers_per_s));
+	return adjusted;
 }
 
-static enum jt_limit_change limit_move(struct jt_concurrency_limit *limit,
-				       double load, double least,
-				       uint64_t now_ms)
+static enum jt_limit_change limit_adjust(struct jt_concurrency_limit *limit,
+					 double utilisation, double minimum,
+					 uint64_t now_ms)
 {
 	double demand;
 
-	if (load < LOAD_FREE || (limit->delay_ms <= limit->allowed_ms &&
-				 now_ms - limit->refused_ms >= FITS_MS)) {
+	if (utilisation < END_UTILISATION ||
+	    (limit->delay_ms <= limit->allowed_ms &&
+	     now_ms - limit->refused_ms >= END_WITHOUT_REFUSALS_MS)) {
 		limit->limit = 0;
 		return JT_LIMIT_ENDED;
 	}
-	limit->limit = limit_by_delay(limit);
+	limit->limit = delay_adjusted_limit(limit);
 	demand = in_flight_at(limit, limit->offered_per_s) / limit->limit;
 	if (demand > 1)
-		limit->limit *=
-			1 + fmin(sqrt(demand) * DEMAND_PART, DEMAND_RISE_MOST);
-	limit->limit = fmax(limit->limit, least);
+		limit->limit *= 1 + fmin(sqrt(demand) * DEMAND_PART,
+					 DEMAND_INCREASE_MAX);
+	limit->limit = fmax(limit->limit, minimum);
 	return JT_LIMIT_SAME;
 }
 
@@ -317,23 +330,24 @@
 	struct jt_limit_samples *samples = &limit->samples;
 	uint64_t elapsed_ms = now_ms - limit->stepped_ms;
 	enum jt_limit_change change;
-	double load, least;
+	double utilisation, minimum;
 
 	if (elapsed_ms < STEP_MS ||
-	    (!samples_suffice(limit) && elapsed_ms < STEP_MOST_MS))
+	    (!has_enough_samples(limit) && elapsed_ms < STEP_MAX_MS))
 		return JT_LIMIT_SAME;
-	answers_note(limit, service->target_ms);
-	rate_note(&limit->begun_per_s, samples->begun, elapsed_ms);
-	rate_note(&limit->answers_per_s, samples->answers + samples->bound,
-		  elapsed_ms);
-	rate_note(&limit->offered_per_s, samples->begun + samples->refused,
-		  elapsed_ms);
-	pressure_note(limit);
+	answers_process(limit, service->target_ms);
+	rate_update(&limit->begun_per_s, samples->begun, elapsed_ms);
+	rate_update(&limit->answers_per_s, samples->answers + samples->bound,
+		    elapsed_ms);
+	rate_update(&limit->offered_per_s, samples->begun + samples->refused,
+		    elapsed_ms);
+	pressure_update(limit);
 	limit->allowed_ms = allowed_ms(limit, service->target_ms);
-	load = slots_load(limit, service);
-	least = limit_least(service);
-	change = limit->limit == 0 ? limit_begin(limit, load, least)
-				   : limit_move(limit, load, least, now_ms);
+	utilisation = slots_utilisation(limit, service);
+	minimum = limit_min(service);
+	change = limit->limit == 0
+			 ? limit_try_begin(limit, utilisation, minimum)
+			 : limit_adjust(limit, utilisation, minimum, now_ms);
 	memset(samples, 0, sizeof(*samples));
 	limit->stepped_ms = now_ms;
 	return change;
--- a/src/label/admission/jt_group_shares.c
+++ b/src/label/admission/jt_group_shares.c
@@ -3,29 +3,29 @@
 #include "jt_share.h"
 
 enum {
-	/* A group that has not asked for so long has no share. */
-	ASKS_MS = 1000,
-	/* Of what groups below their share leave idle, so much is kept for
-	 * them, in thousandths: they get it at once when they want it. */
+	/* A group without requests for this time has no share. */
+	ACTIVE_MS = 1000,
+	/* Part of the unused shares, in thousandths, that is reserved for the
+	 * groups they belong to, so that they can use them at once. */
 	RESERVE_PERMILLE = 800,
-	/* Requests are counted in thousandths. */
+	/* Unit of requests in flight, in thousandths. */
 	REQUEST_UNIT = 1000,
 	GROUP_WEIGHT = 1,
 };
 
-static bool group_asks(const struct jt_group *group, uint64_t now_ms)
+static bool group_is_active(const struct jt_group *group, uint64_t now_ms)
 {
-	return now_ms - group->asked_ms < ASKS_MS;
+	return now_ms - group->asked_ms < ACTIVE_MS;
 }
 
-/* A place for another group: a free one, or of one that asks no more. */
-static struct jt_group *place_find(struct jt_group_shares *shares,
-				   uint64_t now_ms)
+/* Returns a slot for a new group: a free one, or that of an inactive group. */
+static struct jt_group *slot_find(struct jt_group_shares *shares,
+				  uint64_t now_ms)
 {
 	if (shares->count < JT_GROUPS_MOST)
 		return &shares->groups[shares->count++];
 	for (size_t i = 0; i < shares->count; i++) {
-		if (!group_asks(&shares->groups[i], now_ms))
+		if (!group_is_active(&shares->groups[i], now_ms))
 			return &shares->groups[i];
 	}
 	return NULL;
@@ -41,7 +41,7 @@
 			group = &shares->groups[i];
 	}
 	if (group == NULL) {
-		group = place_find(shares, now_ms);
+		group = slot_find(shares, now_ms);
 		if (group == NULL)
 			return NULL;
 		*group = (struct jt_group){.address = address};
@@ -61,14 +61,14 @@
 	for (size_t i = 0; i < shares->count; i++)
 		admitted += jt_work_now(&shares->groups[i].admitted, now_ms);
 	for (size_t i = 0; i < shares->count; i++) {
-		const struct jt_group *one = &shares->groups[i];
+		const struct jt_group *entry = &shares->groups[i];
 		double part = 0;
 
-		if (!group_asks(one, now_ms))
+		if (!group_is_active(entry, now_ms))
 			continue;
 		if (admitted > 0)
-			part = jt_work_now(&one->admitted, now_ms) / admitted;
-		if (one == group)
+			part = jt_work_now(&entry->admitted, now_ms) / admitted;
+		if (entry == group)
 			index = count;
 		uses[count++] = (struct jt_share_use){
 			.weight = GROUP_WEIGHT,
--- a/src/label/admission/jt_group_shares.h
+++ b/src/label/admission/jt_group_shares.h
@@ -1,11 +1,11 @@
 /*
- * Fair shares among the groups of one priority: a group is a route, by its
- * address.
+ * Fair shares of a concurrency limit among the groups of one priority. A group
+ * is a route, identified by its address.
  *
- * No count of what each group has in flight is kept: its part of what was let
- * in lately stands for its part of what is in flight. Groups that ask for
- * nothing keep nothing free. There is room for the groups that asked last; with
- * more at once, those that find no place are not held to a share.
+ * Requests in flight are not counted by group: they are estimated from each
+ * group's part of the recently admitted flows. Groups without recent requests
+ * reserve nothing. At most JT_GROUPS_MOST groups are tracked; further ones are
+ * not limited to a share.
  */
 #ifndef JT_GROUP_SHARES_H
 #define JT_GROUP_SHARES_H
@@ -20,7 +20,7 @@
 
 struct jt_group {
 	struct jt_address address;
-	struct jt_work admitted; /* lately */
+	struct jt_work admitted; /* recently admitted flows */
 	uint64_t asked_ms;
 };
 
@@ -29,15 +29,17 @@
 	size_t count;
 };
 
-/* The group of that address, which asks now; NULL: there is no place. */
+/* Returns the group of the address and records a request for admission;
+ * returns NULL if there is no free slot for a new group. */
 struct jt_group *jt_group_shares_ask(struct jt_group_shares *shares,
 				     struct jt_address address,
 				     uint64_t now_ms);
-/* Whether the group may have one more where @in_flight of @limit are. */
+/* Returns true if the group may have one more request in flight, when
+ * @in_flight of @limit are in use. */
 bool jt_group_shares_admit(const struct jt_group_shares *shares,
 			   const struct jt_group *group, double in_flight,
 			   double limit, uint64_t now_ms);
-/* It has got one more. */
+/* Records an admitted flow of the group. */
 void jt_group_admitted(struct jt_group *group, uint64_t now_ms);
 
 #endif
--- a/src/label/admission/jt_in_flight.c
+++ b/src/label/admission/jt_in_flight.c
@@ -19,7 +19,7 @@
 	return &flight->counts[number % JT_IN_FLIGHT_BUCKETS];
 }
 
-/* Leave out what has passed the horizon by now. */
+/* Drops operations that have passed the horizon by @now_ms. */
 static void advance(struct jt_in_flight *flight, uint64_t now_ms)
 {
 	uint64_t number = now_ms / JT_IN_FLIGHT_BUCKET_MS;
@@ -33,7 +33,7 @@
 		uint32_t *passed;
 
 		flight->newest++;
-		/* The oldest that counted is the newest's place, or before. */
+		/* Bucket that has just left the horizon. */
 		passed = bucket_at(flight, flight->newest +
 						   JT_IN_FLIGHT_BUCKETS -
 						   flight->horizon);
--- a/src/label/admission/jt_in_flight.h
+++ b/src/label/admission/jt_in_flight.h
@@ -1,9 +1,9 @@
 /*
- * Counts what is in flight: begun, not ended, and not too long ago.
+ * Counts operations in flight: begun, not ended, and not older than a horizon.
  *
- * A node sees no end of much that it passes on (the caller has gone, or the
- * endpoint has answered it directly). What began longer ago than a horizon
- * counts no more, so that nothing is counted for ever.
+ * A node does not see the end of every operation that it forwards: the client
+ * may have vanished, or the endpoint may have replied directly. Operations
+ * older than the horizon are therefore no longer counted.
  */
 #ifndef JT_IN_FLIGHT_H
 #define JT_IN_FLIGHT_H
@@ -16,16 +16,17 @@
 };
 
 struct jt_in_flight {
-	uint32_t counts[JT_IN_FLIGHT_BUCKETS]; /* by when it began */
-	uint64_t newest;  /* number of the bucket of the last event */
-	uint32_t horizon; /* buckets that count */
+	uint32_t counts[JT_IN_FLIGHT_BUCKETS]; /* by start time */
+	uint64_t newest;  /* bucket number of the last update */
+	uint32_t horizon; /* buckets counted */
 	uint32_t total;
 };
 
-/* Nothing in flight. Longer horizons than the buckets cover are cut. */
+/* Initialises an empty counter. The horizon is capped at the time that the
+ * buckets cover. */
 void jt_in_flight_init(struct jt_in_flight *flight, uint32_t horizon_ms);
 void jt_in_flight_begin(struct jt_in_flight *flight, uint64_t now_ms);
-/* What began at @began_ms has ended. */
+/* Records the end of an operation that began at @began_ms. */
 void jt_in_flight_end(struct jt_in_flight *flight, uint64_t began_ms,
 		      uint64_t now_ms);
 uint32_t jt_in_flight_count(struct jt_in_flight *flight, uint64_t now_ms);
