--- a/src/label/admission/jt_admission.c
+++ b/src/label/admission/jt_admission.c
@@ -171,8 +171,8 @@
 	priority_ensure(admission, service, route->priority);
 }
 
-/* Updates whether the service is watched. Priorities without a route keep their
- * counts. */
+/* Updates the watched flag of the service. Priorities without a route keep
+ * their counts. */
 static void service_watched_update(struct admission_service *service)
 {
 	size_t routed_count = 0;
@@ -450,7 +450,7 @@
 	}
 }
 
-/* Views */
+/* State and counts */
 
 bool jt_admission_view_at(const struct jt_admission *admission, size_t index,
 			  struct jt_admission_view *view)
--- a/src/label/admission/jt_concurrency_limit.c
+++ b/src/label/admission/jt_concurrency_limit.c
@@ -24,8 +24,8 @@
  * a limit, since refusals keep the endpoints from rejecting. */
 #define PRESSURE_INCREASE 0.35
 #define PRESSURE_DECREASE 0.01
-/* Allowed delay as a multiple of the lowest decile: the lower quartile without
- * queueing is 1.5 times the lowest decile, and queueing may add as much. The
+/* Allowed delay as a multiple of the lowest decile: without queueing the lower
+ * quartile is about 1.5 times the lowest decile, and queueing may add 0.5. The
  * mean service time is about twice the lowest decile. */
 #define ALLOWED_TO_FAST_DELAY 2
 #define SERVICE_TO_FAST_DELAY 2
--- a/src/label/jt_choose.c
+++ b/src/label/jt_choose.c
@@ -110,11 +110,11 @@
 }
 
 void jt_chooser_spread(const struct jt_chooser *chooser,
-		       struct jt_incarnation *newcomer, uint64_t now_ms)
+		       struct jt_incarnation *incarnation, uint64_t now_ms)
 {
 	if (initial_sync_active(chooser, now_ms))
-		jt_flow_rate_spread(chooser->rate, newcomer,
-				    jt_flow_rate_learning(newcomer), now_ms);
+		jt_flow_rate_spread(chooser->rate, incarnation,
+				    jt_flow_rate_learning(incarnation), now_ms);
 }
 
 /* Returns the limit of new flows per second to the incarnation from all
--- a/src/label/jt_choose.h
+++ b/src/label/jt_choose.h
@@ -64,11 +64,11 @@
  * new flows and not all of them. */
 void jt_chooser_welcome(struct jt_chooser *chooser,
 			const struct jt_service_pool *pool,
-			struct jt_incarnation *newcomer, uint64_t now_ms);
+			struct jt_incarnation *incarnation, uint64_t now_ms);
 /* Staggers the first new flows of all nodes to a new incarnation during the
  * initial synchronisation. */
 void jt_chooser_spread(const struct jt_chooser *chooser,
-		       struct jt_incarnation *newcomer, uint64_t now_ms);
+		       struct jt_incarnation *incarnation, uint64_t now_ms);
 /* Compares the failure rates of the pool's incarnations if a comparison is
  * due. */
 void jt_chooser_compare(struct jt_chooser *chooser,
--- a/src/label/jt_choose_welcome.c
+++ b/src/label/jt_choose_welcome.c
@@ -37,7 +37,7 @@
 
 void jt_chooser_welcome(struct jt_chooser *chooser,
 			const struct jt_service_pool *pool,
-			struct jt_incarnation *newcomer, uint64_t now_ms)
+			struct jt_incarnation *incarnation, uint64_t now_ms)
 {
 	struct jt_incarnation *buffer[SAMPLE_MOST];
 	struct incarnations sample;
@@ -47,10 +47,10 @@
 		return;
 	sample = pool_sample(chooser, pool, buffer);
 	for (size_t i = 0; i < sample.count; i++) {
-		if (sample.items[i] != newcomer)
+		if (sample.items[i] != incarnation)
 			load_sum_add(&others, chooser, sample.items[i], now_ms);
 	}
-	recent_load_raise(newcomer, load_mean(&others), now_ms);
+	recent_load_raise(incarnation, load_mean(&others), now_ms);
 }
 
 static void pool_welcome_zone(const struct jt_chooser *chooser,
--- a/src/label/jt_detector.c
+++ b/src/label/jt_detector.c
@@ -144,13 +144,13 @@
 /* Returns true if a failed probe confirms that the incarnation is dead. */
 static bool failure_confirms(const struct jt_detector *detector,
 			     const struct jt_incarnation *incarnation,
-			     enum jt_probe_outcome outcome, bool far_from_full)
+			     enum jt_probe_outcome outcome, bool below_limit)
 {
 	if (detector->break_mechanism & JT_DIRECTOR_BREAK_GUESS_DEATH)
 		return true;
 	if (incarnation->progress_ms >= incarnation->probe_sent_ms)
 		return false;
-	if (!incarnation->flow_dead && !far_from_full)
+	if (!incarnation->flow_dead && !below_limit)
 		return false;
 	if (!incarnation->flow_dead &&
 	    !single_failure_confirms(incarnation, outcome) &&
@@ -188,7 +188,7 @@
 static enum jt_detector_verdict
 dead_probe_failed(const struct jt_detector *detector,
 		  struct jt_incarnation *incarnation,
-		  enum jt_probe_outcome outcome, bool far_from_full)
+		  enum jt_probe_outcome outcome, bool below_limit)
 {
 	if (incarnation->entry.born_ms == 0)
 		return JT_VERDICT_NONE;
@@ -196,7 +196,7 @@
 	    detector->contact_ms < incarnation->probe_sent_ms)
 		return JT_VERDICT_NONE;
 	incarnation->failed_probes++;
-	if (!far_from_full && incarnation->failed_probes < PROBES_TO_CONFIRM)
+	if (!below_limit && incarnation->failed_probes < PROBES_TO_CONFIRM)
 		return JT_VERDICT_NONE;
 	incarnation->proven_ms = incarnation->probe_sent_ms;
 	return JT_VERDICT_STILL_DEAD;
@@ -205,7 +205,7 @@
 enum jt_detector_verdict jt_detector_probed(struct jt_detector *detector,
 					    struct jt_incarnation *incarnation,
 					    enum jt_probe_outcome outcome,
-					    bool far_from_full, uint64_t now_ms,
+					    bool below_limit, uint64_t now_ms,
 					    enum jt_death_cause *cause)
 {
 	bool dead = incarnation->state == JT_INCARNATION_DEAD;
@@ -223,9 +223,9 @@
 	}
 	if (dead)
 		return dead_probe_failed(detector, incarnation, outcome,
-					 far_from_full);
+					 below_limit);
 	incarnation->failed_probes++;
-	if (failure_confirms(detector, incarnation, outcome, far_from_full)) {
+	if (failure_confirms(detector, incarnation, outcome, below_limit)) {
 		incarnation->proven_ms = incarnation->probe_sent_ms;
 		*cause = outcome == JT_PROBE_REFUSED ? JT_DEATH_REFUSED
 						     : JT_DEATH_SILENT;
@@ -238,7 +238,7 @@
 
 enum jt_detector_verdict
 jt_detector_identified(struct jt_detector *detector,
-		       struct jt_incarnation *incarnation, uint64_t found,
+		       struct jt_incarnation *incarnation, uint64_t found_id,
 		       uint64_t now_ms)
 {
 	bool dead = incarnation->state == JT_INCARNATION_DEAD;
@@ -247,9 +247,9 @@
 	incarnation->probe_next_ms =
 		now_ms + (dead ? detector->dead_probe_pause_ms
 			       : detector->probe_pause_ms);
-	if (found == 0)
+	if (found_id == 0)
 		return JT_VERDICT_NONE;
-	if (found != incarnation->entry.id) {
+	if (found_id != incarnation->entry.id) {
 		incarnation->proven_ms = incarnation->probe_sent_ms;
 		return dead && incarnation->entry.born_ms != 0
 			       ? JT_VERDICT_STILL_DEAD
--- a/src/label/jt_detector.h
+++ b/src/label/jt_detector.h
@@ -81,19 +81,19 @@
 void jt_detector_want_proof(const struct jt_detector *detector,
 			    struct jt_incarnation *incarnation);
 
-/* Evaluates the outcome of the current probe. @far_from_full: the endpoint is
+/* Evaluates the outcome of the current probe. @below_limit: the endpoint is
  * below its connection limit. */
 enum jt_detector_verdict jt_detector_probed(struct jt_detector *detector,
 					    struct jt_incarnation *incarnation,
 					    enum jt_probe_outcome outcome,
-					    bool far_from_full, uint64_t now_ms,
+					    bool below_limit, uint64_t now_ms,
 					    enum jt_death_cause *cause);
 
-/* Evaluates the identity that answered at the address. @found is an endpoint
+/* Evaluates the identity that answered at the address. @found_id is an endpoint
  * id, 0 if none was reported. */
 enum jt_detector_verdict
 jt_detector_identified(struct jt_detector *detector,
-		       struct jt_incarnation *incarnation, uint64_t found,
+		       struct jt_incarnation *incarnation, uint64_t found_id,
 		       uint64_t now_ms);
 
 #endif
--- a/src/label/jt_endpoint_table.h
+++ b/src/label/jt_endpoint_table.h
@@ -56,7 +56,7 @@
 	uint64_t progress_ms; /* last progress on a flow */
 	/* An open flow has had no progress since then; 0: no suspicion. */
 	uint64_t suspected_ms;
-	/* Packets on an open flow were not acknowledged repeatedly, or a peer
+	/* Retransmissions on an open flow were not acknowledged, or a peer
 	 * has reported the endpoint dead. */
 	bool flow_dead;
 	/* Consecutive first packets without an answer. */
@@ -115,8 +115,8 @@
 	UT_hash_handle hh;
 };
 
-/* A slice of the table, which has the same members on every node. Slices are
- * fetched from peers one by one, and only the members changed since a
+/* A slice of the table, which has the same members on every node. Nodes fetch
+ * slices from peers one by one, and only the members that changed since a
  * revision. */
 struct jt_endpoint_slice {
 	struct jt_incarnation *members;
--- a/src/label/jt_zone_choice.c
+++ b/src/label/jt_zone_choice.c
@@ -6,15 +6,16 @@
  * the remote one by this factor, since traffic between zones is costly. */
 #define REMOTE_TIME_FACTOR 1.5
 
-double jt_zone_spill(const struct jt_target *near, const struct jt_target *far)
+double jt_zone_spill(const struct jt_target *local,
+		     const struct jt_target *remote)
 {
-	double max_spill = far->slots / (near->slots + far->slots);
+	double max_spill = remote->slots / (local->slots + remote->slots);
 	double spill;
 
-	if (isinf(far->level))
+	if (isinf(remote->level))
 		return 0;
-	if (isinf(near->level))
+	if (isinf(local->level))
 		return max_spill;
-	spill = 1 - REMOTE_TIME_FACTOR * far->level / near->level;
+	spill = 1 - REMOTE_TIME_FACTOR * remote->level / local->level;
 	return fmax(0, fmin(spill, max_spill));
 }
--- a/src/label/jt_zone_choice.h
+++ b/src/label/jt_zone_choice.h
@@ -15,7 +15,8 @@
 #include "jt_target.h"
 
 /* Returns the part of new flows that goes to other zones, 0 to 1, from the
- * load targets of the own zone (@near) and of all other zones (@far). */
-double jt_zone_spill(const struct jt_target *near, const struct jt_target *far);
+ * load targets of the own zone (@local) and of all other zones (@remote). */
+double jt_zone_spill(const struct jt_target *local,
+		     const struct jt_target *remote);
 
 #endif
