--- a/src/director/jt_director_log.c
+++ b/src/director/jt_director_log.c
@@ -47,7 +47,7 @@
 	return log->sink == NULL || jt_log_sink_allow(log->sink, class, now_ms);
 }
 
-/* A new flow found no room at its service. */
+/* Logs a new flow that was refused for lack of capacity. */
 static void log_refusal(const struct jt_log *log,
 			const struct jt_director_action *action)
 {
@@ -149,7 +149,8 @@
 {
 	char address[JT_ADDRESS_TEXT];
 
-	/* Most endpoints of a service may turn at the same moment. */
+	/* Rate-limited: many endpoints of a service may change at the same
+	 * time. */
 	if (!allowed(log, JT_LOG_UNUSUAL, now_ms))
 		return;
 	jt_log_line(log, LOG_NOTICE,
--- a/src/director/jt_director_log.h
+++ b/src/director/jt_director_log.h
@@ -1,6 +1,6 @@
 /*
- * What a director node writes into its log. docs/LOGS.md lists the events and
- * their fields.
+ * Log lines of a director node. docs/LOGS.md lists the events and their
+ * fields.
  */
 #ifndef JT_DIRECTOR_LOG_H
 #define JT_DIRECTOR_LOG_H
@@ -10,34 +10,36 @@
 
 enum { JT_REQUEST_ID_SIZE = 64 };
 
-/* What was decided on a flow's packet; @request is its request's id, or "".
- * Only decisions are told: packets that follow a flow's label are not. */
+/* Logs the decision on a flow's packet. @request is the id of its request, or
+ * "". Packets that follow their label are not logged. */
 void jt_director_log_flow(const struct jt_log *log,
 			  const struct jt_director_action *action,
 			  const char *request, uint64_t now_ms);
-/* A request went to the endpoint of its flow. */
+/* Logs a request that was forwarded to the endpoint of its flow. */
 void jt_director_log_request(const struct jt_log *log,
 			     const struct jt_director_action *action,
 			     const char *request, uint64_t now_ms);
-/* A peer has answered where a flow is; @label 0: it does not know. */
+/* Logs a peer's answer to a flow query; @label 0: unknown to the peer. */
 void jt_director_log_flow_told(const struct jt_log *log,
 			       const struct jt_flow_key *key, uint32_t label,
 			       uint64_t now_ms);
-/* What this node believes of an endpoint has changed. */
+/* Logs a change in the state of an endpoint. */
 void jt_director_log_endpoint(const struct jt_log *log,
 			      const struct jt_director_action *action,
 			      const char *event);
-/* An endpoint's share of new flows was reduced or restored, and what of. */
+/* Logs that an endpoint's share of new flows was reduced or restored, with
+ * the rates that caused it. */
 void jt_director_log_share(const struct jt_log *log,
 			   const struct jt_director_action *action,
 			   const char *event, uint64_t now_ms);
-/* The drain of a zone began or ended. */
+/* Logs that a zone drain began or ended. */
 void jt_director_log_zone(const struct jt_log *log,
 			  const struct jt_director_action *action);
-/* A service has a limit from now on, or has none any more. */
+/* Logs that the admission limit of a service was set or lifted. */
 void jt_director_log_room(const struct jt_log *log,
 			  const struct jt_director_action *action);
-/* How many lines were left out or lost, when that is due; and write. */
+/* Logs the number of lines left out or lost, when that is due, and flushes
+ * the log. */
 void jt_director_log_flush(const struct jt_log *log, uint64_t now_ms);
 
 #endif
--- a/src/director/jt_director_node.c
+++ b/src/director/jt_director_node.c
@@ -14,27 +14,29 @@
 
 enum {
 	TICK_MS = 100,
-	/* A tick that comes so much later is worth a line. */
+	/* A tick delayed by at least this is logged. */
 	STOOD_STILL_MS = 200,
 	US_PER_MS = 1000,
-	/* A leaving node ends so long before its limit, and longer by what its
-	 * end costs: thousandths of a core times milliseconds. */
+	/* A leaving node ends this long before its limit, plus the time that
+	 * its shutdown takes: LEAVE_COST is in milliseconds times thousandths
+	 * of a core. */
 	LEAVE_MARGIN_MS = 400,
 	LEAVE_COST = 10 * 1000,
-	/* Part of the drain limit for which a lapsed endpoint may be used. */
+	/* Grace period of an endpoint whose entry expired, as a part of the
+	 * drain limit. */
 	LAPSED_PERCENT = 60,
-	/* The same where the entry went while the store was away, and live
-	 * endpoints are back two seconds after it. */
+	/* The same if the entry was removed during a store outage. Live
+	 * endpoints have re-registered within RESTORED_GRACE_MS. */
 	RETURNED_PERCENT = 75,
 	RETURNED_MS = 2200,
-	/* Knowledge older than this part of the limit at which a node reads
-	 * the store itself: the store is away. */
+	/* Store data older than this part of the age limit means a store
+	 * outage. */
 	AWAY_PERCENT = 150,
 };
 
-/* Readiness and the end */
+/* Readiness and shutdown */
 
-/* A router checks whether this node is ready. */
+/* Answers a router's readiness check. */
 static bool on_ready_check(void *private_data)
 {
 	struct jt_director_node *node = private_data;
@@ -51,7 +53,8 @@
 	return true;
 }
 
-/* When a leaving node must have ended, from the begin on. */
+/* Returns the time from the start of the shutdown by which the node must end.
+ */
 static uint64_t leave_limit_ms(const struct jt_director_node *node)
 {
 	uint64_t limit_ms = node->settings->leave_limit_ms;
@@ -74,8 +77,8 @@
 		    (unsigned long long)(now_ms - node->leave.packet_ms));
 }
 
-/* Without its turn, a node that leaves sees a zone in which all others serve;
- * without an early end, one where nodes are removed. */
+/* Returns the state of the zone. With leaving in turn disabled, all its nodes
+ * count as serving; with early end disabled, one node counts as removed. */
 static struct jt_zone_view zone_view(const struct jt_director_node *node)
 {
 	struct jt_zone_view zone = jt_peer_exchange_zone(node->peers);
@@ -111,7 +114,7 @@
 	node->on_left = NULL;
 }
 
-/* How old the knowledge of the store is. */
+/* Returns the age of this node's store data. */
 static uint64_t store_age_ms(const struct jt_director_node *node)
 {
 	uint64_t from;
@@ -121,8 +124,8 @@
 					       &from);
 }
 
-/* This process stood still: callers' packets, readiness and peers had to wait.
- * The time that its log took tells a slow disk from a lack of processor. */
+/* Logs a delayed tick. The time spent on logging distinguishes a slow disk
+ * from a lack of CPU time. */
 static void stood_still_look(struct jt_director_node *node, uint64_t now_ms)
 {
 	uint64_t log_ms =
@@ -187,7 +190,8 @@
 	talloc_free(old);
 }
 
-/* Peers that were asked for a flow have answered, or will not. */
+/* Retries held packets after the peers that were queried about a flow had
+ * time to answer. */
 static void on_lookup_over(void *private_data)
 {
 	struct jt_director_node *node = private_data;
@@ -248,7 +252,7 @@
 	return false;
 }
 
-/* Whether other nodes look for this one first. */
+/* Returns true if this node is one of the seeds. */
 static bool is_seed(const struct jt_director_settings *settings)
 {
 	for (size_t i = 0; i < settings->seed_count; i++) {
@@ -258,7 +262,7 @@
 	return false;
 }
 
-/* How long the first list waits for what peers know. */
+/* Returns how long the first listing waits for state from peers. */
 static uint64_t first_wait_ms(struct jt_director_node *node)
 {
 	const struct jt_director_settings *settings = node->settings;
--- a/src/director/jt_director_node.h
+++ b/src/director/jt_director_node.h
@@ -1,6 +1,6 @@
 /*
- * One node that places flows by label: drives the decision library from
- * sockets and timers. Everything runs on one thread.
+ * A director node assigns flows to endpoints by label. It connects the
+ * decision library to sockets and timers; everything runs on one thread.
  */
 #ifndef JT_DIRECTOR_NODE_H
 #define JT_DIRECTOR_NODE_H
@@ -13,16 +13,20 @@
 
 struct jt_director_node;
 
-/* NULL with a line in @error (below @mem_ctx) when something can't start.
- * @on_left is called when a planned stop is complete. */
+/* Creates a node, a talloc child of @mem_ctx that takes ownership of
+ * @settings. Returns NULL on failure, with a message in @error (a talloc
+ * child of @mem_ctx). @on_left is called when a graceful shutdown is
+ * complete. */
 struct jt_director_node *jt_director_node_create(
 	TALLOC_CTX *mem_ctx, struct tevent_context *loop,
 	const struct jt_log *log, struct jt_director_settings *settings,
 	void (*on_left)(void *private_data), void *private_data, char **error);
-/* Planned stop: not ready at once; the node forwards on until no packets
- * come any more, or its limit is reached. */
+/* Starts a graceful shutdown: the node reports itself not ready when its turn
+ * comes, and forwards packets until none arrive any more or the leave limit
+ * is reached. */
 void jt_director_node_leave(struct jt_director_node *node);
-/* Use changed settings; fixed ones must be the same. */
+/* Applies changed settings and takes ownership of them. Settings that are
+ * fixed at start must be unchanged. */
 void jt_director_node_reload(struct jt_director_node *node,
 			     struct jt_director_settings *settings);
 
--- a/src/director/jt_director_node_news.c
+++ b/src/director/jt_director_node_news.c
@@ -1,4 +1,4 @@
-/* What a director node hears from the store and from its peers. */
+/* Handles changes from the store and messages from peers. */
 #include "jt_director_log.h"
 #include "jt_director_node_private.h"
 #include "jt_knowledge.h"
@@ -31,7 +31,8 @@
 	jt_director_node_event(node, &event);
 }
 
-/* An entry went (JT_DIRECTOR_GONE), or can't be read. */
+/* Applies the removal of an entry (JT_DIRECTOR_GONE), or an entry that can't
+ * be parsed. */
 static void gone_take(struct jt_director_node *node,
 		      enum jt_director_event_kind kind,
 		      const struct jt_change *change)
@@ -43,7 +44,7 @@
 	jt_director_node_event(node, &event);
 }
 
-/* The store's item makes no sense: one line for each key and reason. */
+/* Reports an invalid item of the store, once for each key and reason. */
 static void invalid_take(struct jt_director_node *node,
 			 const struct jt_change *change)
 {
@@ -55,8 +56,8 @@
 			    change->key, change->field, change->reason);
 }
 
-/* Drains of zones that began or ended. @complete: all there are as of
- * @revision. */
+/* Applies zone drains that began or ended. @complete: @drains holds all of
+ * them as of @revision. */
 static void zones_take(struct jt_director_node *node,
 		       const struct jt_zone_drain *drains, size_t count,
 		       bool complete, uint64_t revision)
@@ -93,7 +94,7 @@
 	}
 }
 
-/* All changes up to @revision are known. */
+/* Applies @event, after which all changes up to its revision are known. */
 static void revision_take(struct jt_director_node *node,
 			  struct jt_director_event *event)
 {
@@ -132,7 +133,7 @@
 		    (unsigned long long)revision);
 }
 
-/* Some endpoints and all drains of zones are known. */
+/* Some endpoints and all zone drains are known. */
 static void on_partly_told(void *private_data)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PARTLY_TOLD};
@@ -153,9 +154,9 @@
 		    jt_kv_status_name(status));
 }
 
-/* Reading the store, or leaving it to peers */
+/* Reading the store */
 
-/* How able this node is to read the store; 0: not now. */
+/* Returns this node's weight for reading the store; 0: it can't read it now. */
 static uint32_t reader_weight(const struct jt_director_node *node)
 {
 	if (!jt_director_started(node->director) ||
@@ -206,7 +207,7 @@
 {
 	struct jt_director_node *node = private_data;
 
-	/* One that has started reads the store for others as well. */
+	/* A started node reads the store on behalf of others, too. */
 	if (jt_director_started(node->director))
 		return JT_PEERS_SILENT;
 	if (jt_peer_exchange_learns(node->peers))
@@ -261,7 +262,7 @@
 	}
 }
 
-/* The drains of zones in a peer's message. */
+/* Applies the zone drains in a peer's message. */
 static void wire_zones_take(struct jt_director_node *node,
 			    const jt_wire_zone_drain *wire, size_t count,
 			    bool complete, uint64_t revision)
@@ -273,7 +274,8 @@
 	talloc_free(drains);
 }
 
-/* Where whole slices were told, nothing else is there. */
+/* Applies whole slices: endpoints of a slice that are not in it do not exist.
+ */
 static void slices_take(struct jt_director_node *node,
 			const jt_wire_knowledge *knowledge)
 {
@@ -285,7 +287,8 @@
 	talloc_free(frame);
 }
 
-/* A part of what peers know: endpoints, and all drains of zones. */
+/* Applies a part of a peer's state snapshot: routing, endpoints and all zone
+ * drains. */
 static void on_learned(const jt_wire_knowledge *knowledge, void *private_data)
 {
 	struct jt_director_node *node = private_data;
@@ -305,9 +308,9 @@
 }
 
 /*
- * What peers know is complete up to the revision, what is gone included, but
- * for what it took this node to know. They knew all that the store had a while
- * ago; now this node does.
+ * Completes a snapshot. It includes removals, except those made while this
+ * node was receiving it. The peers' last read of the store counts for this
+ * node, too.
  */
 static void on_learned_all(const struct jt_knowledge_fetch *whole,
 			   void *private_data)
--- a/src/director/jt_director_node_packets.c
+++ b/src/director/jt_director_node_packets.c
@@ -1,4 +1,5 @@
-/* What a director node does with an event: decide, act, pass packets on. */
+/* Passes events to the decision library and carries out the resulting
+ * actions. */
 #include "jt_director_log.h"
 #include "jt_director_node_private.h"
 #include "jt_flow_lookup.h"
@@ -10,8 +11,8 @@
 #include <sys/socket.h>
 
 enum {
-	PACKET_BATCH = 64, /* datagrams before other events get a turn */
-	HELD_LIMIT = 1024, /* packets that wait for what is not known yet */
+	PACKET_BATCH = 64, /* datagrams read before other events are handled */
+	HELD_LIMIT = 1024, /* packets held at once */
 };
 
 /* Actions */
@@ -28,7 +29,8 @@
 		node->traffic.send_failed++;
 }
 
-/* The id of the request that begins in the packet in hand, or "". */
+/* Copies the id of the request that begins in the current packet; "" if there
+ * is none. */
 static void packet_request(const struct jt_director_node *node,
 			   char request[JT_REQUEST_ID_SIZE])
 {
@@ -111,14 +113,14 @@
 {
 	char request[JT_REQUEST_ID_SIZE] = "";
 
-	/* A reset may concern another flow than the packet in hand. */
+	/* A reset may concern another flow than the current packet. */
 	if (action->kind != JT_DIRECTOR_RESET)
 		packet_request(node, request);
 	jt_director_log_flow(node->log, action, request, node->event_ms);
 }
 
-/* Whether the decision on a packet is worth a line: packets that follow their
- * label are not, nor is one that is held on. */
+/* Returns true if the decision is logged. Packets that follow their label are
+ * not, and a held packet is logged only once. */
 static bool is_told(const struct jt_director_node *node,
 		    const struct jt_director_action *action)
 {
@@ -138,8 +140,8 @@
 		jt_peer_exchange_failures(node->peers, failures, count, peers);
 }
 
-/* The answers come later. Held packets are offered again in good time, however
- * often peers are asked meanwhile: the timer is not put off. */
+/* Queries peers about a flow. A running timer is not restarted, so that
+ * repeated queries don't delay the retry of held packets. */
 static void act_flow_ask(struct jt_director_node *node,
 			 const struct jt_director_action *action)
 {
@@ -215,7 +217,7 @@
 					 "endpoint_restarted");
 		break;
 	case JT_DIRECTOR_SEEN:
-		/* A whole list is told in one line. */
+		/* A full listing is logged in one line. */
 		if (jt_director_started(node->director))
 			jt_director_log_endpoint(node->log, action,
 						 "endpoint_state");
@@ -252,8 +254,8 @@
 
 /* Packets */
 
-/* How long the packet in hand was held: never 0, which is one that just came.
- */
+/* Returns how long the current packet was held, at least 1: 0 means a new
+ * packet. */
 static uint32_t held_ms(const struct jt_director_node *node)
 {
 	uint64_t held_ms = jt_clock_ms() - node->held_since_ms;
@@ -274,12 +276,12 @@
 		event.u.packet.held_ms = held_ms(node);
 	node->packet_length = length;
 	jt_director_node_event(node, &event);
-	/* One that was held is no sign that routers still use this node. */
+	/* A held packet doesn't show that routers still send to this node. */
 	if (node->held_since_ms == 0)
 		jt_leave_packet(&node->leave, event.now_ms);
 }
 
-/* Offer a held packet again: it may be held on, since when it was first. */
+/* Retries a held packet. If it is held again, it keeps its original time. */
 static void held_offer(struct jt_director_node *node,
 		       const struct held_packet *held)
 {
@@ -289,7 +291,7 @@
 	node->held_since_ms = 0;
 }
 
-/* Offer held packets again once the node places flows, each of them once. */
+/* Retries each held packet once if the node accepts new flows. */
 void jt_director_node_release(struct jt_director_node *node)
 {
 	size_t count = node->held_count;
--- a/src/director/jt_director_node_private.h
+++ b/src/director/jt_director_node_private.h
@@ -1,4 +1,4 @@
-/* The state of a director node and what its files share. */
+/* State of a director node, shared by its source files. */
 #ifndef JT_DIRECTOR_NODE_PRIVATE_H
 #define JT_DIRECTOR_NODE_PRIVATE_H
 
@@ -15,7 +15,7 @@
 
 struct jt_timer;
 
-/* A packet that waits for what this node does not know yet. */
+/* A packet held until this node can decide where its flow belongs. */
 struct held_packet {
 	STAILQ_ENTRY(held_packet) next;
 	uint64_t since_ms;
@@ -37,47 +37,50 @@
 	struct jt_director_pages *pages;
 	struct jt_reader reader;
 	struct jt_refusals refusals;
-	uint64_t store_failures; /* calls that had failed at the last look */
+	uint64_t store_failures; /* failed store calls at the last tick */
 	struct jt_timer *tick;
-	uint64_t tick_due_ms;	 /* of the next one, 0: none was set */
-	uint64_t log_ms;	 /* spent on log lines up to the last tick */
-	bool lookup_set;	 /* that timer runs */
-	bool lookup_again;	 /* peers were asked since it was set */
-	struct jt_timer *lookup; /* when peers have had time to answer */
+	uint64_t tick_due_ms; /* when the next tick is due; 0: not set yet */
+	uint64_t log_ms; /* time spent writing log lines up to the last tick */
+	bool lookup_set; /* the lookup timer is running */
+	bool lookup_again; /* peers were queried after the timer was set */
+	struct jt_timer
+		*lookup; /* expires when peers have had time to answer */
 	int data_fd;
 	uint8_t buffer[JT_HEADROOM_MAX + JT_DATAGRAM_MAX];
-	size_t packet_length; /* of the packet in hand */
-	uint64_t event_ms;    /* when the event in hand came */
+	size_t packet_length; /* length of the current packet */
+	uint64_t event_ms;    /* time of the current event */
 	struct jt_leave leave;
 	bool was_ready;
-	bool told_ready; /* a router was told that this node is ready */
+	bool told_ready; /* a readiness check was answered with "ready" */
 	STAILQ_HEAD(held_queue, held_packet) held;
 	size_t held_count;
-	uint64_t held_since_ms; /* of the packet in hand, 0: just come */
+	uint64_t held_since_ms; /* when the current packet was first held; 0: it
+				   is new */
 	struct jt_director_traffic traffic;
 	void (*on_left)(void *private_data);
 	void *private_data;
 };
 
-/* Give @event to the decision library and do what it says
+/* Passes @event to the decision library and carries out the resulting actions
  * (jt_director_node_packets.c). */
 void jt_director_node_event(struct jt_director_node *node,
 			    struct jt_director_event *event);
-/* Read the store, or leave it to peers, as the reader decides. */
+/* Updates how this node reads the store: directly, or through peers. */
 void jt_director_node_reader_look(struct jt_director_node *node,
 				  uint64_t now_ms);
-/* Datagrams have come (a tevent_fd_handler_t). */
+/* Reads datagrams from the data socket (a tevent_fd_handler_t). */
 void jt_director_node_on_packets(struct tevent_context *loop,
 				 struct tevent_fd *fd, uint16_t flags,
 				 void *private_data);
-/* The node may have become ready, or cease to be. */
+/* Updates readiness and logs each change. */
 void jt_director_node_watch_ready(struct jt_director_node *node);
-/* The node may know more than before: it may be ready, and held packets are
- * offered again. */
+/* Updates readiness and retries held packets, after the node has received new
+ * state. */
 void jt_director_node_started_look(struct jt_director_node *node);
-/* Offer held packets again, where new flows are placed. */
+/* Retries held packets if the node accepts new flows. */
 void jt_director_node_release(struct jt_director_node *node);
-/* What the store and peers tell goes to these (jt_director_node_news.c). */
+/* Fills in the callbacks for changes from the store and from peers
+ * (jt_director_node_news.c). */
 void jt_director_node_handlers(struct jt_director_node *node,
 			       struct jt_directory_watcher *watcher,
 			       struct jt_peer_handler *handler);
--- a/src/director/jt_director_pages.c
+++ b/src/director/jt_director_pages.c
@@ -143,7 +143,7 @@
 			  counters->routing_refused);
 }
 
-/* Services whose new flows are limited when they are full. */
+/* Adds the services with admission control. */
 static char *add_admission(char *text, const struct jt_admission *admission)
 {
 	static const char *const names[] = {"limit", "in_flight", "delay_ms",
@@ -230,7 +230,7 @@
 	return text;
 }
 
-/* For how long this node has known of the drain of each zone. */
+/* Adds how long this node has known each zone drain. */
 static char *add_zone_drains(char *text, const struct jt_director *director)
 {
 	uint64_t now_ms = jt_clock_ms(), since_ms;
@@ -268,7 +268,7 @@
 			  counters->invalid_items);
 }
 
-/* What was sent to peers, or received, by kind of message. */
+/* Adds messages and bytes exchanged with peers, by kind of message. */
 static char *add_messages(char *text, const char *way,
 			  const struct jt_message_count *counts)
 {
--- a/src/director/jt_director_pages.h
+++ b/src/director/jt_director_pages.h
@@ -1,4 +1,4 @@
-/* What a director node serves over HTTP: readiness and metrics. */
+/* HTTP pages of a director node: readiness and metrics. */
 #ifndef JT_DIRECTOR_PAGES_H
 #define JT_DIRECTOR_PAGES_H
 
@@ -10,7 +10,7 @@
 struct jt_director;
 struct jt_director_pages;
 
-/* Datagrams since the start. */
+/* Counters of datagrams since the start. */
 struct jt_director_traffic {
 	uint64_t received;
 	uint64_t malformed;
@@ -18,11 +18,11 @@
 	uint64_t resets;
 	uint64_t send_failed;
 	uint64_t held_overflow;
-	uint64_t stood_still_ms; /* nothing was done, though it was due */
+	uint64_t stood_still_ms; /* sum of the delays of late ticks */
 };
 
-/* NULL with a line in @error when the readiness address can't be used. A
- * metrics address that can't be used is done without. */
+/* Returns NULL on failure, with a message in @error if the readiness address
+ * can't be used. Without a usable metrics address there is no metrics page. */
 struct jt_director_pages *jt_director_pages_create(
 	TALLOC_CTX *mem_ctx, struct tevent_context *loop,
 	const struct jt_log *log, const struct jt_director_settings *settings,
@@ -32,7 +32,8 @@
 	const struct jt_director_traffic *traffic,
 	bool (*ready)(void *private_data), void *private_data, char **error);
 
-/* Counters in the Prometheus text format 0.0.4, below @mem_ctx. */
+/* Returns the counters in the Prometheus text format 0.0.4, a talloc child of
+ * @mem_ctx. */
 char *jt_director_metrics(TALLOC_CTX *mem_ctx,
 			  const struct jt_director *director,
 			  const struct jt_directory_sync *sync,
--- a/src/director/jt_directory_sync.c
+++ b/src/director/jt_directory_sync.c
@@ -3,25 +3,26 @@
 #include "jt_timer.h"
 
 enum {
-	/* A page may be long in coming when all nodes ask at once; asking
-	 * again would only make it longer. */
+	/* Pages are slow when all nodes request them at once; retrying
+	 * earlier would add to the load. */
 	LIST_TIMEOUT_MS = 4000,
-	/* How much later than asked for a watch may be answered. */
+	/* Time that a watch may exceed its requested wait. */
 	WATCH_SLACK_MS = 500,
-	/* Failures in a row before the store counts as lost. */
+	/* Consecutive failures after which the store counts as unreachable. */
 	FAILURES_LOST = 2,
-	/* While a watch is held, a short call shows that the store answers. */
+	/* While a watch is open, a short call checks that the store answers. */
 	CHECK_MS = 500,
 	CHECK_TIMEOUT_MS = 800,
-	/* The same beside a page that is long in coming. */
+	/* The same while a page is pending. */
 	PAGE_CHECK_MS = 250,
 	PAGE_CHECK_TIMEOUT_MS = 400,
-	/* A first page takes some 20 ms where few ask; later than this many do,
-	 * or the store is slow. */
+	/* A first page later than this means that many nodes request one, or
+	 * that the store is slow. */
 	FIRST_PAGE_MS = 150,
-	/* A node that leaves the store to peers looks if it is back. */
+	/* A node that relies on peers checks whether the store is reachable
+	 * again. */
 	LOST_CHECK_MS = 2500,
-	/* Before the first list, while a peer is about to tell. */
+	/* Before the first listing, while a peer may send a snapshot. */
 	PEER_TELLS_MS = 20,
 	PEERS_KEEP_MS = 300,
 };
@@ -35,15 +36,16 @@
 	struct jt_follower follower;
 	struct jt_timer *timer;
 	struct jt_timer *check_timer;
-	struct tevent_req *call;  /* the list or watch under way */
-	struct tevent_req *check; /* the check under way */
-	uint64_t watch_ms;	  /* when the watch under way began */
-	bool watching;		  /* the call under way is a watch */
-	bool asking;		  /* the check under way is a step */
-	bool first_page_due;	  /* the check timer waits for it */
-	uint64_t peers_until_ms;  /* peers may keep the first list so long */
-	uint64_t asked_ms;	  /* when the page under way was asked for */
-	char *page_key;		  /* last key of the page before */
+	struct tevent_req *call;  /* the pending list or watch */
+	struct tevent_req *check; /* the pending check */
+	uint64_t watch_ms;	  /* when the pending watch began */
+	bool watching;		  /* the pending call is a watch */
+	bool asking;		  /* the pending check is the follower's step */
+	bool first_page_due;	  /* the check timer waits for a first page */
+	uint64_t peers_until_ms;  /* latest time at which a pending peer request
+				     delays the first listing */
+	uint64_t asked_ms;	  /* when the pending page was requested */
+	char *page_key;		  /* last key of the previous page */
 	bool lost;
 	struct jt_directory_counters counters;
 };
@@ -77,7 +79,7 @@
 	}
 }
 
-/* A watch tells changes in order: the last one is the newest. */
+/* Reports the newest revision of a watch, whose changes come in order. */
 static void tell_caught_up(struct jt_directory_sync *sync,
 			   const struct jt_kv_answer *answer)
 {
@@ -161,7 +163,7 @@
 
 /* Checks */
 
-/* The watch that is held says no more than a lost answer. */
+/* Ends the open watch as failed, with @status. */
 static void watch_give_up(struct jt_directory_sync *sync,
 			  enum jt_kv_status status)
 {
@@ -173,7 +175,7 @@
 	sync_step(sync);
 }
 
-/* What a check says to a node that leaves the store to peers. */
+/* Handles a check by a node that relies on peers. */
 static void check_take_idle(struct jt_directory_sync *sync,
 			    enum jt_kv_status status)
 {
@@ -193,7 +195,7 @@
 	list_start(sync);
 }
 
-/* What the step of a node that only checks came to. */
+/* Handles a check that was the follower's step. */
 static void asked_take(struct jt_directory_sync *sync, enum jt_kv_status status,
 		       uint64_t at)
 {
@@ -243,7 +245,7 @@
 		tevent_req_set_callback(sync->check, on_checked, sync);
 }
 
-/* A list's first page has not come yet. */
+/* Handles a first page that is late. */
 static void first_page_late(struct jt_directory_sync *sync)
 {
 	sync->first_page_due = false;
@@ -308,7 +310,7 @@
 		tevent_req_set_callback(sync->call, on_watched, sync);
 }
 
-/* A peer tells sooner, and for nothing, what a list would. */
+/* Returns true if peers may provide the state sooner than a listing. */
 static bool list_can_wait(const struct jt_directory_sync *sync, uint64_t now_ms)
 {
 	switch (sync->watcher.peers_tell(sync->watcher.private_data)) {
@@ -402,7 +404,7 @@
 {
 	if (reading == sync->follower.reading)
 		return;
-	/* A list goes on, whichever way the store is read afterwards. */
+	/* A listing under way goes on, unless the store is no longer read. */
 	if (sync->follower.listed || reading == JT_READING_NOT)
 		calls_end(sync);
 	jt_follower_read(&sync->follower, reading, jt_clock_ms());
@@ -410,7 +412,7 @@
 		sync_step(sync);
 		return;
 	}
-	/* A list that is broken off begins anew. */
+	/* An aborted listing starts over. */
 	sync->follower.paging = false;
 	TALLOC_FREE(sync->page_key);
 	jt_timer_stop(sync->timer);
--- a/src/director/jt_directory_sync.h
+++ b/src/director/jt_directory_sync.h
@@ -1,6 +1,6 @@
 /*
- * Follows the store: drives the pure follower with an environment's calls and
- * hands every change on.
+ * Keeps a node in step with the store: makes the calls that the follower
+ * decides on and reports every change.
  */
 #ifndef JT_DIRECTORY_SYNC_H
 #define JT_DIRECTORY_SYNC_H
@@ -8,31 +8,33 @@
 #include "jt_environment.h"
 #include "jt_log.h"
 
-/* What a node that has not started may expect of its peers. */
+/* What a node that has not started can expect from peers. */
 enum jt_peers_tell {
 	JT_PEERS_SILENT,
-	JT_PEERS_ASKED,	    /* one was asked and has not answered yet */
-	JT_PEERS_TOLD_SOME, /* one has told enough endpoints to place flows */
-	JT_PEERS_TELL,	    /* one tells part after part */
+	JT_PEERS_ASKED,	    /* a peer's answer is pending */
+	JT_PEERS_TOLD_SOME, /* a peer sent enough endpoints to accept flows */
+	JT_PEERS_TELL,	    /* a peer is sending a snapshot in parts */
 };
 
-/* What the owner of a directory sync is told. */
+/* Callbacks of the owner of a directory sync. */
 struct jt_directory_watcher {
-	/* One change, in the order of the store. */
+	/* A change, in the order of the store's revisions. */
 	void (*changed)(const struct jt_change *change, void *private_data);
-	/* All changes up to @revision have been handed on. */
+	/* All changes up to @revision have been reported. */
 	void (*caught_up)(uint64_t revision, void *private_data);
-	/* A list begins. */
+	/* A full listing begins. */
 	void (*listing)(void *private_data);
-	/* A list is complete: what it did not hold is gone as of @revision. */
+	/* A full listing is complete: entries that it lacked do not exist as
+	 * of @revision. */
 	void (*listed)(uint64_t revision, void *private_data);
-	/* A page of a list that goes on was told, and all drains of zones. */
+	/* A page and all zone drains were reported; more pages follow. */
 	void (*partly_told)(void *private_data);
-	/* Up to which revision all changes are known, from whomever. */
+	/* Returns the revision up to which all changes are known, from any
+	 * source. */
 	uint64_t (*known)(void *private_data);
-	/* Whether to leave a list to peers for now. */
+	/* Returns whether peers may provide the state instead of a listing. */
 	enum jt_peers_tell (*peers_tell)(void *private_data);
-	/* The store was lost, or regained. */
+	/* The store became unreachable, or reachable again. */
 	void (*reachable)(bool reachable, enum jt_kv_status status,
 			  void *private_data);
 	void *private_data;
@@ -41,39 +43,41 @@
 struct jt_directory_counters {
 	uint64_t lists[JT_KV_STATUSES];
 	uint64_t watches[JT_KV_STATUSES];
-	uint64_t checks[JT_KV_STATUSES]; /* of a store whose watch is held */
+	uint64_t checks[JT_KV_STATUSES]; /* while a watch is open */
 	uint64_t watches_given_up;
 	uint64_t invalid_items;
 };
 
 struct jt_directory_sync;
 
-/* The first list waits for @start_wait_ms: a peer may tell all until then. */
+/* Creates a directory sync. The first listing is delayed by @start_wait_ms,
+ * as a peer may send a snapshot before; @strength_permille is the node's
+ * share of a core. */
 struct jt_directory_sync *jt_directory_sync_create(
 	TALLOC_CTX *mem_ctx, struct tevent_context *loop,
 	struct jt_http_client *client, const struct jt_directory *directory,
 	struct jt_address store, const struct jt_directory_watcher *watcher,
 	uint64_t start_wait_ms, uint32_t strength_permille, uint64_t seed);
-/* A peer told all that it knew at @revision: no list is needed. */
+/* A snapshot of a peer is complete up to @revision: no listing is needed. */
 void jt_directory_sync_informed(struct jt_directory_sync *sync,
 				uint64_t revision);
-/* Read the store in this way from now on. One that leaves it to peers and had
- * lost it looks now and then if it is back. */
+/* Sets how the store is read. A node that relies on peers and had found the
+ * store unreachable checks it periodically. */
 void jt_directory_sync_read(struct jt_directory_sync *sync,
 			    enum jt_reading reading);
-/* Entries are coming back that packets wait for. */
+/* Sets whether endpoints that packets wait for are re-registering. */
 void jt_directory_sync_learning(struct jt_directory_sync *sync, bool learning);
-/* Whether the store does not answer this node. */
+/* Returns true if the store is unreachable for this node. */
 bool jt_directory_sync_lost(const struct jt_directory_sync *sync);
-/* Calls that had no answer, or one that does not help, since the start. */
+/* Returns the number of failed calls since the start. */
 uint64_t jt_directory_sync_failures(const struct jt_directory_sync *sync);
-/* When this node last knew all that the store had; 0: never. */
+/* Returns when this node last knew all that the store held; 0: never. */
 uint64_t jt_directory_sync_as_of_ms(const struct jt_directory_sync *sync);
-/* The store's address has changed. */
+/* Switches to another address of the store. */
 void jt_directory_sync_move(struct jt_directory_sync *sync,
 			    struct jt_address store);
 uint64_t jt_directory_sync_revision(const struct jt_directory_sync *sync);
-/* Milliseconds since the store's last answer that made sense. */
+/* Returns the milliseconds since the store's last valid answer. */
 uint64_t jt_directory_sync_age_ms(const struct jt_directory_sync *sync);
 const struct jt_directory_counters *
 jt_directory_sync_counters(const struct jt_directory_sync *sync);
--- a/src/director/jt_endpoint_probes.c
+++ b/src/director/jt_endpoint_probes.c
@@ -10,7 +10,7 @@
 	struct jt_probe_handler handler;
 };
 
-/* One probe under way. */
+/* A pending probe. */
 struct probe_call {
 	struct jt_endpoint_probes *probes;
 	uint64_t endpoint_id;
@@ -48,7 +48,7 @@
 	return call;
 }
 
-/* Without memory or descriptors a probe says nothing. */
+/* A probe that can't start for lack of memory or descriptors has no result. */
 static void call_start(struct probe_call *call, struct tevent_req *req,
 		       tevent_req_fn callback)
 {
--- a/src/director/jt_endpoint_probes.h
+++ b/src/director/jt_endpoint_probes.h
@@ -1,17 +1,18 @@
 /*
- * Probes of endpoints as a director asks for them: a connection, or the
- * question who answers.
+ * Probes of endpoints: a TCP connection, or a query of the endpoint's
+ * identity.
  */
 #ifndef JT_ENDPOINT_PROBES_H
 #define JT_ENDPOINT_PROBES_H
 
 #include "jt_environment.h"
 
-/* What the owner of the probes is told, of the incarnation that it named. */
+/* Callbacks with the results, for the incarnation that was given to the
+ * probe. */
 struct jt_probe_handler {
 	void (*probed)(uint64_t endpoint_id, uint64_t born_ms,
 		       enum jt_probe_outcome outcome, void *private_data);
-	/* @found is 0 when nobody said. */
+	/* @found is 0 if there was no valid answer. */
 	void (*identified)(uint64_t endpoint_id, uint64_t born_ms,
 			   uint64_t found, void *private_data);
 	void *private_data;
--- a/src/director/jt_peer_exchange.c
+++ b/src/director/jt_peer_exchange.c
@@ -15,12 +15,13 @@
 
 enum {
 	ROUND_MS = 500,
-	/* Just started nodes look for peers that know more, and tell. */
+	/* Nodes gossip faster after their start, to find peers with newer
+	 * state. */
 	ROUND_FAST_MS = 100,
 	ROUND_FAST_FOR_MS = 3000,
 	DATAGRAM_MOST = 1400, /* a digest fits into one packet */
 	DATAGRAM_BATCH = 32,
-	NEWS_MS = 10, /* changes that come together are told together */
+	NEWS_MS = 10, /* delay that batches changes into one message */
 };
 
 struct jt_peer_exchange {
@@ -34,7 +35,7 @@
 	struct jt_timer *timer;
 	struct jt_timer *news_timer;
 	bool news_due;
-	uint64_t told_revision; /* up to which news was sent on */
+	uint64_t told_revision; /* up to which updates were sent */
 	uint64_t created_ms;
 };
 
@@ -90,7 +91,7 @@
 	}
 }
 
-/* The digest of a round. */
+/* Sends the digest of a gossip round. */
 static void digest_tell(struct jt_peer_exchange *exchange,
 			const struct jt_address *targets, size_t count,
 			uint64_t now_ms)
@@ -106,7 +107,7 @@
 	talloc_free(frame);
 }
 
-/* To a node that looks for peers to learn from. */
+/* Sends a digest to a node that looks for a peer to synchronise from. */
 static void sources_tell(struct jt_peer_exchange *exchange,
 			 struct jt_address to, uint32_t zone_id,
 			 const struct jt_own_state *own, uint64_t now_ms)
@@ -120,7 +121,7 @@
 	talloc_free(frame);
 }
 
-/* Whether this node takes flows, to all at once. */
+/* Sends this node's availability to all live peers. */
 static void standing_tell(struct jt_peer_exchange *exchange, bool only_zone)
 {
 	jt_wire_director_message message = {
@@ -151,10 +152,10 @@
 	return jt_membership_zone(exchange->membership, jt_clock_ms());
 }
 
-/* News */
+/* Gossip updates */
 
-/* The drains of zones that changed after what was told last; false when there
- * are too many of them. */
+/* Adds the zone drains that changed since the last update. Returns false if
+ * there are too many. */
 static bool news_zones(const jt_wire_knowledge *knowledge, jt_wire_news *news)
 {
 	jt_wire_zone_drain *zones = knowledge->zones.zones_val;
@@ -181,7 +182,7 @@
 		.version = own->routing_version,
 	};
 
-	/* Without entries it makes the others fetch. */
+	/* An update without entries makes the receivers request a snapshot. */
 	news->since = own->revision;
 	if (exchange->told_revision == 0 ||
 	    !exchange->handler.knowledge(frame, &need, &knowledge,
@@ -292,7 +293,7 @@
 				 now_ms))
 		peer_seen(exchange, from);
 	exchange->handler.own_state(&own, exchange->handler.private_data);
-	/* It looks for somebody to learn from. */
+	/* The sender looks for a peer to synchronise from. */
 	if (!digest->started &&
 	    (own.started || (own.places && !digest->places) ||
 	     jt_membership_knows_source(exchange->membership)))
@@ -429,7 +430,8 @@
 	digest_tell(exchange, targets, count, now_ms);
 	loads_send(exchange, targets, count);
 	exchange->handler.own_state(&own, exchange->handler.private_data);
-	/* Who leaves when hangs on it: a datagram that was lost is made up. */
+	/* Repeated in case of datagram loss: the leaving order depends on it.
+	 */
 	if (own.leaving)
 		standing_tell(exchange, true);
 	jt_peer_knowledge_look(exchange->knowledge, now_ms);
--- a/src/director/jt_peer_knowledge.c
+++ b/src/director/jt_peer_knowledge.c
@@ -8,13 +8,13 @@
 
 enum {
 	FETCH_TIMEOUT_MS = 1000,
-	/* A node that has just started rather asks another peer: the first may
-	 * have lost power together with it, unless it has answered before. */
+	/* A node that has not started turns to another peer sooner, unless
+	 * this one has already answered: it may have lost power, too. */
 	FETCH_START_TIMEOUT_MS = 250,
 	KNOWLEDGE_MOST = 8 << 20,
-	FETCH_LOOK_MS = 70, /* a node that is behind looks again after that */
+	FETCH_LOOK_MS = 70, /* retry interval of a node that is behind */
 	STATUS_OK = 200,
-	STATUS_BUSY = 429, /* the peer is asked by too many */
+	STATUS_BUSY = 429, /* the peer is over its budget for snapshots */
 };
 
 #define KNOWLEDGE_PATH "/knowledge"
@@ -25,12 +25,12 @@
 	struct jt_membership *membership;
 	struct jt_peer_frames *frames;
 	struct jt_knowledge_handler handler;
-	struct jt_timer *timer;	  /* until this node looks again */
-	struct tevent_req *fetch; /* NULL: no peer is asked */
-	struct jt_address from;	  /* the peer that is asked */
-	bool answered;		  /* it has told a part already */
+	struct jt_timer *timer;	  /* runs until the next attempt */
+	struct tevent_req *fetch; /* NULL: no request is pending */
+	struct jt_address from;	  /* the peer that the request was sent to */
+	bool answered;		  /* it has already sent a part */
 	struct jt_knowledge_fetch fetched;
-	struct jt_serve_budget budget; /* of answers to others */
+	struct jt_serve_budget budget; /* for snapshots served to peers */
 };
 
 static void fetch_end(struct jt_peer_knowledge *sync, enum jt_fetch_end end)
@@ -69,7 +69,7 @@
 
 static void on_fetched(struct tevent_req *req);
 
-/* Ask the peer for the next part. */
+/* Requests the next part from the peer. */
 static void part_ask(struct jt_peer_knowledge *sync)
 {
 	char from[JT_ADDRESS_TEXT], to[JT_ADDRESS_TEXT];
@@ -125,7 +125,8 @@
 	else if (sync->fetched.slice > before)
 		part_ask(sync);
 	else
-		fetch_end(sync, JT_FETCH_BUSY); /* some endpoints alone */
+		fetch_end(sync,
+			  JT_FETCH_BUSY); /* the answer held no whole slice */
 }
 
 static void fetch_start(struct jt_peer_knowledge *sync,
@@ -146,7 +147,7 @@
 	part_ask(sync);
 }
 
-/* What a peer knows already, as its request says; 0 where it does not. */
+/* Returns a number from the query, 0 if it is missing. */
 static uint64_t query_number(const struct jt_http_request *request,
 			     const char *name)
 {
@@ -155,7 +156,7 @@
 	return text != NULL ? strtoull(text, NULL, 10) : 0;
 }
 
-/* As of when, and by whose reading, this node knows the store. */
+/* Sets the age of this node's store data, and the node that read it. */
 static void knowledge_set_age(const struct jt_peer_knowledge *sync,
 			      jt_wire_knowledge *knowledge)
 {
@@ -208,7 +209,7 @@
 	talloc_free(frame);
 }
 
-/* Too many ask: another peer answers sooner. */
+/* Refuses a request over the budget; the peer then tries another node. */
 static void knowledge_refuse(struct jt_peer_knowledge *sync,
 			     struct jt_http_request *request)
 {
--- a/src/director/jt_peer_knowledge.h
+++ b/src/director/jt_peer_knowledge.h
@@ -1,6 +1,6 @@
 /*
- * What nodes know, fetched over HTTP by those that are behind, as it may be
- * long: asks a peer for what this node lacks, and answers peers that ask.
+ * State snapshots over HTTP: requests from peers the state that this node
+ * lacks, and serves its own state to peers that are behind.
  */
 #ifndef JT_PEER_KNOWLEDGE_H
 #define JT_PEER_KNOWLEDGE_H
@@ -14,51 +14,51 @@
 
 #include <tevent.h>
 
-/* What this node knows, and who takes what peers know. */
+/* Callbacks that provide this node's state and receive that of peers. */
 struct jt_knowledge_handler {
 	void (*own_state)(struct jt_own_state *own, void *private_data);
-	/* What this node knows and one that asks for @need does not; below
-	 * @mem_ctx. */
+	/* Writes the state that a peer with @need lacks, as talloc children
+	 * of @mem_ctx. Returns false if memory runs out. */
 	bool (*knowledge)(TALLOC_CTX *mem_ctx,
 			  const struct jt_knowledge_need *need,
 			  jt_wire_knowledge *knowledge, void *private_data);
-	/* A part of what peers know. */
+	/* A part of a snapshot was received. */
 	void (*learned)(const jt_wire_knowledge *knowledge, void *private_data);
-	/* That was the last part: @whole is what all of them amount to. */
+	/* The snapshot is complete; @whole summarises its parts. */
 	void (*learned_all)(const struct jt_knowledge_fetch *whole,
 			    void *private_data);
 	void *private_data;
 };
 
-/* What the module works with; all of it outlives the module. */
+/* Dependencies; all of them must outlive the module. */
 struct jt_peer_knowledge_options {
 	struct tevent_context *loop;
 	struct jt_http_client *client;
 	const struct jt_log *log;
-	struct jt_membership *membership; /* whom to ask */
+	struct jt_membership *membership; /* selects the peer to request from */
 	struct jt_peer_frames *frames;
 	struct jt_knowledge_handler handler;
 };
 
 struct jt_peer_knowledge;
 
-/* NULL where memory or descriptors run out. */
+/* Returns NULL if memory or descriptors run out. */
 struct jt_peer_knowledge *
 jt_peer_knowledge_create(TALLOC_CTX *mem_ctx,
 			 const struct jt_peer_knowledge_options *options);
-/* The link's speed, in Mbit/s: it bounds how much is served to others. */
+/* Sets the link speed in Mbit/s, which limits the bytes served to peers. */
 void jt_peer_knowledge_set_link(struct jt_peer_knowledge *knowledge,
 				uint32_t link_mbps);
-/* Fetch from a peer that knows more, if that is due. */
+/* Requests a snapshot from a peer with newer state, if that is due. */
 void jt_peer_knowledge_look(struct jt_peer_knowledge *knowledge,
 			    uint64_t now_ms);
-/* A peer asks for what it lacks: a callback of the HTTP server, whose
- * @private_data is the module. */
+/* Serves a peer's request (a callback of the HTTP server); @private_data is
+ * the struct jt_peer_knowledge. */
 void jt_peer_knowledge_request(struct jt_http_request *request,
 			       void *private_data);
-/* Whether a peer was asked and has not answered yet. */
+/* Returns true while a request to a peer is pending. */
 bool jt_peer_knowledge_fetching(const struct jt_peer_knowledge *knowledge);
-/* Whether such a peer has told a part already, and goes on. */
+/* Returns true if that peer has already sent a part of its snapshot. */
 bool jt_peer_knowledge_learns(const struct jt_peer_knowledge *knowledge);
 
 #endif
--- a/src/director/jt_peer_sender.h
+++ b/src/director/jt_peer_sender.h
@@ -1,6 +1,6 @@
 /*
- * Sends messages to other director nodes: to one address, to all that are
- * heard, or to some of the own zone by turns.
+ * Sends messages to other director nodes: to one address, to all live peers,
+ * or to some peers of the zone in rotation.
  */
 #ifndef JT_PEER_SENDER_H
 #define JT_PEER_SENDER_H
@@ -9,21 +9,20 @@
 #include "jt_peer_frames.h"
 
 struct jt_peer_sender {
-	int fd; /* -1: nothing is sent */
+	int fd; /* -1: not open */
 	struct jt_peer_frames frames;
 	const struct jt_membership *membership;
-	size_t some_next; /* place of the peer whose turn is next */
+	size_t some_next; /* index of the next peer in the rotation */
 };
 
 void jt_peer_sender_send(struct jt_peer_sender *sender, struct jt_address to,
 			 const jt_wire_director_message *message);
-/* To every live peer, or to those of this node's zone alone. */
+/* Sends to every live peer, or only to those of this node's zone. */
 void jt_peer_sender_send_all(struct jt_peer_sender *sender,
 			     const jt_wire_director_message *message,
 			     bool only_zone);
-/* To so many live peers of the own zone; the next ones follow on. Nodes send
- * most flows to endpoints of their zone, so that those of others have little
- * use for the message, and bytes between zones cost. */
+/* Sends to the next @peers live peers of this node's zone. Other zones are
+ * left out: their nodes send few flows to endpoints here. */
 void jt_peer_sender_send_some(struct jt_peer_sender *sender,
 			      const jt_wire_director_message *message,
 			      size_t peers);
--- a/src/director/jt_prober.c
+++ b/src/director/jt_prober.c
@@ -8,8 +8,8 @@
 #include <unistd.h>
 
 enum {
-	/* A timer that is this late shows that the process was held up: the
-	 * silence may be its own. */
+	/* A timer this late shows that this process was delayed: the lack of
+	 * an answer may be its own fault. */
 	LATE_MS = 100,
 };
 
@@ -45,7 +45,7 @@
 	tevent_req_done(state->req);
 }
 
-/* What the error of an attempt to connect says of the endpoint. */
+/* Returns what an error of connect() shows about the endpoint. */
 static enum jt_probe_outcome error_outcome(int error)
 {
 	switch (error) {
@@ -59,7 +59,7 @@
 	case ENETUNREACH:
 		return JT_PROBE_SILENT;
 	default:
-		return JT_PROBE_VOID; /* a lack of this node's own */
+		return JT_PROBE_VOID; /* an error of this node */
 	}
 }
 
--- a/src/director/jt_prober.h
+++ b/src/director/jt_prober.h
@@ -1,6 +1,5 @@
 /*
- * Opens a connection to see whether something answers at an address, and
- * closes it again.
+ * Checks whether a TCP connection to an address can be opened, and closes it.
  */
 #ifndef JT_PROBER_H
 #define JT_PROBER_H
--- a/src/director/jt_refusals.h
+++ b/src/director/jt_refusals.h
@@ -1,6 +1,6 @@
 /*
- * The refusals that were logged: a document of the store that stays wrong is
- * told each time that the store is read, and logged once.
+ * Suppresses repeated log lines about invalid documents: one that stays
+ * invalid is reported on each read of the store, and logged once.
  */
 #ifndef JT_REFUSALS_H
 #define JT_REFUSALS_H
@@ -8,14 +8,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-enum { JT_REFUSALS = 1024 }; /* lines at most in a process's life */
+enum { JT_REFUSALS = 1024 }; /* distinct refusals logged in a process */
 
 struct jt_refusals {
-	uint64_t hashes[JT_REFUSALS]; /* by key and reason; 0: free */
+	uint64_t hashes[JT_REFUSALS]; /* of key and reason; 0: free */
 };
 
-/* Whether this is the first refusal of @key for that reason. False as well
- * where there were too many: counters still tell of them. */
+/* Returns true for the first refusal of @key for @reason. Returns false, too,
+ * if the table is full: such refusals are only counted. */
 bool jt_refusals_first(struct jt_refusals *refusals, const char *key,
 		       const char *reason);
 
--- a/src/director_daemon/director_process.c
+++ b/src/director_daemon/director_process.c
@@ -16,8 +16,9 @@
 	struct tevent_context *loop;
 	struct jt_log log;
 	const char *file;
-	struct timespec changed;	       /* of the settings file */
-	struct jt_director_settings *settings; /* the node's */
+	struct timespec changed; /* modification time of the settings file */
+	struct jt_director_settings
+		*settings; /* owned by the node once it runs */
 	struct jt_director_node *node;
 	struct jt_timer *look;
 	bool finished;
@@ -92,7 +93,7 @@
 	reload(private_data);
 }
 
-/* The settings file may change with no signal. */
+/* Returns true if the settings file was modified since the last call. */
 static bool file_changed(struct director_process *process)
 {
 	struct stat status;
--- a/src/director_daemon/director_process.h
+++ b/src/director_daemon/director_process.h
@@ -1,4 +1,4 @@
-/* The process of a director node: signals, settings that change, its end. */
+/* The process of a director node: signals, reloading of settings, shutdown. */
 #ifndef DIRECTOR_PROCESS_H
 #define DIRECTOR_PROCESS_H
 
@@ -9,7 +9,7 @@
 
 enum { EXIT_DONE = 0, EXIT_FAILED = 1, EXIT_USAGE = 2 };
 
-/* Run a node until it is told to leave, or only check the settings in @file.
+/* Runs a node until it is shut down, or only checks the settings in @file.
  * Returns the exit status. */
 int director_process_run(TALLOC_CTX *mem_ctx, const char *file, bool check);
 
--- a/src/director_daemon/main.c
+++ b/src/director_daemon/main.c
@@ -1,4 +1,4 @@
-/* jaspertrack-director: one balancer node that places flows by label. */
+/* jaspertrack-director: a load balancer node that assigns flows by label. */
 #include "director_process.h"
 #include "jt_version.h"
 
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Names the settings file where --config does not. */
+/* Names the settings file if --config is not given. */
 #define SETTINGS_VARIABLE "JASPERTRACK_SETTINGS"
 
 struct options {
@@ -29,7 +29,7 @@
 	       SETTINGS_VARIABLE, DIRECTOR_PROGRAM);
 }
 
-/* EXIT_DONE with *run true when there is something to do. */
+/* Returns EXIT_DONE with *run true if the node should run. */
 static int parse_arguments(int argc, char **argv, struct options *options,
 			   bool *run)
 {
@@ -74,7 +74,7 @@
 	bool run;
 	int result;
 
-	/* Until the handlers stand, these must not end the process. */
+	/* Until the handlers are installed, these must not end the process. */
 	signal(SIGHUP, SIG_IGN);
 	signal(SIGPIPE, SIG_IGN);
 	result = parse_arguments(argc, argv, &options, &run);
--- a/src/store/jt_store.c
+++ b/src/store/jt_store.c
@@ -77,7 +77,7 @@
 	return text;
 }
 
-/* 64-bit numbers stand as strings in the JSON mapping of protocol buffers. */
+/* The JSON mapping of protocol buffers encodes 64-bit numbers as strings. */
 static uint64_t number_of(const json_t *object, const char *field)
 {
 	const json_t *value = json_object_get(object, field);
@@ -109,7 +109,8 @@
 	if (lost) {
 		state->result = JT_STORE_LOST;
 	} else if (status != 200) {
-		/* A gateway's 5xx says nothing about the write behind it. */
+		/* A gateway's 5xx does not show whether the write was
+		 * applied. */
 		state->result = status == 429 || status == 400
 					? JT_STORE_REFUSED
 					: JT_STORE_LOST;
@@ -121,7 +122,7 @@
 	tevent_req_done(req);
 }
 
-/* Takes over @body. */
+/* Takes ownership of @body. */
 static struct tevent_req *call_send(TALLOC_CTX *mem_ctx, struct jt_store *store,
 				    const char *path, json_t *body)
 {
@@ -243,7 +244,7 @@
 	TALLOC_CTX *frame;
 
 	if (type != NULL && strcmp(type, "DELETE") == 0)
-		return; /* a configuration is never unmade */
+		return; /* a configuration is never deleted */
 	frame = talloc_new(state);
 	if (value_from_json(frame, json_object_get(event, "kv"), &value))
 		state->on_change(&value, state->private_data);
--- a/src/store/jt_store.h
+++ b/src/store/jt_store.h
@@ -1,9 +1,6 @@
 /*
  * Client of the platform's key-value service: the etcd v3 API as JSON over
- * HTTP (range, txn, watch).
- *
- * Every call is a tevent_req pair. "Lost" means that no answer came: a write
- * may have taken effect all the same.
+ * HTTP (range, txn, watch). Every call is a tevent_req pair.
  */
 #ifndef JT_STORE_H
 #define JT_STORE_H
@@ -12,15 +9,15 @@
 
 enum jt_store_result {
 	JT_STORE_OK,
-	JT_STORE_FAILED_COMPARE, /* somebody else wrote in between */
-	JT_STORE_REFUSED,	 /* rate limit or error: it did not run */
-	JT_STORE_LOST,		 /* no answer */
+	JT_STORE_FAILED_COMPARE, /* the key was modified concurrently */
+	JT_STORE_REFUSED,	 /* rate limit or error: it was not applied */
+	JT_STORE_LOST,		 /* no answer: a write may have been applied */
 	JT_STORE_BAD_ANSWER,
 };
 
 struct jt_store_value {
 	bool present;
-	char *value; /* NUL-terminated, below the caller's context */
+	char *value; /* NUL-terminated, talloc child of the mem_ctx given */
 	uint64_t mod_revision;
 };
 
@@ -35,15 +32,16 @@
 				       TALLOC_CTX *mem_ctx,
 				       struct jt_store_value *value);
 
-/* Write @value if the key is still at @mod_revision (0: absent). */
+/* Writes @value if the revision of the key is still @mod_revision (0:
+ * absent). */
 struct tevent_req *jt_store_put_send(TALLOC_CTX *mem_ctx,
 				     struct jt_store *store, const char *key,
 				     const char *value, uint64_t mod_revision);
 enum jt_store_result jt_store_put_recv(struct tevent_req *req,
 				       uint64_t *revision);
 
-/* Follow @key; @on_change gets each value. The request ends when the
- * stream does. */
+/* Watches @key; @on_change gets each value. The request ends when the stream
+ * does. */
 struct tevent_req *
 jt_store_watch_send(TALLOC_CTX *mem_ctx, struct jt_store *store,
 		    const char *key, uint64_t start_revision,
@@ -52,7 +50,7 @@
 		    void *private_data);
 void jt_store_watch_recv(struct tevent_req *req);
 
-/* Bytes to and from the service since the start. */
+/* Bytes sent and received since the start. */
 uint64_t jt_store_bytes(const struct jt_store *store);
 uint64_t jt_store_operations(const struct jt_store *store);
 
