--- a/src/director/jt_director_log.c
+++ b/src/director/jt_director_log.c
@@ -8,10 +8,10 @@
 {
 	struct jt_address from = {key->source, key->source_port};
 	struct jt_address to = {key->destination, key->destination_port};
-	char left[JT_ADDRESS_TEXT], right[JT_ADDRESS_TEXT];
+	char source[JT_ADDRESS_TEXT], destination[JT_ADDRESS_TEXT];
 
-	snprintf(text, FLOW_TEXT, "%s>%s", jt_address_format(from, left),
-		 jt_address_format(to, right));
+	snprintf(text, FLOW_TEXT, "%s>%s", jt_address_format(from, source),
+		 jt_address_format(to, destination));
 	return text;
 }
 
@@ -39,8 +39,8 @@
 	}
 }
 
-static bool allowed(const struct jt_log *log, enum jt_log_class class,
-		    uint64_t now_ms)
+static bool is_allowed(const struct jt_log *log, enum jt_log_class class,
+		       uint64_t now_ms)
 {
 	if (log->threshold < LOG_INFO)
 		return false;
@@ -71,7 +71,7 @@
 	char flow[FLOW_TEXT], address[JT_ADDRESS_TEXT];
 
 	if (action->reason == JT_DIRECTOR_LABELLED ||
-	    !allowed(log, reason_class(action->reason), now_ms))
+	    !is_allowed(log, reason_class(action->reason), now_ms))
 		return;
 	if (action->reason == JT_DIRECTOR_OVERLOADED) {
 		log_refusal(log, action);
@@ -100,7 +100,7 @@
 {
 	char flow[FLOW_TEXT];
 
-	if (!allowed(log, JT_LOG_ORDINARY, now_ms))
+	if (!is_allowed(log, JT_LOG_ORDINARY, now_ms))
 		return;
 	jt_log_line(log, LOG_INFO,
 		    "event=request request=%s flow=%s endpoint=%llx "
@@ -119,7 +119,7 @@
 {
 	char flow[FLOW_TEXT];
 
-	if (!allowed(log, JT_LOG_ORDINARY, now_ms))
+	if (!is_allowed(log, JT_LOG_ORDINARY, now_ms))
 		return;
 	jt_log_line(log, LOG_INFO, "event=flow_told flow=%s known=%s label=%x",
 		    flow_format(key, flow), label != 0 ? "yes" : "no", label);
@@ -151,7 +151,7 @@
 
 	/* Rate-limited: many endpoints of a service may change at the same
 	 * time. */
-	if (!allowed(log, JT_LOG_UNUSUAL, now_ms))
+	if (!is_allowed(log, JT_LOG_UNUSUAL, now_ms))
 		return;
 	jt_log_line(log, LOG_NOTICE,
 		    "event=%s endpoint=%llx born_ms=%llu address=%s "
--- a/src/director/jt_director_node.c
+++ b/src/director/jt_director_node.c
@@ -15,29 +15,29 @@
 enum {
 	TICK_MS = 100,
 	/* A tick delayed by at least this is logged. */
-	STOOD_STILL_MS = 200,
+	LATE_TICK_MS = 200,
 	US_PER_MS = 1000,
 	/* A leaving node ends this long before its limit, plus the time that
-	 * its shutdown takes: LEAVE_COST is in milliseconds times thousandths
-	 * of a core. */
+	 * its shutdown takes: LEAVE_CPU_COST is in milliseconds times
+	 * thousandths of a core. */
 	LEAVE_MARGIN_MS = 400,
-	LEAVE_COST = 10 * 1000,
+	LEAVE_CPU_COST = 10 * 1000,
 	/* Grace period of an endpoint whose entry expired, as a part of the
 	 * drain limit. */
-	LAPSED_PERCENT = 60,
+	EXPIRED_GRACE_PERCENT = 60,
 	/* The same if the entry was removed during a store outage. Live
 	 * endpoints have re-registered within RESTORED_GRACE_MS. */
-	RETURNED_PERCENT = 75,
-	RETURNED_MS = 2200,
+	RESTORED_GRACE_PERCENT = 75,
+	RESTORED_GRACE_MS = 2200,
 	/* Store data older than this part of the age limit means a store
 	 * outage. */
-	AWAY_PERCENT = 150,
+	OUTAGE_PERCENT = 150,
 };
 
 /* Readiness and shutdown */
 
 /* Answers a router's readiness check. */
-static bool on_ready_check(void *private_data)
+static bool on_readiness_check(void *private_data)
 {
 	struct jt_director_node *node = private_data;
 
@@ -58,14 +58,15 @@
 static uint64_t leave_limit_ms(const struct jt_director_node *node)
 {
 	uint64_t limit_ms = node->settings->leave_limit_ms;
-	uint64_t margin_ms =
-		LEAVE_MARGIN_MS + LEAVE_COST / node->settings->reader_weight;
+	uint64_t margin_ms = LEAVE_MARGIN_MS +
+			     LEAVE_CPU_COST / node->settings->reader_weight;
 
 	return limit_ms > margin_ms ? limit_ms - margin_ms : 0;
 }
 
-static void leave_log(const struct jt_director_node *node, const char *event,
-		      const struct jt_zone_view *zone, uint64_t now_ms)
+static void leave_stage_log(const struct jt_director_node *node,
+			    const char *event, const struct jt_zone_view *zone,
+			    uint64_t now_ms)
 {
 	jt_log_line(node->log, LOG_NOTICE,
 		    "event=%s after_ms=%llu zone_nodes=%zu serving=%zu "
@@ -79,26 +80,26 @@
 
 /* Returns the state of the zone. With leaving in turn disabled, all its nodes
  * count as serving; with early end disabled, one node counts as removed. */
-static struct jt_zone_view zone_view(const struct jt_director_node *node)
+static struct jt_zone_view zone_state(const struct jt_director_node *node)
 {
 	struct jt_zone_view zone = jt_peer_exchange_zone(node->peers);
-	uint32_t without = node->settings->without;
+	uint32_t disabled = node->settings->without;
 
-	if (!jt_mechanism_on(without, JT_MECHANISM_LEAVE_IN_TURN))
+	if (!jt_mechanism_on(disabled, JT_MECHANISM_LEAVE_IN_TURN))
 		zone.serving = zone.nodes;
-	if (!jt_mechanism_on(without, JT_MECHANISM_EARLY_END))
+	if (!jt_mechanism_on(disabled, JT_MECHANISM_EARLY_END))
 		zone.removed = 1;
 	return zone;
 }
 
-static void watch_leave(struct jt_director_node *node, uint64_t now_ms)
+static void leave_advance(struct jt_director_node *node, uint64_t now_ms)
 {
 	enum jt_leave_stage before = node->leave.stage, stage;
 	struct jt_zone_view zone;
 
 	if (before == JT_LEAVE_STAYS || node->on_left == NULL)
 		return;
-	zone = zone_view(node);
+	zone = zone_state(node);
 	stage = jt_leave_step(&node->leave, &zone, leave_limit_ms(node),
 			      now_ms);
 	if (stage == before)
@@ -106,10 +107,10 @@
 	jt_director_node_watch_ready(node);
 	jt_peer_exchange_tell_all(node->peers);
 	if (stage != JT_LEAVE_ENDS) {
-		leave_log(node, "leave_unready", &zone, now_ms);
+		leave_stage_log(node, "leave_unready", &zone, now_ms);
 		return;
 	}
-	leave_log(node, "left", &zone, now_ms);
+	leave_stage_log(node, "left", &zone, now_ms);
 	node->on_left(node->private_data);
 	node->on_left = NULL;
 }
@@ -126,7 +127,7 @@
 
 /* Logs a delayed tick. The time spent on logging distinguishes a slow disk
  * from a lack of CPU time. */
-static void stood_still_look(struct jt_director_node *node, uint64_t now_ms)
+static void late_tick_log(struct jt_director_node *node, uint64_t now_ms)
 {
 	uint64_t log_ms =
 		node->log->sink != NULL
@@ -135,7 +136,7 @@
 			: 0;
 	uint64_t late_ms = now_ms - node->tick_due_ms;
 
-	if (node->tick_due_ms != 0 && late_ms >= STOOD_STILL_MS) {
+	if (node->tick_due_ms != 0 && late_ms >= LATE_TICK_MS) {
 		node->traffic.stood_still_ms += late_ms;
 		jt_log_line(node->log, LOG_NOTICE,
 			    "event=stood_still late_ms=%llu log_ms=%llu",
@@ -151,7 +152,7 @@
 	struct jt_director_event event = {.kind = JT_DIRECTOR_TICK};
 	uint64_t *peers;
 
-	stood_still_look(node, jt_clock_ms());
+	late_tick_log(node, jt_clock_ms());
 	event.u.tick.peer_count =
 		jt_peer_exchange_ids(node->peers, node, &peers);
 	event.u.tick.peers = peers;
@@ -162,7 +163,7 @@
 	talloc_free(peers);
 	jt_director_node_started_look(node);
 	jt_director_node_reader_look(node, event.now_ms);
-	watch_leave(node, event.now_ms);
+	leave_advance(node, event.now_ms);
 	jt_director_log_flush(node->log, event.now_ms);
 	node->tick_due_ms = event.now_ms + TICK_MS;
 	jt_timer_set(node->tick, TICK_MS);
@@ -192,7 +193,7 @@
 
 /* Retries held packets after the peers that were queried about a flow had
  * time to answer. */
-static void on_lookup_over(void *private_data)
+static void on_lookup_timeout(void *private_data)
 {
 	struct jt_director_node *node = private_data;
 
@@ -263,7 +264,7 @@
 }
 
 /* Returns how long the first listing waits for state from peers. */
-static uint64_t first_wait_ms(struct jt_director_node *node)
+static uint64_t first_listing_delay_ms(struct jt_director_node *node)
 {
 	const struct jt_director_settings *settings = node->settings;
 	bool first_start =
@@ -276,8 +277,8 @@
 				       first_start, is_seed(settings));
 }
 
-static bool start_parts(struct jt_director_node *node, uint64_t seed,
-			char **error)
+static bool components_start(struct jt_director_node *node, uint64_t seed,
+			     char **error)
 {
 	const struct jt_probe_handler probe_handler = {
 		.probed = on_probed,
@@ -303,16 +304,17 @@
 		return false;
 	node->sync = jt_directory_sync_create(
 		node, node->loop, node->client, node->environment->directory,
-		node->settings->store, &watcher, first_wait_ms(node),
+		node->settings->store, &watcher, first_listing_delay_ms(node),
 		node->settings->reader_weight, seed);
 	node->tick = jt_timer_create(node, node->loop, on_tick, node);
-	node->lookup = jt_timer_create(node, node->loop, on_lookup_over, node);
+	node->lookup =
+		jt_timer_create(node, node->loop, on_lookup_timeout, node);
 	if (node->sync == NULL || node->tick == NULL || node->lookup == NULL)
 		return false;
 	node->pages = jt_director_pages_create(
 		node, node->loop, node->log, node->settings, node->director,
-		node->sync, node->peers, &node->traffic, on_ready_check, node,
-		error);
+		node->sync, node->peers, &node->traffic, on_readiness_check,
+		node, error);
 	return node->pages != NULL;
 }
 
@@ -324,7 +326,7 @@
 	struct jt_director_node *node;
 	struct jt_director_options options;
 
-	*error = talloc_strdup(mem_ctx, "memory or descriptors run out");
+	*error = talloc_strdup(mem_ctx, "out of memory or file descriptors");
 	node = talloc_zero(mem_ctx, struct jt_director_node);
 	if (node == NULL)
 		return NULL;
@@ -338,8 +340,9 @@
 	node->private_data = private_data;
 	node->environment = jt_environment_find(settings->environment);
 	if (node->environment == NULL) {
-		*error = talloc_asprintf(mem_ctx, "environment: no '%s' here",
-					 settings->environment);
+		*error = talloc_asprintf(
+			mem_ctx, "environment: '%s' is not in this build",
+			settings->environment);
 		goto fail;
 	}
 	jt_director_options_init(&options);
@@ -352,20 +355,21 @@
 	options.cold_slack = settings->cold_slack;
 	options.admission_floor_permille = settings->admission_floor_permille;
 	options.lapsed_grace_ms =
-		settings->drain_limit_ms / 100 * LAPSED_PERCENT;
+		settings->drain_limit_ms / 100 * EXPIRED_GRACE_PERCENT;
 	options.returned_grace_ms =
-		settings->drain_limit_ms / 100 * RETURNED_PERCENT;
-	if (options.returned_grace_ms > RETURNED_MS)
-		options.returned_grace_ms = RETURNED_MS;
+		settings->drain_limit_ms / 100 * RESTORED_GRACE_PERCENT;
+	if (options.returned_grace_ms > RESTORED_GRACE_MS)
+		options.returned_grace_ms = RESTORED_GRACE_MS;
 	options.store_away_ms =
-		settings->store_age_limit_ms / 100 * AWAY_PERCENT;
+		settings->store_age_limit_ms / 100 * OUTAGE_PERCENT;
 	randombytes_buf(&options.seed, sizeof(options.seed));
 	jt_reader_init(&node->reader, settings->store_age_limit_ms,
 		       options.seed);
 	node->director = jt_director_create(node, &options);
 	node->actions = jt_director_actions_create(node);
 	if (node->director == NULL || node->actions == NULL ||
-	    !open_data(node, error) || !start_parts(node, options.seed, error))
+	    !open_data(node, error) ||
+	    !components_start(node, options.seed, error))
 		goto fail;
 	jt_timer_set(node->tick, 0);
 	return node;
--- a/src/director/jt_director_node_news.c
+++ b/src/director/jt_director_node_news.c
@@ -6,8 +6,8 @@
 
 /* The store */
 
-static void routing_take(struct jt_director_node *node,
-			 struct jt_routing *routing, const char *source)
+static void routing_apply(struct jt_director_node *node,
+			  struct jt_routing *routing, const char *source)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
 
@@ -22,8 +22,8 @@
 	jt_peer_exchange_news(node->peers);
 }
 
-static void endpoint_take(struct jt_director_node *node,
-			  const struct jt_endpoint_entry *entry)
+static void endpoint_apply(struct jt_director_node *node,
+			   const struct jt_endpoint_entry *entry)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ENDPOINT};
 
@@ -33,9 +33,9 @@
 
 /* Applies the removal of an entry (JT_DIRECTOR_GONE), or an entry that can't
  * be parsed. */
-static void gone_take(struct jt_director_node *node,
-		      enum jt_director_event_kind kind,
-		      const struct jt_change *change)
+static void removal_apply(struct jt_director_node *node,
+			  enum jt_director_event_kind kind,
+			  const struct jt_change *change)
 {
 	struct jt_director_event event = {.kind = kind};
 
@@ -45,11 +45,11 @@
 }
 
 /* Reports an invalid item of the store, once for each key and reason. */
-static void invalid_take(struct jt_director_node *node,
-			 const struct jt_change *change)
+static void invalid_item_log(struct jt_director_node *node,
+			     const struct jt_change *change)
 {
 	if (change->endpoint.id != 0)
-		gone_take(node, JT_DIRECTOR_UNREADABLE, change);
+		removal_apply(node, JT_DIRECTOR_UNREADABLE, change);
 	if (jt_refusals_first(&node->refusals, change->key, change->reason))
 		jt_log_line(node->log, LOG_ERR,
 			    "event=entry_refused key=%s field=%s reason=\"%s\"",
@@ -58,9 +58,9 @@
 
 /* Applies zone drains that began or ended. @complete: @drains holds all of
  * them as of @revision. */
-static void zones_take(struct jt_director_node *node,
-		       const struct jt_zone_drain *drains, size_t count,
-		       bool complete, uint64_t revision)
+static void zone_drains_apply(struct jt_director_node *node,
+			      const struct jt_zone_drain *drains, size_t count,
+			      bool complete, uint64_t revision)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ZONE_DRAINS};
 
@@ -77,26 +77,27 @@
 
 	switch (change->kind) {
 	case JT_CHANGE_ROUTING:
-		routing_take(node, change->routing, "store");
+		routing_apply(node, change->routing, "store");
 		break;
 	case JT_CHANGE_ENDPOINT:
-		endpoint_take(node, &change->endpoint);
+		endpoint_apply(node, &change->endpoint);
 		break;
 	case JT_CHANGE_GONE:
-		gone_take(node, JT_DIRECTOR_GONE, change);
+		removal_apply(node, JT_DIRECTOR_GONE, change);
 		break;
 	case JT_CHANGE_ZONE:
-		zones_take(node, &change->zone, 1, false, change->revision);
+		zone_drains_apply(node, &change->zone, 1, false,
+				  change->revision);
 		break;
 	case JT_CHANGE_INVALID:
-		invalid_take(node, change);
+		invalid_item_log(node, change);
 		break;
 	}
 }
 
 /* Applies @event, after which all changes up to its revision are known. */
-static void revision_take(struct jt_director_node *node,
-			  struct jt_director_event *event)
+static void revision_apply(struct jt_director_node *node,
+			   struct jt_director_event *event)
 {
 	uint64_t before = jt_director_revision(node->director);
 	uint64_t revision = event->u.listed.revision;
@@ -112,7 +113,7 @@
 	struct jt_director_event event = {.kind = JT_DIRECTOR_CAUGHT_UP};
 
 	event.u.listed.revision = revision;
-	revision_take(private_data, &event);
+	revision_apply(private_data, &event);
 }
 
 static void on_listing(void *private_data)
@@ -128,13 +129,13 @@
 	struct jt_director_node *node = private_data;
 
 	event.u.listed.revision = revision;
-	revision_take(node, &event);
+	revision_apply(node, &event);
 	jt_log_line(node->log, LOG_NOTICE, "event=store_listed revision=%llu",
 		    (unsigned long long)revision);
 }
 
 /* Some endpoints and all zone drains are known. */
-static void on_partly_told(void *private_data)
+static void on_partial_listing(void *private_data)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PARTLY_TOLD};
 	struct jt_director_node *node = private_data;
@@ -169,7 +170,7 @@
 void jt_director_node_reader_look(struct jt_director_node *node,
 				  uint64_t now_ms)
 {
-	enum jt_reading was = node->reader.reading, reading;
+	enum jt_reading previous = node->reader.reading, reading;
 	uint64_t failures = jt_directory_sync_failures(node->sync);
 	enum jt_reading_turn turn =
 		jt_peer_exchange_reading_turn(node->peers, reader_weight(node));
@@ -185,7 +186,7 @@
 	node->store_failures = failures;
 	reading = jt_reader_decide(&node->reader, turn,
 				   jt_director_started(node->director), now_ms);
-	if (reading == was)
+	if (reading == previous)
 		return;
 	jt_log_line(node->log, LOG_NOTICE,
 		    "event=reading how=%s turn=%d heard_age_ms=%llu "
@@ -196,14 +197,14 @@
 	jt_directory_sync_read(node->sync, reading);
 }
 
-static uint64_t on_known(void *private_data)
+static uint64_t on_revision_query(void *private_data)
 {
 	const struct jt_director_node *node = private_data;
 
 	return jt_director_revision(node->director);
 }
 
-static enum jt_peers_tell on_peers_tell(void *private_data)
+static enum jt_peers_tell on_peer_sync_query(void *private_data)
 {
 	struct jt_director_node *node = private_data;
 
@@ -241,9 +242,9 @@
 				&own->store_reader);
 }
 
-static bool on_knowledge(TALLOC_CTX *mem_ctx,
-			 const struct jt_knowledge_need *need,
-			 jt_wire_knowledge *knowledge, void *private_data)
+static bool on_snapshot_query(TALLOC_CTX *mem_ctx,
+			      const struct jt_knowledge_need *need,
+			      jt_wire_knowledge *knowledge, void *private_data)
 {
 	const struct jt_director_node *node = private_data;
 
@@ -251,8 +252,8 @@
 				  knowledge);
 }
 
-static void entries_take(struct jt_director_node *node,
-			 const jt_wire_entry *entries, size_t count)
+static void entries_apply(struct jt_director_node *node,
+			  const jt_wire_entry *entries, size_t count)
 {
 	for (size_t i = 0; i < count; i++) {
 		struct jt_director_event event;
@@ -263,21 +264,21 @@
 }
 
 /* Applies the zone drains in a peer's message. */
-static void wire_zones_take(struct jt_director_node *node,
-			    const jt_wire_zone_drain *wire, size_t count,
-			    bool complete, uint64_t revision)
+static void wire_zone_drains_apply(struct jt_director_node *node,
+				   const jt_wire_zone_drain *wire, size_t count,
+				   bool complete, uint64_t revision)
 {
 	struct jt_zone_drain *drains = jt_knowledge_zones(node, wire, count);
 
 	if (drains != NULL)
-		zones_take(node, drains, count, complete, revision);
+		zone_drains_apply(node, drains, count, complete, revision);
 	talloc_free(drains);
 }
 
 /* Applies whole slices: endpoints of a slice that are not in it do not exist.
  */
-static void slices_take(struct jt_director_node *node,
-			const jt_wire_knowledge *knowledge)
+static void slices_apply(struct jt_director_node *node,
+			 const jt_wire_knowledge *knowledge)
 {
 	TALLOC_CTX *frame = talloc_new(node);
 	struct jt_director_event event;
@@ -289,31 +290,33 @@
 
 /* Applies a part of a peer's state snapshot: routing, endpoints and all zone
  * drains. */
-static void on_learned(const jt_wire_knowledge *knowledge, void *private_data)
+static void on_snapshot_part(const jt_wire_knowledge *knowledge,
+			     void *private_data)
 {
 	struct jt_director_node *node = private_data;
 	struct jt_routing *routing =
 		jt_knowledge_routing(node, &knowledge->routing);
 
 	if (routing != NULL)
-		routing_take(node, routing, "peer");
+		routing_apply(node, routing, "peer");
 	if (routing != NULL && jt_director_routing(node->director) != routing)
 		talloc_free(routing);
-	entries_take(node, knowledge->entries.entries_val,
-		     knowledge->entries.entries_len);
-	slices_take(node, knowledge);
-	wire_zones_take(node, knowledge->zones.zones_val,
-			knowledge->zones.zones_len, true, knowledge->revision);
-	on_partly_told(node);
+	entries_apply(node, knowledge->entries.entries_val,
+		      knowledge->entries.entries_len);
+	slices_apply(node, knowledge);
+	wire_zone_drains_apply(node, knowledge->zones.zones_val,
+			       knowledge->zones.zones_len, true,
+			       knowledge->revision);
+	on_partial_listing(node);
 }
 
 /*
- * Completes a snapshot. It includes removals, except those made while this
- * node was receiving it. The peers' last read of the store counts for this
- * node, too.
+ * Completes a snapshot. Changes up to its revision are known, removals
+ * included, except for the gap and the forgotten changes in the event. The
+ * peers' last read of the store counts as one of this node.
  */
-static void on_learned_all(const struct jt_knowledge_fetch *whole,
-			   void *private_data)
+static void on_snapshot_complete(const struct jt_knowledge_fetch *snapshot,
+				 void *private_data)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_INFORMED};
 	struct jt_director_node *node = private_data;
@@ -321,21 +324,22 @@
 	jt_log_line(node->log, LOG_NOTICE,
 		    "event=knowledge_learned since=%llu revision=%llu "
 		    "learning_ms=%u",
-		    (unsigned long long)whole->since,
-		    (unsigned long long)whole->revision, whole->learning_ms);
-	event.u.listed.revision = whole->revision;
-	event.u.listed.learning_ms = whole->learning_ms;
-	event.u.listed.gap = whole->gap;
-	event.u.listed.forgotten = whole->forgotten;
-	revision_take(node, &event);
-	if (whole->store_reader != jt_peer_exchange_id(node->peers) &&
-	    whole->store_as_of_ms > 0)
-		jt_reader_heard(&node->reader, whole->store_as_of_ms,
-				whole->store_reader);
-	jt_directory_sync_informed(node->sync, whole->revision);
-}
-
-static void on_news(const jt_wire_news *news, void *private_data)
+		    (unsigned long long)snapshot->since,
+		    (unsigned long long)snapshot->revision,
+		    snapshot->learning_ms);
+	event.u.listed.revision = snapshot->revision;
+	event.u.listed.learning_ms = snapshot->learning_ms;
+	event.u.listed.gap = snapshot->gap;
+	event.u.listed.forgotten = snapshot->forgotten;
+	revision_apply(node, &event);
+	if (snapshot->store_reader != jt_peer_exchange_id(node->peers) &&
+	    snapshot->store_as_of_ms > 0)
+		jt_reader_heard(&node->reader, snapshot->store_as_of_ms,
+				snapshot->store_reader);
+	jt_directory_sync_informed(node->sync, snapshot->revision);
+}
+
+static void on_updates(const jt_wire_news *news, void *private_data)
 {
 	struct jt_director_node *node = private_data;
 	struct jt_director_event event = {.kind = JT_DIRECTOR_NEWS};
@@ -343,10 +347,11 @@
 
 	if (!jt_director_started(node->director))
 		return;
-	entries_take(node, news->entries.entries_val,
-		     news->entries.entries_len);
-	wire_zones_take(node, news->zones.zones_val, news->zones.zones_len,
-			false, news->digest.revision);
+	entries_apply(node, news->entries.entries_val,
+		      news->entries.entries_len);
+	wire_zone_drains_apply(node, news->zones.zones_val,
+			       news->zones.zones_len, false,
+			       news->digest.revision);
 	event.u.news.since = news->since;
 	event.u.news.revision = news->digest.revision;
 	event.u.news.routing_version = news->digest.routing_version;
@@ -357,24 +362,23 @@
 	jt_director_node_started_look(node);
 }
 
-static void on_store_heard(uint64_t as_of_ms, uint64_t reader,
-			   void *private_data)
+static void on_store_age(uint64_t as_of_ms, uint64_t reader, void *private_data)
 {
 	struct jt_director_node *node = private_data;
 
 	jt_reader_told(&node->reader, as_of_ms, reader, jt_clock_ms());
 }
 
-static size_t on_own_loads(struct jt_endpoint_load loads[JT_LOAD_LIMIT],
-			   void *private_data)
+static size_t on_load_query(struct jt_endpoint_load loads[JT_LOAD_LIMIT],
+			    void *private_data)
 {
 	struct jt_director_node *node = private_data;
 
 	return jt_director_loads(node->director, jt_clock_ms(), loads);
 }
 
-static void on_loads(uint64_t peer, const struct jt_endpoint_load *loads,
-		     size_t count, void *private_data)
+static void on_peer_loads(uint64_t peer, const struct jt_endpoint_load *loads,
+			  size_t count, void *private_data)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_LOADS};
 
@@ -402,8 +406,8 @@
 		    overdue ? "overdue" : "dead");
 }
 
-static void on_failures(const struct jt_endpoint_failure *failures,
-			size_t count, void *private_data)
+static void on_peer_failures(const struct jt_endpoint_failure *failures,
+			     size_t count, void *private_data)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_FAILURES_TOLD};
 
@@ -412,16 +416,16 @@
 	jt_director_node_event(private_data, &event);
 }
 
-static uint32_t on_flow_question(const struct jt_flow_key *key,
-				 uint32_t sequence, void *private_data)
+static uint32_t on_flow_query(const struct jt_flow_key *key, uint32_t sequence,
+			      void *private_data)
 {
 	const struct jt_director_node *node = private_data;
 
 	return jt_director_flow_label(node->director, key, sequence);
 }
 
-static void on_flow_told(const struct jt_flow_key *key, uint32_t sequence,
-			 uint32_t label, void *private_data)
+static void on_flow_answer(const struct jt_flow_key *key, uint32_t sequence,
+			   uint32_t label, void *private_data)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_FLOW_TOLD};
 	struct jt_director_node *node = private_data;
@@ -442,28 +446,28 @@
 		.changed = on_change,
 		.caught_up = on_caught_up,
 		.listing = on_listing,
-		.partly_told = on_partly_told,
+		.partly_told = on_partial_listing,
 		.listed = on_listed,
-		.known = on_known,
-		.peers_tell = on_peers_tell,
+		.known = on_revision_query,
+		.peers_tell = on_peer_sync_query,
 		.reachable = on_reachable,
 		.private_data = node,
 	};
 	*handler = (struct jt_peer_handler){
 		.own_state = on_own_state,
-		.knowledge = on_knowledge,
-		.learned = on_learned,
-		.learned_all = on_learned_all,
-		.news = on_news,
-		.store_heard = on_store_heard,
+		.knowledge = on_snapshot_query,
+		.learned = on_snapshot_part,
+		.learned_all = on_snapshot_complete,
+		.news = on_updates,
+		.store_heard = on_store_age,
 		.suspicion = on_suspicion,
-		.own_loads = on_own_loads,
-		.loads = on_loads,
-		.failures = on_failures,
+		.own_loads = on_load_query,
+		.loads = on_peer_loads,
+		.failures = on_peer_failures,
 		.flows =
 			{
-				.label = on_flow_question,
-				.told = on_flow_told,
+				.label = on_flow_query,
+				.told = on_flow_answer,
 				.private_data = node,
 			},
 		.private_data = node,
--- a/src/director/jt_director_node_packets.c
+++ b/src/director/jt_director_node_packets.c
@@ -31,8 +31,8 @@
 
 /* Copies the id of the request that begins in the current packet; "" if there
  * is none. */
-static void packet_request(const struct jt_director_node *node,
-			   char request[JT_REQUEST_ID_SIZE])
+static void packet_request_id(const struct jt_director_node *node,
+			      char request[JT_REQUEST_ID_SIZE])
 {
 	request[0] = '\0';
 	node->environment->codec->request(node->buffer + JT_HEADROOM_MAX,
@@ -45,7 +45,7 @@
 {
 	char request[JT_REQUEST_ID_SIZE];
 
-	packet_request(node, request);
+	packet_request_id(node, request);
 	if (request[0] != '\0')
 		jt_director_log_request(node->log, action, request,
 					node->event_ms);
@@ -55,11 +55,11 @@
 			const struct jt_director_action *action)
 {
 	uint8_t *packet = node->buffer + JT_HEADROOM_MAX;
-	size_t before = node->environment->codec->wrap(
+	size_t prefix_length = node->environment->codec->wrap(
 		packet, action->endpoint_id, action->label);
 
-	datagram_send(node, action->address, packet - before,
-		      node->packet_length + before);
+	datagram_send(node, action->address, packet - prefix_length,
+		      node->packet_length + prefix_length);
 	node->traffic.forwarded++;
 	log_request(node, action);
 }
@@ -115,14 +115,14 @@
 
 	/* A reset may concern another flow than the current packet. */
 	if (action->kind != JT_DIRECTOR_RESET)
-		packet_request(node, request);
+		packet_request_id(node, request);
 	jt_director_log_flow(node->log, action, request, node->event_ms);
 }
 
 /* Returns true if the decision is logged. Packets that follow their label are
  * not, and a held packet is logged only once. */
-static bool is_told(const struct jt_director_node *node,
-		    const struct jt_director_action *action)
+static bool is_logged(const struct jt_director_node *node,
+		      const struct jt_director_action *action)
 {
 	if (action->kind == JT_DIRECTOR_HOLD)
 		return node->held_since_ms == 0;
@@ -142,8 +142,8 @@
 
 /* Queries peers about a flow. A running timer is not restarted, so that
  * repeated queries don't delay the retry of held packets. */
-static void act_flow_ask(struct jt_director_node *node,
-			 const struct jt_director_action *action)
+static void act_flow_query(struct jt_director_node *node,
+			   const struct jt_director_action *action)
 {
 	size_t peers = jt_peer_exchange_ask_flow(node->peers, &action->key,
 						 action->first_sequence);
@@ -166,7 +166,7 @@
 	case JT_DIRECTOR_RESET:
 	case JT_DIRECTOR_HOLD:
 	case JT_DIRECTOR_DROP:
-		if (is_told(node, action))
+		if (is_logged(node, action))
 			log_flow(node, action);
 		break;
 	default:
@@ -234,7 +234,7 @@
 		act_hold(node);
 		break;
 	case JT_DIRECTOR_FLOW_ASK:
-		act_flow_ask(node, action);
+		act_flow_query(node, action);
 		break;
 	case JT_DIRECTOR_DROP:
 		break;
@@ -263,7 +263,7 @@
 	return held_ms > 0 ? (uint32_t)held_ms : 1;
 }
 
-static void packet_take(struct jt_director_node *node, size_t length)
+static void packet_handle(struct jt_director_node *node, size_t length)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PACKET};
 
@@ -282,12 +282,12 @@
 }
 
 /* Retries a held packet. If it is held again, it keeps its original time. */
-static void held_offer(struct jt_director_node *node,
-		       const struct held_packet *held)
+static void held_packet_retry(struct jt_director_node *node,
+			      const struct held_packet *held)
 {
 	memcpy(node->buffer + JT_HEADROOM_MAX, held->data, held->length);
 	node->held_since_ms = held->since_ms;
-	packet_take(node, held->length);
+	packet_handle(node, held->length);
 	node->held_since_ms = 0;
 }
 
@@ -303,7 +303,7 @@
 
 		STAILQ_REMOVE_HEAD(&node->held, next);
 		node->held_count--;
-		held_offer(node, held);
+		held_packet_retry(node, held);
 		talloc_free(held);
 	}
 }
@@ -325,7 +325,7 @@
 		if (length < 0)
 			return;
 		node->traffic.received++;
-		packet_take(node, (size_t)length);
+		packet_handle(node, (size_t)length);
 	}
 }
 
--- a/src/director/jt_director_pages.c
+++ b/src/director/jt_director_pages.c
@@ -62,12 +62,12 @@
 					     name, type);
 }
 
-static char *add_label(char *text, const char *name, const char *label,
-		       const char *of, uint64_t value)
+static char *add_labelled_value(char *text, const char *name, const char *label,
+				const char *label_value, uint64_t value)
 {
 	return talloc_asprintf_append_buffer(
-		text, "jaspertrack_%s{%s=\"%s\"} %llu\n", name, label, of,
-		(unsigned long long)value);
+		text, "jaspertrack_%s{%s=\"%s\"} %llu\n", name, label,
+		label_value, (unsigned long long)value);
 }
 
 static char *add_traffic(char *text, const struct jt_director_traffic *traffic)
@@ -95,13 +95,14 @@
 
 	text = add_type(text, "decisions_total", "counter");
 	for (int i = 0; i < JT_DIRECTOR_REASONS; i++)
-		text = add_label(text, "decisions_total", "reason",
-				 jt_director_reason_name(i),
-				 counters->by_reason[i]);
+		text = add_labelled_value(text, "decisions_total", "reason",
+					  jt_director_reason_name(i),
+					  counters->by_reason[i]);
 	text = add_type(text, "endpoint_deaths_total", "counter");
 	for (int i = JT_DEATH_REFUSED; i < JT_DEATH_CAUSES; i++)
-		text = add_label(text, "endpoint_deaths_total", "cause",
-				 jt_death_cause_name(i), counters->deaths[i]);
+		text = add_labelled_value(text, "endpoint_deaths_total",
+					  "cause", jt_death_cause_name(i),
+					  counters->deaths[i]);
 	text = add_metric(text, "endpoints_revived_total", "counter",
 			  counters->revived);
 	text = add_metric(text, "endpoints_restarted_total", "counter",
@@ -165,8 +166,8 @@
 
 			snprintf(service, sizeof(service), "%x",
 				 view.service_id);
-			text = add_label(text, name, "service", service,
-					 values[k]);
+			text = add_labelled_value(text, name, "service",
+						  service, values[k]);
 		}
 	}
 	text = add_type(text, "service_first_packets_total", "counter");
@@ -191,14 +192,15 @@
 
 	text = add_type(text, "request_ms", "histogram");
 	for (size_t i = 0; i < buckets; i++) {
-		uint64_t most_ms;
-		uint64_t count = jt_latency_up_to(latency, i, &most_ms);
+		uint64_t upper_ms;
+		uint64_t count = jt_latency_up_to(latency, i, &upper_ms);
 		char bound[24] = "+Inf";
 
-		if (most_ms != 0)
+		if (upper_ms != 0)
 			snprintf(bound, sizeof(bound), "%llu",
-				 (unsigned long long)most_ms);
-		text = add_label(text, "request_ms_bucket", "le", bound, count);
+				 (unsigned long long)upper_ms);
+		text = add_labelled_value(text, "request_ms_bucket", "le",
+					  bound, count);
 	}
 	return talloc_asprintf_append_buffer(
 		text,
@@ -207,8 +209,8 @@
 		latency->sum_ms, (unsigned long long)latency->count);
 }
 
-static char *add_beliefs(char *text, const struct jt_director *director,
-			 const struct jt_directory_sync *sync)
+static char *add_state(char *text, const struct jt_director *director,
+		       const struct jt_directory_sync *sync)
 {
 	const struct jt_routing *routing = jt_director_routing(director);
 
@@ -224,9 +226,10 @@
 			  jt_director_reduced_count(director, jt_clock_ms()));
 	text = add_type(text, "endpoints", "gauge");
 	for (int i = JT_INCARNATION_READY; i <= JT_INCARNATION_DEAD; i++)
-		text = add_label(text, "endpoints", "state",
-				 jt_incarnation_state_name(i),
-				 jt_director_endpoint_count(director, i));
+		text = add_labelled_value(
+			text, "endpoints", "state",
+			jt_incarnation_state_name(i),
+			jt_director_endpoint_count(director, i));
 	return text;
 }
 
@@ -240,8 +243,8 @@
 	text = add_type(text, "zone_drained_ms", "gauge");
 	while ((drain = jt_director_zone_drain_at(director, index++,
 						  &since_ms)) != NULL)
-		text = add_label(text, "zone_drained_ms", "zone", drain->zone,
-				 now_ms - since_ms);
+		text = add_labelled_value(text, "zone_drained_ms", "zone",
+					  drain->zone, now_ms - since_ms);
 	return text;
 }
 
@@ -252,16 +255,19 @@
 
 	text = add_type(text, "store_lists_total", "counter");
 	for (int i = 0; i < JT_KV_STATUSES; i++)
-		text = add_label(text, "store_lists_total", "status",
-				 jt_kv_status_name(i), counters->lists[i]);
+		text = add_labelled_value(text, "store_lists_total", "status",
+					  jt_kv_status_name(i),
+					  counters->lists[i]);
 	text = add_type(text, "store_watches_total", "counter");
 	for (int i = 0; i < JT_KV_STATUSES; i++)
-		text = add_label(text, "store_watches_total", "status",
-				 jt_kv_status_name(i), counters->watches[i]);
+		text = add_labelled_value(text, "store_watches_total", "status",
+					  jt_kv_status_name(i),
+					  counters->watches[i]);
 	text = add_type(text, "store_checks_total", "counter");
 	for (int i = 0; i < JT_KV_STATUSES; i++)
-		text = add_label(text, "store_checks_total", "status",
-				 jt_kv_status_name(i), counters->checks[i]);
+		text = add_labelled_value(text, "store_checks_total", "status",
+					  jt_kv_status_name(i),
+					  counters->checks[i]);
 	text = add_metric(text, "store_watches_given_up_total", "counter",
 			  counters->watches_given_up);
 	return add_metric(text, "store_items_invalid_total", "counter",
@@ -269,21 +275,24 @@
 }
 
 /* Adds messages and bytes exchanged with peers, by kind of message. */
-static char *add_messages(char *text, const char *way,
+static char *add_messages(char *text, const char *direction,
 			  const struct jt_message_count *counts)
 {
 	char messages[48], bytes[48];
 
-	snprintf(messages, sizeof(messages), "peer_messages_%s_total", way);
-	snprintf(bytes, sizeof(bytes), "peer_bytes_%s_total", way);
+	snprintf(messages, sizeof(messages), "peer_messages_%s_total",
+		 direction);
+	snprintf(bytes, sizeof(bytes), "peer_bytes_%s_total", direction);
 	text = add_type(text, messages, "counter");
 	for (int i = JT_WIRE_DIGEST; i < JT_MESSAGE_KINDS; i++)
-		text = add_label(text, messages, "kind",
-				 jt_message_kind_name(i), counts[i].messages);
+		text = add_labelled_value(text, messages, "kind",
+					  jt_message_kind_name(i),
+					  counts[i].messages);
 	text = add_type(text, bytes, "counter");
 	for (int i = JT_WIRE_DIGEST; i < JT_MESSAGE_KINDS; i++)
-		text = add_label(text, bytes, "kind", jt_message_kind_name(i),
-				 counts[i].bytes);
+		text = add_labelled_value(text, bytes, "kind",
+					  jt_message_kind_name(i),
+					  counts[i].bytes);
 	return text;
 }
 
@@ -305,8 +314,9 @@
 			  counters->fetches_refused);
 	text = add_type(text, "peer_frames_rejected_total", "counter");
 	for (int i = JT_CODEC_SHORT; i <= JT_CODEC_SIZE; i++)
-		text = add_label(text, "peer_frames_rejected_total", "reason",
-				 jt_codec_error_name(i), counters->rejected[i]);
+		text = add_labelled_value(text, "peer_frames_rejected_total",
+					  "reason", jt_codec_error_name(i),
+					  counters->rejected[i]);
 	return text;
 }
 
@@ -320,10 +330,12 @@
 	text = add_metric(text, "log_lines_total", "counter",
 			  counters->written);
 	text = add_type(text, "log_lines_left_out_total", "counter");
-	text = add_label(text, "log_lines_left_out_total", "class", "unusual",
-			 counters->left_out[JT_LOG_UNUSUAL]);
-	text = add_label(text, "log_lines_left_out_total", "class", "ordinary",
-			 counters->left_out[JT_LOG_ORDINARY]);
+	text = add_labelled_value(text, "log_lines_left_out_total", "class",
+				  "unusual",
+				  counters->left_out[JT_LOG_UNUSUAL]);
+	text = add_labelled_value(text, "log_lines_left_out_total", "class",
+				  "ordinary",
+				  counters->left_out[JT_LOG_ORDINARY]);
 	text = add_metric(text, "log_write_us_total", "counter",
 			  counters->write_us);
 	return add_metric(text, "log_lines_lost_total", "counter",
@@ -343,7 +355,7 @@
 	text = add_decisions(text, director);
 	text = add_admission(text, jt_director_admission(director));
 	text = add_latency(text, jt_director_latency(director));
-	text = add_beliefs(text, director, sync);
+	text = add_state(text, director, sync);
 	text = add_zone_drains(text, director);
 	text = add_store_calls(text, sync);
 	text = add_peers(text, peers);
--- a/src/director/jt_directory_sync.c
+++ b/src/director/jt_directory_sync.c
@@ -9,7 +9,7 @@
 	/* Time that a watch may exceed its requested wait. */
 	WATCH_SLACK_MS = 500,
 	/* Consecutive failures after which the store counts as unreachable. */
-	FAILURES_LOST = 2,
+	UNREACHABLE_FAILURES = 2,
 	/* While a watch is open, a short call checks that the store answers. */
 	CHECK_MS = 500,
 	CHECK_TIMEOUT_MS = 800,
@@ -18,13 +18,13 @@
 	PAGE_CHECK_TIMEOUT_MS = 400,
 	/* A first page later than this means that many nodes request one, or
 	 * that the store is slow. */
-	FIRST_PAGE_MS = 150,
+	FIRST_PAGE_LATE_MS = 150,
 	/* A node that relies on peers checks whether the store is reachable
 	 * again. */
-	LOST_CHECK_MS = 2500,
+	OUTAGE_CHECK_MS = 2500,
 	/* Before the first listing, while a peer may send a snapshot. */
-	PEER_TELLS_MS = 20,
-	PEERS_KEEP_MS = 300,
+	PEER_SYNC_RETRY_MS = 20,
+	PEER_SYNC_WAIT_MS = 300,
 };
 
 struct jt_directory_sync {
@@ -40,36 +40,37 @@
 	struct tevent_req *check; /* the pending check */
 	uint64_t watch_ms;	  /* when the pending watch began */
 	bool watching;		  /* the pending call is a watch */
-	bool asking;		  /* the pending check is the follower's step */
-	bool first_page_due;	  /* the check timer waits for a first page */
-	uint64_t peers_until_ms;  /* latest time at which a pending peer request
-				     delays the first listing */
-	uint64_t asked_ms;	  /* when the pending page was requested */
-	char *page_key;		  /* last key of the previous page */
-	bool lost;
+	bool polling;		  /* the pending check is the follower's step */
+	bool first_page_pending;  /* the check timer waits for a first page */
+	uint64_t peer_wait_until_ms; /* end of the wait for peers before the
+				    first listing */
+	uint64_t page_sent_ms;	     /* when the pending page was requested */
+	char *page_key;		     /* last key of the previous page */
+	bool is_unreachable;
 	struct jt_directory_counters counters;
 };
 
 static void sync_step(struct jt_directory_sync *sync);
 
-static void on_due(void *private_data)
+static void on_step_due(void *private_data)
 {
 	sync_step(private_data);
 }
 
-static void watch_store(struct jt_directory_sync *sync,
-			enum jt_kv_status status)
+static void reachability_update(struct jt_directory_sync *sync,
+				enum jt_kv_status status)
 {
-	bool lost = sync->follower.failures >= FAILURES_LOST;
+	bool is_unreachable = sync->follower.failures >= UNREACHABLE_FAILURES;
 
-	if (lost == sync->lost)
+	if (is_unreachable == sync->is_unreachable)
 		return;
-	sync->lost = lost;
-	sync->watcher.reachable(!lost, status, sync->watcher.private_data);
+	sync->is_unreachable = is_unreachable;
+	sync->watcher.reachable(!is_unreachable, status,
+				sync->watcher.private_data);
 }
 
-static void hand_over(struct jt_directory_sync *sync,
-		      const struct jt_kv_answer *answer)
+static void changes_report(struct jt_directory_sync *sync,
+			   const struct jt_kv_answer *answer)
 {
 	for (size_t i = 0; i < answer->change_count; i++) {
 		if (answer->changes[i].kind == JT_CHANGE_INVALID)
@@ -80,8 +81,8 @@
 }
 
 /* Reports the newest revision of a watch, whose changes come in order. */
-static void tell_caught_up(struct jt_directory_sync *sync,
-			   const struct jt_kv_answer *answer)
+static void caught_up_report(struct jt_directory_sync *sync,
+			     const struct jt_kv_answer *answer)
 {
 	uint64_t newest = 0;
 
@@ -100,17 +101,17 @@
 
 	TALLOC_FREE(sync->call);
 	sync->watching = false;
-	sync->first_page_due = false;
+	sync->first_page_pending = false;
 	return answer;
 }
 
-static void calls_end(struct jt_directory_sync *sync)
+static void calls_cancel(struct jt_directory_sync *sync)
 {
 	TALLOC_FREE(sync->call);
 	TALLOC_FREE(sync->check);
 	sync->watching = false;
-	sync->asking = false;
-	sync->first_page_due = false;
+	sync->polling = false;
+	sync->first_page_pending = false;
 	jt_timer_stop(sync->check_timer);
 }
 
@@ -125,10 +126,10 @@
 	if (answer == NULL)
 		return;
 	sync->counters.lists[answer->status]++;
-	hand_over(sync, answer);
+	changes_report(sync, answer);
 	complete = jt_follower_page(&sync->follower, answer->status,
 				    answer->revision, answer->more,
-				    now_ms - sync->asked_ms, now_ms);
+				    now_ms - sync->page_sent_ms, now_ms);
 	if (answer->status == JT_KV_OK)
 		TALLOC_FREE(sync->page_key);
 	if (answer->status == JT_KV_OK && answer->more)
@@ -138,7 +139,7 @@
 	if (complete)
 		sync->watcher.listed(sync->follower.listing,
 				     sync->watcher.private_data);
-	watch_store(sync, answer->status);
+	reachability_update(sync, answer->status);
 	talloc_free(answer);
 	sync_step(sync);
 }
@@ -152,11 +153,11 @@
 	if (answer == NULL)
 		return;
 	sync->counters.watches[answer->status]++;
-	hand_over(sync, answer);
-	tell_caught_up(sync, answer);
+	changes_report(sync, answer);
+	caught_up_report(sync, answer);
 	jt_follower_watched(&sync->follower, answer->status, answer->revision,
 			    answer->change_count > 0, jt_clock_ms());
-	watch_store(sync, answer->status);
+	reachability_update(sync, answer->status);
 	talloc_free(answer);
 	sync_step(sync);
 }
@@ -164,30 +165,30 @@
 /* Checks */
 
 /* Ends the open watch as failed, with @status. */
-static void watch_give_up(struct jt_directory_sync *sync,
+static void watch_abandon(struct jt_directory_sync *sync,
 			  enum jt_kv_status status)
 {
 	TALLOC_FREE(sync->call);
 	sync->watching = false;
 	sync->counters.watches_given_up++;
 	jt_follower_watched(&sync->follower, status, 0, false, jt_clock_ms());
-	watch_store(sync, status);
+	reachability_update(sync, status);
 	sync_step(sync);
 }
 
 /* Handles a check by a node that relies on peers. */
-static void check_take_idle(struct jt_directory_sync *sync,
-			    enum jt_kv_status status)
+static void idle_check_apply(struct jt_directory_sync *sync,
+			     enum jt_kv_status status)
 {
 	if (status == JT_KV_OK)
 		sync->follower.failures = 0;
-	watch_store(sync, status);
+	reachability_update(sync, status);
 }
 
 static void list_start(struct jt_directory_sync *sync);
 
-static void page_checked(struct jt_directory_sync *sync,
-			 enum jt_kv_status status)
+static void page_check_apply(struct jt_directory_sync *sync,
+			     enum jt_kv_status status)
 {
 	if (!jt_follower_page_checked(&sync->follower, status))
 		return;
@@ -196,14 +197,14 @@
 }
 
 /* Handles a check that was the follower's step. */
-static void asked_take(struct jt_directory_sync *sync, enum jt_kv_status status,
-		       uint64_t at)
+static void poll_apply(struct jt_directory_sync *sync, enum jt_kv_status status,
+		       uint64_t revision)
 {
-	sync->asking = false;
-	jt_follower_asked(&sync->follower, status, at,
+	sync->polling = false;
+	jt_follower_asked(&sync->follower, status, revision,
 			  sync->watcher.known(sync->watcher.private_data),
 			  jt_clock_ms());
-	watch_store(sync, status);
+	reachability_update(sync, status);
 	sync_step(sync);
 }
 
@@ -213,48 +214,48 @@
 		tevent_req_callback_data(req, struct jt_directory_sync);
 	struct jt_kv_answer *answer = sync->directory->recv(req, sync);
 	enum jt_kv_status status;
-	uint64_t at;
+	uint64_t revision;
 
 	TALLOC_FREE(sync->check);
 	if (answer == NULL)
 		return;
 	status = answer->status;
-	at = answer->revision;
+	revision = answer->revision;
 	talloc_free(answer);
 	sync->counters.checks[status]++;
-	if (sync->asking)
-		asked_take(sync, status, at);
+	if (sync->polling)
+		poll_apply(sync, status, revision);
 	else if (sync->follower.reading == JT_READING_NOT)
-		check_take_idle(sync, status);
+		idle_check_apply(sync, status);
 	else if (sync->call != NULL && !sync->watching)
-		page_checked(sync, status);
+		page_check_apply(sync, status);
 	else if (sync->watching &&
-		 jt_follower_checked(&sync->follower, status, at,
+		 jt_follower_checked(&sync->follower, status, revision,
 				     sync->watch_ms, jt_clock_ms()))
-		watch_give_up(sync, status == JT_KV_OK ? JT_KV_LOST : status);
+		watch_abandon(sync, status == JT_KV_OK ? JT_KV_LOST : status);
 }
 
 static void check_start(struct jt_directory_sync *sync)
 {
-	bool beside_page = sync->call != NULL && !sync->watching;
+	bool page_pending = sync->call != NULL && !sync->watching;
 
 	sync->check = sync->directory->check_send(
 		sync, sync->client, sync->store,
-		beside_page ? PAGE_CHECK_TIMEOUT_MS : CHECK_TIMEOUT_MS);
+		page_pending ? PAGE_CHECK_TIMEOUT_MS : CHECK_TIMEOUT_MS);
 	if (sync->check != NULL)
 		tevent_req_set_callback(sync->check, on_checked, sync);
 }
 
 /* Handles a first page that is late. */
-static void first_page_late(struct jt_directory_sync *sync)
+static void on_first_page_late(struct jt_directory_sync *sync)
 {
-	sync->first_page_due = false;
+	sync->first_page_pending = false;
 	if (sync->call == NULL || sync->watching)
 		return;
-	jt_timer_set(sync->check_timer, PAGE_CHECK_MS - FIRST_PAGE_MS);
+	jt_timer_set(sync->check_timer, PAGE_CHECK_MS - FIRST_PAGE_LATE_MS);
 	if (!jt_follower_gives_way(&sync->follower, jt_clock_ms()))
 		return;
-	calls_end(sync);
+	calls_cancel(sync);
 	sync_step(sync);
 }
 
@@ -262,15 +263,16 @@
 {
 	struct jt_directory_sync *sync = private_data;
 
-	if (sync->first_page_due) {
-		first_page_late(sync);
+	if (sync->first_page_pending) {
+		on_first_page_late(sync);
 		return;
 	}
 	if (sync->call != NULL) {
 		jt_timer_set(sync->check_timer,
 			     sync->watching ? CHECK_MS : PAGE_CHECK_MS);
-	} else if (sync->follower.reading == JT_READING_NOT && sync->lost) {
-		jt_timer_set(sync->check_timer, LOST_CHECK_MS);
+	} else if (sync->follower.reading == JT_READING_NOT &&
+		   sync->is_unreachable) {
+		jt_timer_set(sync->check_timer, OUTAGE_CHECK_MS);
 	} else {
 		return;
 	}
@@ -280,12 +282,13 @@
 
 static void list_start(struct jt_directory_sync *sync)
 {
-	sync->first_page_due = !sync->follower.paging;
-	if (sync->first_page_due)
+	sync->first_page_pending = !sync->follower.paging;
+	if (sync->first_page_pending)
 		sync->watcher.listing(sync->watcher.private_data);
-	sync->asked_ms = jt_clock_ms();
-	jt_timer_set(sync->check_timer,
-		     sync->first_page_due ? FIRST_PAGE_MS : PAGE_CHECK_MS);
+	sync->page_sent_ms = jt_clock_ms();
+	jt_timer_set(sync->check_timer, sync->first_page_pending
+						? FIRST_PAGE_LATE_MS
+						: PAGE_CHECK_MS);
 	sync->call =
 		sync->directory->list_send(sync, sync->client, sync->store,
 					   sync->page_key, LIST_TIMEOUT_MS);
@@ -311,11 +314,11 @@
 }
 
 /* Returns true if peers may provide the state sooner than a listing. */
-static bool list_can_wait(const struct jt_directory_sync *sync, uint64_t now_ms)
+static bool list_may_wait(const struct jt_directory_sync *sync, uint64_t now_ms)
 {
 	switch (sync->watcher.peers_tell(sync->watcher.private_data)) {
 	case JT_PEERS_ASKED:
-		return now_ms < sync->peers_until_ms;
+		return now_ms < sync->peer_wait_until_ms;
 	case JT_PEERS_TOLD_SOME:
 		return sync->follower.gave_way || !sync->follower.paging;
 	case JT_PEERS_TELL:
@@ -325,24 +328,24 @@
 	}
 }
 
-static void ask_start(struct jt_directory_sync *sync)
+static void poll_start(struct jt_directory_sync *sync)
 {
 	if (sync->check == NULL)
 		check_start(sync);
-	sync->asking = sync->check != NULL;
+	sync->polling = sync->check != NULL;
 }
 
 static void sync_step(struct jt_directory_sync *sync)
 {
 	uint64_t now_ms = jt_clock_ms();
 
-	if (sync->call != NULL || sync->asking ||
+	if (sync->call != NULL || sync->polling ||
 	    sync->follower.reading == JT_READING_NOT)
 		return;
 	switch (jt_follower_next(&sync->follower, now_ms)) {
 	case JT_FOLLOWER_LIST:
-		if (list_can_wait(sync, now_ms))
-			jt_timer_set(sync->timer, PEER_TELLS_MS);
+		if (list_may_wait(sync, now_ms))
+			jt_timer_set(sync->timer, PEER_SYNC_RETRY_MS);
 		else
 			list_start(sync);
 		break;
@@ -350,7 +353,7 @@
 		watch_start(sync);
 		break;
 	case JT_FOLLOWER_CHECK:
-		ask_start(sync);
+		poll_start(sync);
 		break;
 	case JT_FOLLOWER_WAIT:
 		jt_timer_set(sync->timer, sync->follower.due_ms - now_ms);
@@ -377,14 +380,14 @@
 	jt_follower_init(&sync->follower, seed);
 	sync->follower.reading = JT_READING_CHECKS;
 	sync->follower.strength_permille = strength_permille;
-	sync->timer = jt_timer_create(sync, loop, on_due, sync);
+	sync->timer = jt_timer_create(sync, loop, on_step_due, sync);
 	sync->check_timer = jt_timer_create(sync, loop, on_check_due, sync);
 	if (sync->timer == NULL || sync->check_timer == NULL) {
 		talloc_free(sync);
 		return NULL;
 	}
 	sync->follower.due_ms = jt_clock_ms() + start_wait_ms;
-	sync->peers_until_ms = sync->follower.due_ms + PEERS_KEEP_MS;
+	sync->peer_wait_until_ms = sync->follower.due_ms + PEER_SYNC_WAIT_MS;
 	jt_timer_set(sync->timer, start_wait_ms);
 	return sync;
 }
@@ -394,7 +397,7 @@
 {
 	if (!jt_follower_informed(&sync->follower, revision, jt_clock_ms()))
 		return;
-	calls_end(sync);
+	calls_cancel(sync);
 	TALLOC_FREE(sync->page_key);
 	sync_step(sync);
 }
@@ -406,7 +409,7 @@
 		return;
 	/* A listing under way goes on, unless the store is no longer read. */
 	if (sync->follower.listed || reading == JT_READING_NOT)
-		calls_end(sync);
+		calls_cancel(sync);
 	jt_follower_read(&sync->follower, reading, jt_clock_ms());
 	if (reading != JT_READING_NOT) {
 		sync_step(sync);
@@ -416,8 +419,8 @@
 	sync->follower.paging = false;
 	TALLOC_FREE(sync->page_key);
 	jt_timer_stop(sync->timer);
-	if (sync->lost)
-		jt_timer_set(sync->check_timer, LOST_CHECK_MS);
+	if (sync->is_unreachable)
+		jt_timer_set(sync->check_timer, OUTAGE_CHECK_MS);
 }
 
 void jt_directory_sync_learning(struct jt_directory_sync *sync, bool learning)
@@ -427,7 +430,7 @@
 
 bool jt_directory_sync_lost(const struct jt_directory_sync *sync)
 {
-	return sync->lost;
+	return sync->is_unreachable;
 }
 
 uint64_t jt_directory_sync_failures(const struct jt_directory_sync *sync)
@@ -446,7 +449,7 @@
 	if (jt_address_same(sync->store, store))
 		return;
 	sync->store = store;
-	calls_end(sync);
+	calls_cancel(sync);
 	sync_step(sync);
 }
 
--- a/src/director/jt_peer_exchange.c
+++ b/src/director/jt_peer_exchange.c
@@ -17,11 +17,11 @@
 	ROUND_MS = 500,
 	/* Nodes gossip faster after their start, to find peers with newer
 	 * state. */
-	ROUND_FAST_MS = 100,
-	ROUND_FAST_FOR_MS = 3000,
-	DATAGRAM_MOST = 1400, /* a digest fits into one packet */
+	FAST_ROUND_MS = 100,
+	FAST_ROUNDS_TOTAL_MS = 3000,
+	DATAGRAM_MAX = 1400, /* a digest fits into one packet */
 	DATAGRAM_BATCH = 32,
-	NEWS_MS = 10, /* delay that batches changes into one message */
+	UPDATE_DELAY_MS = 10, /* delay that batches changes into one message */
 };
 
 struct jt_peer_exchange {
@@ -33,9 +33,9 @@
 	struct jt_peer_knowledge *knowledge;
 	struct jt_http_server *server;
 	struct jt_timer *timer;
-	struct jt_timer *news_timer;
-	bool news_due;
-	uint64_t told_revision; /* up to which updates were sent */
+	struct jt_timer *update_timer;
+	bool update_pending;
+	uint64_t sent_revision; /* up to which updates were sent */
 	uint64_t created_ms;
 };
 
@@ -61,8 +61,8 @@
 		jt_peer_sender_send(&exchange->sender, targets[i], &message);
 }
 
-static void loads_take(struct jt_peer_exchange *exchange, uint64_t peer,
-		       const jt_wire_loads *wire)
+static void loads_receive(struct jt_peer_exchange *exchange, uint64_t peer,
+			  const jt_wire_loads *wire)
 {
 	struct jt_endpoint_load loads[JT_LOAD_LIMIT];
 
@@ -92,9 +92,9 @@
 }
 
 /* Sends the digest of a gossip round. */
-static void digest_tell(struct jt_peer_exchange *exchange,
-			const struct jt_address *targets, size_t count,
-			uint64_t now_ms)
+static void round_digest_send(struct jt_peer_exchange *exchange,
+			      const struct jt_address *targets, size_t count,
+			      uint64_t now_ms)
 {
 	TALLOC_CTX *frame = talloc_new(exchange);
 	struct jt_own_state own = {0};
@@ -108,9 +108,9 @@
 }
 
 /* Sends a digest to a node that looks for a peer to synchronise from. */
-static void sources_tell(struct jt_peer_exchange *exchange,
-			 struct jt_address to, uint32_t zone_id,
-			 const struct jt_own_state *own, uint64_t now_ms)
+static void source_digest_send(struct jt_peer_exchange *exchange,
+			       struct jt_address to, uint32_t zone_id,
+			       const struct jt_own_state *own, uint64_t now_ms)
 {
 	TALLOC_CTX *frame = talloc_new(exchange);
 	jt_wire_digest digest;
@@ -122,7 +122,7 @@
 }
 
 /* Sends this node's availability to all live peers. */
-static void standing_tell(struct jt_peer_exchange *exchange, bool only_zone)
+static void availability_send(struct jt_peer_exchange *exchange, bool only_zone)
 {
 	jt_wire_director_message message = {
 		.from = exchange->membership->id,
@@ -143,7 +143,7 @@
 
 void jt_peer_exchange_tell_all(struct jt_peer_exchange *exchange)
 {
-	standing_tell(exchange, false);
+	availability_send(exchange, false);
 }
 
 struct jt_zone_view
@@ -156,7 +156,8 @@
 
 /* Adds the zone drains that changed since the last update. Returns false if
  * there are too many. */
-static bool news_zones(const jt_wire_knowledge *knowledge, jt_wire_news *news)
+static bool update_add_zones(const jt_wire_knowledge *knowledge,
+			     jt_wire_news *news)
 {
 	jt_wire_zone_drain *zones = knowledge->zones.zones_val;
 	u_int count = 0;
@@ -173,24 +174,26 @@
 	return true;
 }
 
-static void news_entries(struct jt_peer_exchange *exchange, TALLOC_CTX *frame,
-			 const struct jt_own_state *own, jt_wire_news *news)
+static void update_add_entries(struct jt_peer_exchange *exchange,
+			       TALLOC_CTX *frame,
+			       const struct jt_own_state *own,
+			       jt_wire_news *news)
 {
 	jt_wire_knowledge knowledge = {0};
 	const struct jt_knowledge_need need = {
-		.since = exchange->told_revision,
+		.since = exchange->sent_revision,
 		.version = own->routing_version,
 	};
 
 	/* An update without entries makes the receivers request a snapshot. */
 	news->since = own->revision;
-	if (exchange->told_revision == 0 ||
+	if (exchange->sent_revision == 0 ||
 	    !exchange->handler.knowledge(frame, &need, &knowledge,
 					 exchange->handler.private_data) ||
 	    !jt_knowledge_whole(&knowledge) ||
-	    knowledge.since != exchange->told_revision ||
+	    knowledge.since != exchange->sent_revision ||
 	    knowledge.entries.entries_len > JT_DIRECTOR_MAX_NEWS ||
-	    !news_zones(&knowledge, news))
+	    !update_add_zones(&knowledge, news))
 		return;
 	news->since = knowledge.since;
 	news->gap_from = knowledge.gap_from;
@@ -199,7 +202,7 @@
 	news->entries.entries_len = knowledge.entries.entries_len;
 }
 
-static void on_news_due(void *private_data)
+static void on_update_due(void *private_data)
 {
 	struct jt_peer_exchange *exchange = private_data;
 	struct jt_address targets[JT_NEWS_FANOUT];
@@ -213,12 +216,12 @@
 	TALLOC_CTX *frame = talloc_new(exchange);
 	struct jt_own_state own = {0};
 
-	exchange->news_due = false;
+	exchange->update_pending = false;
 	exchange->handler.own_state(&own, exchange->handler.private_data);
 	jt_membership_own_state(exchange->membership, &own, jt_clock_ms(),
 				&news->digest);
-	news_entries(exchange, frame, &own, news);
-	exchange->told_revision = own.revision;
+	update_add_entries(exchange, frame, &own, news);
+	exchange->sent_revision = own.revision;
 	for (size_t i = 0; i < count; i++) {
 		jt_peer_sender_send(&exchange->sender, targets[i], &message);
 	}
@@ -227,11 +230,11 @@
 
 void jt_peer_exchange_news(struct jt_peer_exchange *exchange)
 {
-	if (exchange->news_due ||
+	if (exchange->update_pending ||
 	    !jt_mechanism_on(exchange->membership->without, JT_MECHANISM_NEWS))
 		return;
-	exchange->news_due = true;
-	jt_timer_set(exchange->news_timer, NEWS_MS);
+	exchange->update_pending = true;
+	jt_timer_set(exchange->update_timer, UPDATE_DELAY_MS);
 }
 
 void jt_peer_exchange_suspect(struct jt_peer_exchange *exchange,
@@ -260,22 +263,23 @@
 		.from = exchange->membership->id,
 		.body.kind = JT_WIRE_FAILURES,
 	};
-	jt_wire_failures *told = &message.body.jt_wire_director_body_u.failures;
+	jt_wire_failures *report =
+		&message.body.jt_wire_director_body_u.failures;
 
 	for (size_t i = 0; i < count; i++)
 		wire[i] = (jt_wire_failure){failures[i].label,
 					    failures[i].failed_permille,
 					    failures[i].served_permille,
 					    failures[i].share_permille};
-	told->failures.failures_val = wire;
-	told->failures.failures_len = (u_int)count;
+	report->failures.failures_val = wire;
+	report->failures.failures_len = (u_int)count;
 	jt_peer_sender_send_some(&exchange->sender, &message, peers);
 }
 
 /* Datagrams */
 
-static void peer_seen(const struct jt_peer_exchange *exchange,
-		      struct jt_address address)
+static void peer_discovered_log(const struct jt_peer_exchange *exchange,
+				struct jt_address address)
 {
 	char text[JT_ADDRESS_TEXT];
 
@@ -283,21 +287,21 @@
 		    jt_address_format(address, text));
 }
 
-static void digest_take(struct jt_peer_exchange *exchange, uint64_t peer,
-			struct jt_address from, const jt_wire_digest *digest)
+static void digest_receive(struct jt_peer_exchange *exchange, uint64_t peer,
+			   struct jt_address from, const jt_wire_digest *digest)
 {
 	struct jt_own_state own = {0};
 	uint64_t now_ms = jt_clock_ms();
 
 	if (jt_membership_digest(exchange->membership, peer, from, digest,
 				 now_ms))
-		peer_seen(exchange, from);
+		peer_discovered_log(exchange, from);
 	exchange->handler.own_state(&own, exchange->handler.private_data);
 	/* The sender looks for a peer to synchronise from. */
 	if (!digest->started &&
 	    (own.started || (own.places && !digest->places) ||
 	     jt_membership_knows_source(exchange->membership)))
-		sources_tell(exchange, from, digest->zone, &own, now_ms);
+		source_digest_send(exchange, from, digest->zone, &own, now_ms);
 	if (digest->revision <= own.revision &&
 	    digest->routing_version <= own.routing_version &&
 	    digest->store_reader != exchange->membership->id &&
@@ -308,8 +312,8 @@
 	jt_peer_knowledge_look(exchange->knowledge, now_ms);
 }
 
-static void failures_take(struct jt_peer_exchange *exchange,
-			  const jt_wire_failures *wire)
+static void failures_receive(struct jt_peer_exchange *exchange,
+			     const jt_wire_failures *wire)
 {
 	struct jt_endpoint_failure failures[JT_FAILURE_LIMIT];
 
@@ -323,36 +327,37 @@
 				   exchange->handler.private_data);
 }
 
-static void message_take(struct jt_peer_exchange *exchange,
-			 struct jt_address from,
-			 const jt_wire_director_message *message)
+static void message_dispatch(struct jt_peer_exchange *exchange,
+			     struct jt_address from,
+			     const jt_wire_director_message *message)
 {
 	const jt_wire_news *news;
 
 	switch (message->body.kind) {
 	case JT_WIRE_DIGEST:
-		digest_take(exchange, message->from, from,
-			    &message->body.jt_wire_director_body_u.digest);
+		digest_receive(exchange, message->from, from,
+			       &message->body.jt_wire_director_body_u.digest);
 		break;
 	case JT_WIRE_NEWS:
 		news = &message->body.jt_wire_director_body_u.news;
 		exchange->handler.news(news, exchange->handler.private_data);
-		digest_take(exchange, message->from, from, &news->digest);
+		digest_receive(exchange, message->from, from, &news->digest);
 		break;
 	case JT_WIRE_STANDING:
 		if (jt_membership_standing(
 			    exchange->membership, message->from, from,
 			    &message->body.jt_wire_director_body_u.standing,
 			    jt_clock_ms()))
-			peer_seen(exchange, from);
+			peer_discovered_log(exchange, from);
 		break;
 	case JT_WIRE_LOADS:
-		loads_take(exchange, message->from,
-			   &message->body.jt_wire_director_body_u.loads);
+		loads_receive(exchange, message->from,
+			      &message->body.jt_wire_director_body_u.loads);
 		break;
 	case JT_WIRE_FAILURES:
-		failures_take(exchange,
-			      &message->body.jt_wire_director_body_u.failures);
+		failures_receive(
+			exchange,
+			&message->body.jt_wire_director_body_u.failures);
 		break;
 	case JT_WIRE_SUSPICION:
 		exchange->handler.suspicion(
@@ -374,16 +379,16 @@
 	}
 }
 
-static void datagram_take(struct jt_peer_exchange *exchange,
-			  struct jt_address from, const uint8_t *data,
-			  size_t length)
+static void datagram_receive(struct jt_peer_exchange *exchange,
+			     struct jt_address from, const uint8_t *data,
+			     size_t length)
 {
 	jt_wire_director_message message = {0};
 
 	if (!jt_peer_frames_open(&exchange->sender.frames, data, length,
 				 &message))
 		return;
-	message_take(exchange, from, &message);
+	message_dispatch(exchange, from, &message);
 	jt_peer_frames_free(&message);
 }
 
@@ -391,7 +396,7 @@
 			 uint16_t flags, void *private_data)
 {
 	struct jt_peer_exchange *exchange = private_data;
-	uint8_t data[DATAGRAM_MOST];
+	uint8_t data[DATAGRAM_MAX];
 
 	(void)loop;
 	(void)fd;
@@ -405,8 +410,8 @@
 
 		if (length < 0)
 			return;
-		datagram_take(exchange, jt_address_from_socket(&name), data,
-			      (size_t)length);
+		datagram_receive(exchange, jt_address_from_socket(&name), data,
+				 (size_t)length);
 	}
 }
 
@@ -427,17 +432,17 @@
 			    jt_address_format(lost->address, text),
 			    (unsigned long long)(now_ms - lost->heard_ms));
 	count = jt_membership_round(exchange->membership, targets);
-	digest_tell(exchange, targets, count, now_ms);
+	round_digest_send(exchange, targets, count, now_ms);
 	loads_send(exchange, targets, count);
 	exchange->handler.own_state(&own, exchange->handler.private_data);
 	/* Repeated in case of datagram loss: the leaving order depends on it.
 	 */
 	if (own.leaving)
-		standing_tell(exchange, true);
+		availability_send(exchange, true);
 	jt_peer_knowledge_look(exchange->knowledge, now_ms);
 	jt_timer_set(exchange->timer,
-		     now_ms - exchange->created_ms < ROUND_FAST_FOR_MS
-			     ? ROUND_FAST_MS
+		     now_ms - exchange->created_ms < FAST_ROUNDS_TOTAL_MS
+			     ? FAST_ROUND_MS
 			     : ROUND_MS);
 }
 
@@ -450,8 +455,8 @@
 	return 0;
 }
 
-static void seeds_take(struct jt_peer_exchange *exchange,
-		       const struct jt_director_settings *settings)
+static void seeds_add(struct jt_peer_exchange *exchange,
+		      const struct jt_director_settings *settings)
 {
 	for (size_t i = 0; i < settings->seed_count; i++) {
 		struct jt_address seed = {settings->seeds[i].ip,
@@ -468,10 +473,10 @@
 	jt_peer_knowledge_set_link(exchange->knowledge, settings->link_mbps);
 	if (settings->leave_limit_ms > 0)
 		exchange->membership->leave_limit_ms = settings->leave_limit_ms;
-	seeds_take(exchange, settings);
+	seeds_add(exchange, settings);
 }
 
-static bool listen_start(struct jt_peer_exchange *exchange)
+static bool peer_address_open(struct jt_peer_exchange *exchange)
 {
 	struct jt_http_options options = {
 		.address = exchange->sender.frames.address};
@@ -538,13 +543,13 @@
 	if (exchange->membership != NULL)
 		exchange->membership->without = settings->without;
 	exchange->timer = jt_timer_create(exchange, loop, on_round, exchange);
-	exchange->news_timer =
-		jt_timer_create(exchange, loop, on_news_due, exchange);
+	exchange->update_timer =
+		jt_timer_create(exchange, loop, on_update_due, exchange);
 	exchange->knowledge = knowledge_create(exchange, client);
 	if (exchange->membership == NULL || exchange->timer == NULL ||
-	    exchange->news_timer == NULL || exchange->knowledge == NULL)
+	    exchange->update_timer == NULL || exchange->knowledge == NULL)
 		goto fail;
-	if (!listen_start(exchange)) {
+	if (!peer_address_open(exchange)) {
 		*error = talloc_asprintf(
 			talloc_parent(mem_ctx), "listen.peer: %s: %s",
 			jt_address_format(settings->peer, text),
--- a/src/director/jt_peer_knowledge.c
+++ b/src/director/jt_peer_knowledge.c
@@ -11,13 +11,13 @@
 	/* A node that has not started turns to another peer sooner, unless
 	 * this one has already answered: it may have lost power, too. */
 	FETCH_START_TIMEOUT_MS = 250,
-	KNOWLEDGE_MOST = 8 << 20,
-	FETCH_LOOK_MS = 70, /* retry interval of a node that is behind */
+	SNAPSHOT_MAX = 8 << 20,
+	FETCH_RETRY_MS = 70, /* retry interval of a node that is behind */
 	STATUS_OK = 200,
 	STATUS_BUSY = 429, /* the peer is over its budget for snapshots */
 };
 
-#define KNOWLEDGE_PATH "/knowledge"
+#define SNAPSHOT_PATH "/knowledge"
 
 struct jt_peer_knowledge {
 	struct jt_http_client *client;
@@ -27,42 +27,43 @@
 	struct jt_knowledge_handler handler;
 	struct jt_timer *timer;	  /* runs until the next attempt */
 	struct tevent_req *fetch; /* NULL: no request is pending */
-	struct jt_address from;	  /* the peer that the request was sent to */
+	struct jt_address source; /* the peer that the request was sent to */
 	bool answered;		  /* it has already sent a part */
 	struct jt_knowledge_fetch fetched;
 	struct jt_serve_budget budget; /* for snapshots served to peers */
 };
 
-static void fetch_end(struct jt_peer_knowledge *sync, enum jt_fetch_end end)
+static void fetch_end(struct jt_peer_knowledge *snapshots,
+		      enum jt_fetch_end end)
 {
-	sync->fetch = NULL;
+	snapshots->fetch = NULL;
 	if (end != JT_FETCH_WORKED)
-		sync->frames->counters.fetches_failed++;
-	jt_membership_fetched(sync->membership, end, jt_clock_ms());
+		snapshots->frames->counters.fetches_failed++;
+	jt_membership_fetched(snapshots->membership, end, jt_clock_ms());
 }
 
-static void part_take(struct jt_peer_knowledge *sync,
-		      const jt_wire_knowledge *knowledge)
+static void part_apply(struct jt_peer_knowledge *snapshots,
+		       const jt_wire_knowledge *knowledge)
 {
-	struct jt_knowledge_fetch *fetched = &sync->fetched;
-	void *private_data = sync->handler.private_data;
+	struct jt_knowledge_fetch *fetched = &snapshots->fetched;
+	void *private_data = snapshots->handler.private_data;
 
-	sync->handler.learned(knowledge, private_data);
+	snapshots->handler.learned(knowledge, private_data);
 	if (jt_knowledge_fetch_took(fetched, knowledge, jt_clock_ms()))
-		sync->handler.learned_all(fetched, private_data);
+		snapshots->handler.learned_all(fetched, private_data);
 }
 
-static bool knowledge_take(struct jt_peer_knowledge *sync, const char *body,
-			   size_t length)
+static bool response_apply(struct jt_peer_knowledge *snapshots,
+			   const char *body, size_t length)
 {
 	jt_wire_director_message message = {0};
 
-	if (!jt_peer_frames_open(sync->frames, (const uint8_t *)body, length,
-				 &message))
+	if (!jt_peer_frames_open(snapshots->frames, (const uint8_t *)body,
+				 length, &message))
 		return false;
 	if (message.body.kind == JT_WIRE_KNOWLEDGE)
-		part_take(sync,
-			  &message.body.jt_wire_director_body_u.knowledge);
+		part_apply(snapshots,
+			   &message.body.jt_wire_director_body_u.knowledge);
 	jt_peer_frames_free(&message);
 	return true;
 }
@@ -70,81 +71,85 @@
 static void on_fetched(struct tevent_req *req);
 
 /* Requests the next part from the peer. */
-static void part_ask(struct jt_peer_knowledge *sync)
+static void part_request(struct jt_peer_knowledge *snapshots)
 {
-	char from[JT_ADDRESS_TEXT], to[JT_ADDRESS_TEXT];
+	char own_text[JT_ADDRESS_TEXT], peer_text[JT_ADDRESS_TEXT];
 	struct jt_http_call call = {.method = "GET"};
 	struct jt_own_state own = {0};
 	struct jt_knowledge_need need;
 	char *url;
 
-	sync->handler.own_state(&own, sync->handler.private_data);
-	need = jt_knowledge_fetch_need(&sync->fetched, &own);
-	call.timeout_ms = own.started || sync->answered
+	snapshots->handler.own_state(&own, snapshots->handler.private_data);
+	need = jt_knowledge_fetch_need(&snapshots->fetched, &own);
+	call.timeout_ms = own.started || snapshots->answered
 				  ? FETCH_TIMEOUT_MS
 				  : FETCH_START_TIMEOUT_MS;
-	url = talloc_asprintf(sync,
-			      "http://%s" KNOWLEDGE_PATH
-			      "?to=%s&since=%llu&version=%llu&slice=%u",
-			      jt_address_format(sync->from, to),
-			      jt_address_format(sync->frames->address, from),
-			      (unsigned long long)need.since,
-			      (unsigned long long)need.version, need.slice);
+	url = talloc_asprintf(
+		snapshots,
+		"http://%s" SNAPSHOT_PATH
+		"?to=%s&since=%llu&version=%llu&slice=%u",
+		jt_address_format(snapshots->source, peer_text),
+		jt_address_format(snapshots->frames->address, own_text),
+		(unsigned long long)need.since,
+		(unsigned long long)need.version, need.slice);
 	if (url != NULL) {
 		call.url = url;
-		sync->fetch = jt_http_send(sync, sync->client, &call);
+		snapshots->fetch =
+			jt_http_send(snapshots, snapshots->client, &call);
 		talloc_free(url);
 	}
-	if (sync->fetch == NULL)
-		fetch_end(sync, JT_FETCH_FAILED);
+	if (snapshots->fetch == NULL)
+		fetch_end(snapshots, JT_FETCH_FAILED);
 	else
-		tevent_req_set_callback(sync->fetch, on_fetched, sync);
+		tevent_req_set_callback(snapshots->fetch, on_fetched,
+					snapshots);
 }
 
 static void on_fetched(struct tevent_req *req)
 {
-	struct jt_peer_knowledge *sync =
+	struct jt_peer_knowledge *snapshots =
 		tevent_req_callback_data(req, struct jt_peer_knowledge);
 	size_t length = 0;
 	long status = 0;
 	char *body = NULL;
-	uint32_t before = sync->fetched.slice;
+	uint32_t before = snapshots->fetched.slice;
 	bool worked;
 
-	worked = jt_http_recv_bytes(req, sync, &status, &body, &length) == 0 &&
-		 status == STATUS_OK && knowledge_take(sync, body, length);
+	worked = jt_http_recv_bytes(req, snapshots, &status, &body, &length) ==
+			 0 &&
+		 status == STATUS_OK && response_apply(snapshots, body, length);
 	talloc_free(body);
 	talloc_free(req);
-	sync->fetch = NULL;
-	sync->answered = worked;
+	snapshots->fetch = NULL;
+	snapshots->answered = worked;
 	if (!worked)
-		fetch_end(sync, status == STATUS_BUSY ? JT_FETCH_BUSY
-						      : JT_FETCH_FAILED);
-	else if (!sync->fetched.begun)
-		fetch_end(sync, JT_FETCH_WORKED);
-	else if (sync->fetched.slice > before)
-		part_ask(sync);
+		fetch_end(snapshots, status == STATUS_BUSY ? JT_FETCH_BUSY
+							   : JT_FETCH_FAILED);
+	else if (!snapshots->fetched.begun)
+		fetch_end(snapshots, JT_FETCH_WORKED);
+	else if (snapshots->fetched.slice > before)
+		part_request(snapshots);
 	else
-		fetch_end(sync,
+		fetch_end(snapshots,
 			  JT_FETCH_BUSY); /* the answer held no whole slice */
 }
 
-static void fetch_start(struct jt_peer_knowledge *sync,
+static void fetch_start(struct jt_peer_knowledge *snapshots,
 			const struct jt_peer *peer)
 {
 	char text[JT_ADDRESS_TEXT];
 
-	sync->frames->counters.fetches++;
-	jt_log_line(sync->log, LOG_NOTICE,
+	snapshots->frames->counters.fetches++;
+	jt_log_line(snapshots->log, LOG_NOTICE,
 		    "event=knowledge_fetch peer=%s revision=%llu version=%llu "
 		    "slice=%u",
 		    jt_address_format(peer->address, text),
 		    (unsigned long long)peer->revision,
 		    (unsigned long long)peer->routing_version,
-		    sync->fetched.begun ? sync->fetched.slice : 0);
-	sync->from = peer->address;
-	sync->answered = false;
-	part_ask(sync);
+		    snapshots->fetched.begun ? snapshots->fetched.slice : 0);
+	snapshots->source = peer->address;
+	snapshots->answered = false;
+	part_request(snapshots);
 }
 
 /* Returns a number from the query, 0 if it is missing. */
@@ -157,26 +162,26 @@
 }
 
 /* Sets the age of this node's store data, and the node that read it. */
-static void knowledge_set_age(const struct jt_peer_knowledge *sync,
-			      jt_wire_knowledge *knowledge)
+static void snapshot_set_age(const struct jt_peer_knowledge *snapshots,
+			     jt_wire_knowledge *knowledge)
 {
 	struct jt_own_state own = {0};
 
-	sync->handler.own_state(&own, sync->handler.private_data);
+	snapshots->handler.own_state(&own, snapshots->handler.private_data);
 	knowledge->store_age_ms = jt_own_store_age_ms(&own, jt_clock_ms());
 	knowledge->store_reader = own.store_reader;
 }
 
-static void knowledge_reply(struct jt_peer_knowledge *sync,
-			    struct jt_http_request *request,
-			    struct jt_address to)
+static void snapshot_reply(struct jt_peer_knowledge *snapshots,
+			   struct jt_http_request *request,
+			   struct jt_address to)
 {
 	jt_wire_director_message message = {
-		.from = sync->membership->id,
+		.from = snapshots->membership->id,
 		.body.kind = JT_WIRE_KNOWLEDGE,
 	};
 	xdrproc_t encode = (xdrproc_t)xdr_jt_wire_director_message;
-	TALLOC_CTX *frame = talloc_new(sync);
+	TALLOC_CTX *frame = talloc_new(snapshots);
 	jt_wire_knowledge *knowledge =
 		&message.body.jt_wire_director_body_u.knowledge;
 	const struct jt_knowledge_need need = {
@@ -185,22 +190,23 @@
 		.slice = (uint32_t)query_number(request, "slice"),
 	};
 	uint8_t *body = NULL;
-	size_t room, length = 0;
+	size_t size, length = 0;
 
-	if (sync->handler.knowledge(frame, &need, knowledge,
-				    sync->handler.private_data)) {
-		knowledge_set_age(sync, knowledge);
-		room = xdr_sizeof(encode, &message) + JT_FRAME_HEADER +
+	if (snapshots->handler.knowledge(frame, &need, knowledge,
+					 snapshots->handler.private_data)) {
+		snapshot_set_age(snapshots, knowledge);
+		size = xdr_sizeof(encode, &message) + JT_FRAME_HEADER +
 		       JT_TAG_BYTES;
-		if (room <= KNOWLEDGE_MOST)
-			body = talloc_size(frame, room);
+		if (size <= SNAPSHOT_MAX)
+			body = talloc_size(frame, size);
 		if (body != NULL)
-			length = jt_peer_frames_seal(sync->frames, to, &message,
-						     body, room);
+			length = jt_peer_frames_seal(snapshots->frames, to,
+						     &message, body, size);
 	}
 	if (length > 0) {
-		sync->frames->counters.fetches_served++;
-		jt_serve_budget_given(&sync->budget, length, jt_clock_ms());
+		snapshots->frames->counters.fetches_served++;
+		jt_serve_budget_given(&snapshots->budget, length,
+				      jt_clock_ms());
 		jt_http_reply_bytes(request, 200, "application/octet-stream",
 				    body, length);
 	} else {
@@ -210,10 +216,10 @@
 }
 
 /* Refuses a request over the budget; the peer then tries another node. */
-static void knowledge_refuse(struct jt_peer_knowledge *sync,
-			     struct jt_http_request *request)
+static void snapshot_refuse(struct jt_peer_knowledge *snapshots,
+			    struct jt_http_request *request)
 {
-	sync->frames->counters.fetches_refused++;
+	snapshots->frames->counters.fetches_refused++;
 	jt_http_reply(request, STATUS_BUSY, "text/plain",
 		      "busy, ask another node\n");
 }
@@ -221,71 +227,73 @@
 void jt_peer_knowledge_request(struct jt_http_request *request,
 			       void *private_data)
 {
-	struct jt_peer_knowledge *sync = private_data;
+	struct jt_peer_knowledge *snapshots = private_data;
 	const char *to_text = jt_http_query(request, "to");
 	struct jt_address to;
 
-	if (strcmp(jt_http_path(request), KNOWLEDGE_PATH) != 0)
+	if (strcmp(jt_http_path(request), SNAPSHOT_PATH) != 0)
 		jt_http_reply(request, 404, "text/plain", "not found\n");
 	else if (to_text == NULL || jt_address_parse(to_text, &to) != 0)
 		jt_http_reply(request, 400, "text/plain",
 			      "to: must be IPV4:PORT\n");
-	else if (jt_serve_budget_allows(&sync->budget, jt_clock_ms()))
-		knowledge_reply(sync, request, to);
+	else if (jt_serve_budget_allows(&snapshots->budget, jt_clock_ms()))
+		snapshot_reply(snapshots, request, to);
 	else
-		knowledge_refuse(sync, request);
+		snapshot_refuse(snapshots, request);
 }
 
-void jt_peer_knowledge_look(struct jt_peer_knowledge *sync, uint64_t now_ms)
+void jt_peer_knowledge_look(struct jt_peer_knowledge *snapshots,
+			    uint64_t now_ms)
 {
 	struct jt_own_state own = {0};
 	const struct jt_peer *peer;
 
-	sync->handler.own_state(&own, sync->handler.private_data);
-	peer = jt_membership_fetch(sync->membership, &own, now_ms);
+	snapshots->handler.own_state(&own, snapshots->handler.private_data);
+	peer = jt_membership_fetch(snapshots->membership, &own, now_ms);
 	if (peer != NULL)
-		fetch_start(sync, peer);
-	else if (sync->membership->behind_ms != 0)
-		jt_timer_set(sync->timer, FETCH_LOOK_MS);
+		fetch_start(snapshots, peer);
+	else if (snapshots->membership->behind_ms != 0)
+		jt_timer_set(snapshots->timer, FETCH_RETRY_MS);
 }
 
-static void on_look_due(void *private_data)
+static void on_retry_due(void *private_data)
 {
 	jt_peer_knowledge_look(private_data, jt_clock_ms());
 }
 
-bool jt_peer_knowledge_fetching(const struct jt_peer_knowledge *sync)
+bool jt_peer_knowledge_fetching(const struct jt_peer_knowledge *snapshots)
 {
-	return sync->fetch != NULL;
+	return snapshots->fetch != NULL;
 }
 
-bool jt_peer_knowledge_learns(const struct jt_peer_knowledge *sync)
+bool jt_peer_knowledge_learns(const struct jt_peer_knowledge *snapshots)
 {
-	return sync->fetch != NULL && sync->answered;
+	return snapshots->fetch != NULL && snapshots->answered;
 }
 
-void jt_peer_knowledge_set_link(struct jt_peer_knowledge *sync,
+void jt_peer_knowledge_set_link(struct jt_peer_knowledge *snapshots,
 				uint32_t link_mbps)
 {
-	jt_serve_budget_init(&sync->budget, link_mbps);
+	jt_serve_budget_init(&snapshots->budget, link_mbps);
 }
 
 struct jt_peer_knowledge *
 jt_peer_knowledge_create(TALLOC_CTX *mem_ctx,
 			 const struct jt_peer_knowledge_options *options)
 {
-	struct jt_peer_knowledge *sync =
+	struct jt_peer_knowledge *snapshots =
 		talloc_zero(mem_ctx, struct jt_peer_knowledge);
 
-	if (sync == NULL)
+	if (snapshots == NULL)
 		return NULL;
-	sync->client = options->client;
-	sync->log = options->log;
-	sync->membership = options->membership;
-	sync->frames = options->frames;
-	sync->handler = options->handler;
-	sync->timer = jt_timer_create(sync, options->loop, on_look_due, sync);
-	if (sync->timer == NULL)
-		TALLOC_FREE(sync);
-	return sync;
+	snapshots->client = options->client;
+	snapshots->log = options->log;
+	snapshots->membership = options->membership;
+	snapshots->frames = options->frames;
+	snapshots->handler = options->handler;
+	snapshots->timer = jt_timer_create(snapshots, options->loop,
+					   on_retry_due, snapshots);
+	if (snapshots->timer == NULL)
+		TALLOC_FREE(snapshots);
+	return snapshots;
 }
--- a/src/director/jt_peer_knowledge.h
+++ b/src/director/jt_peer_knowledge.h
@@ -47,18 +47,18 @@
 jt_peer_knowledge_create(TALLOC_CTX *mem_ctx,
 			 const struct jt_peer_knowledge_options *options);
 /* Sets the link speed in Mbit/s, which limits the bytes served to peers. */
-void jt_peer_knowledge_set_link(struct jt_peer_knowledge *knowledge,
+void jt_peer_knowledge_set_link(struct jt_peer_knowledge *snapshots,
 				uint32_t link_mbps);
 /* Requests a snapshot from a peer with newer state, if that is due. */
-void jt_peer_knowledge_look(struct jt_peer_knowledge *knowledge,
+void jt_peer_knowledge_look(struct jt_peer_knowledge *snapshots,
 			    uint64_t now_ms);
 /* Serves a peer's request (a callback of the HTTP server); @private_data is
  * the struct jt_peer_knowledge. */
 void jt_peer_knowledge_request(struct jt_http_request *request,
 			       void *private_data);
 /* Returns true while a request to a peer is pending. */
-bool jt_peer_knowledge_fetching(const struct jt_peer_knowledge *knowledge);
+bool jt_peer_knowledge_fetching(const struct jt_peer_knowledge *snapshots);
 /* Returns true if that peer has already sent a part of its snapshot. */
-bool jt_peer_knowledge_learns(const struct jt_peer_knowledge *knowledge);
+bool jt_peer_knowledge_learns(const struct jt_peer_knowledge *snapshots);
 
 #endif
--- a/src/director/jt_peer_sender.c
+++ b/src/director/jt_peer_sender.c
@@ -3,12 +3,12 @@
 
 #include <sys/socket.h>
 
-enum { DATAGRAM_MOST = 1400 }; /* a digest fits into one packet */
+enum { DATAGRAM_MAX = 1400 }; /* a digest fits into one packet */
 
 void jt_peer_sender_send(struct jt_peer_sender *sender, struct jt_address to,
 			 const jt_wire_director_message *message)
 {
-	uint8_t frame[DATAGRAM_MOST];
+	uint8_t frame[DATAGRAM_MAX];
 	struct sockaddr_in name;
 	size_t length = jt_peer_frames_seal(&sender->frames, to, message, frame,
 					    sizeof(frame));
@@ -20,7 +20,7 @@
 		     (struct sockaddr *)&name, sizeof(name));
 }
 
-static bool is_addressee(const struct jt_membership *membership,
+static bool is_recipient(const struct jt_membership *membership,
 			 const struct jt_peer *peer, bool only_zone)
 {
 	return jt_peer_lives(peer) &&
@@ -36,7 +36,7 @@
 	for (size_t i = 0; i < membership->count; i++) {
 		const struct jt_peer *peer = &membership->peers[i];
 
-		if (is_addressee(membership, peer, only_zone))
+		if (is_recipient(membership, peer, only_zone))
 			jt_peer_sender_send(sender, peer->address, message);
 	}
 }
@@ -53,7 +53,7 @@
 			&membership->peers[sender->some_next++ %
 					   membership->count];
 
-		if (!is_addressee(membership, peer, true))
+		if (!is_recipient(membership, peer, true))
 			continue;
 		jt_peer_sender_send(sender, peer->address, message);
 		sent++;
--- a/src/director/jt_prober.c
+++ b/src/director/jt_prober.c
@@ -10,7 +10,7 @@
 enum {
 	/* A timer this late shows that this process was delayed: the lack of
 	 * an answer may be its own fault. */
-	LATE_MS = 100,
+	TIMER_LATE_MS = 100,
 };
 
 struct probe_state {
@@ -63,7 +63,7 @@
 	}
 }
 
-static void probe_settled(struct probe_state *state)
+static void probe_connect_finish(struct probe_state *state)
 {
 	socklen_t size = sizeof(int);
 	int error = 0;
@@ -79,7 +79,7 @@
 	(void)loop;
 	(void)fd;
 	(void)flags;
-	probe_settled(private_data);
+	probe_connect_finish(private_data);
 }
 
 static void probe_timeout(void *private_data)
@@ -88,8 +88,8 @@
 	struct pollfd ready = {.fd = state->fd, .events = POLLOUT};
 
 	if (poll(&ready, 1, 0) > 0)
-		probe_settled(state);
-	else if (jt_clock_ms() > state->deadline_ms + LATE_MS)
+		probe_connect_finish(state);
+	else if (jt_clock_ms() > state->deadline_ms + TIMER_LATE_MS)
 		probe_finish(state, JT_PROBE_VOID);
 	else
 		probe_finish(state, JT_PROBE_SILENT);
--- a/src/director_daemon/director_process.c
+++ b/src/director_daemon/director_process.c
@@ -10,17 +10,17 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-enum { SETTINGS_LOOK_MS = 1000 };
+enum { SETTINGS_CHECK_MS = 1000 };
 
 struct director_process {
 	struct tevent_context *loop;
 	struct jt_log log;
 	const char *file;
-	struct timespec changed; /* modification time of the settings file */
+	struct timespec file_mtime; /* modification time of the settings file */
 	struct jt_director_settings
 		*settings; /* owned by the node once it runs */
 	struct jt_director_node *node;
-	struct jt_timer *look;
+	struct jt_timer *settings_timer;
 	bool finished;
 };
 
@@ -56,7 +56,7 @@
 {
 	TALLOC_CTX *frame = talloc_new(process);
 	struct jt_director_settings *settings;
-	const char *fixed;
+	const char *fixed_setting;
 	char *error;
 
 	settings = jt_director_settings_load(frame, process->file, &error);
@@ -64,14 +64,14 @@
 		reload_rejected(process, error);
 		goto out;
 	}
-	fixed = jt_director_settings_fixed_difference(process->settings,
-						      settings);
-	if (fixed != NULL) {
+	fixed_setting = jt_director_settings_fixed_difference(process->settings,
+							      settings);
+	if (fixed_setting != NULL) {
 		reload_rejected(process,
 				talloc_asprintf(frame,
 						"%s can't change while the "
 						"node runs",
-						fixed));
+						fixed_setting));
 		goto out;
 	}
 	process->log.threshold = settings->log_threshold;
@@ -99,20 +99,20 @@
 	struct stat status;
 
 	if (stat(process->file, &status) != 0 ||
-	    memcmp(&status.st_mtim, &process->changed,
+	    memcmp(&status.st_mtim, &process->file_mtime,
 		   sizeof(status.st_mtim)) == 0)
 		return false;
-	process->changed = status.st_mtim;
+	process->file_mtime = status.st_mtim;
 	return true;
 }
 
-static void on_look(void *private_data)
+static void on_settings_check(void *private_data)
 {
 	struct director_process *process = private_data;
 
 	if (file_changed(process))
 		reload(process);
-	jt_timer_set(process->look, SETTINGS_LOOK_MS);
+	jt_timer_set(process->settings_timer, SETTINGS_CHECK_MS);
 }
 
 static void log_start(const struct director_process *process)
@@ -144,13 +144,13 @@
 	process->node = jt_director_node_create(
 		process, process->loop, &process->log, process->settings,
 		on_left, process, &error);
-	process->look =
-		jt_timer_create(process, process->loop, on_look, process);
-	if (process->node == NULL || process->look == NULL) {
+	process->settings_timer = jt_timer_create(process, process->loop,
+						  on_settings_check, process);
+	if (process->node == NULL || process->settings_timer == NULL) {
 		fprintf(stderr, DIRECTOR_PROGRAM ": %s\n", error);
 		return EXIT_FAILED;
 	}
-	jt_timer_set(process->look, SETTINGS_LOOK_MS);
+	jt_timer_set(process->settings_timer, SETTINGS_CHECK_MS);
 	tevent_add_signal(process->loop, process, SIGTERM, 0, on_terminate,
 			  process);
 	tevent_add_signal(process->loop, process, SIGINT, 0, on_terminate,
@@ -180,7 +180,7 @@
 		return EXIT_USAGE;
 	}
 	if (check) {
-		printf("%s: settings are right\n", file);
+		printf("%s: settings are valid\n", file);
 		return EXIT_DONE;
 	}
 	return run(process);
--- a/src/director_daemon/main.c
+++ b/src/director_daemon/main.c
@@ -20,11 +20,11 @@
 {
 	printf("Usage: " DIRECTOR_PROGRAM);
 	arg_print_syntax(stdout, table, "\n");
-	printf("Runs one balancer node that places flows by label. SIGTERM "
-	       "leaves without\ncutting flows; SIGHUP reads the settings "
-	       "again, as does a change of the file.\n\n");
+	printf("Runs a load balancer node that assigns flows by label. "
+	       "SIGTERM shuts it down\nwithout breaking flows; SIGHUP "
+	       "reloads the settings, as does a change of the file.\n\n");
 	arg_print_glossary(stdout, table, "  %-26s %s\n");
-	printf("\nWithout --config the file is the one that %s names.\n"
+	printf("\nWithout --config, the file is taken from %s.\n"
 	       "Example: %s --config node.cfg --check\n",
 	       SETTINGS_VARIABLE, DIRECTOR_PROGRAM);
 }
@@ -34,11 +34,11 @@
 			   bool *run)
 {
 	struct arg_file *config =
-		arg_file0("c", "config", "FILE", "settings (libconfig)");
+		arg_file0("c", "config", "FILE", "settings file (libconfig)");
 	struct arg_lit *check =
-		arg_lit0(NULL, "check", "check the settings and stop");
-	struct arg_lit *help = arg_lit0("h", "help", "this text");
-	struct arg_lit *version = arg_lit0(NULL, "version", "the version");
+		arg_lit0(NULL, "check", "check the settings and exit");
+	struct arg_lit *help = arg_lit0("h", "help", "show this help");
+	struct arg_lit *version = arg_lit0(NULL, "version", "show the version");
 	struct arg_end *end = arg_end(8);
 	void *table[] = {config, check, help, version, end};
 	int errors = arg_parse(argc, argv, table);
@@ -57,7 +57,7 @@
 		result = EXIT_USAGE;
 	} else if (options->config == NULL) {
 		fprintf(stderr, DIRECTOR_PROGRAM
-			": --config or " SETTINGS_VARIABLE " is needed\n");
+			": --config or " SETTINGS_VARIABLE " is required\n");
 		result = EXIT_USAGE;
 	} else {
 		*run = true;
@@ -81,7 +81,8 @@
 	if (!run)
 		return result;
 	if (sodium_init() < 0) {
-		fprintf(stderr, DIRECTOR_PROGRAM ": libsodium can't start\n");
+		fprintf(stderr,
+			DIRECTOR_PROGRAM ": libsodium can't be initialised\n");
 		return EXIT_FAILED;
 	}
 	mem_ctx = talloc_new(NULL);
--- a/src/store/jt_store.c
+++ b/src/store/jt_store.c
@@ -78,7 +78,7 @@
 }
 
 /* The JSON mapping of protocol buffers encodes 64-bit numbers as strings. */
-static uint64_t number_of(const json_t *object, const char *field)
+static uint64_t read_number(const json_t *object, const char *field)
 {
 	const json_t *value = json_object_get(object, field);
 
@@ -94,7 +94,7 @@
 	return 0;
 }
 
-static void call_done(struct tevent_req *subreq)
+static void on_call_done(struct tevent_req *subreq)
 {
 	struct tevent_req *req =
 		tevent_req_callback_data(subreq, struct tevent_req);
@@ -150,7 +150,7 @@
 	free(text);
 	if (tevent_req_nomem(subreq, req))
 		return tevent_req_post(req, store->loop);
-	tevent_req_set_callback(subreq, call_done, req);
+	tevent_req_set_callback(subreq, on_call_done, req);
 	return req;
 }
 
@@ -170,7 +170,7 @@
 	const char *encoded = json_string_value(json_object_get(kv, "value"));
 
 	value->present = true;
-	value->mod_revision = number_of(kv, "mod_revision");
+	value->mod_revision = read_number(kv, "mod_revision");
 	value->value = from_base64(mem_ctx, encoded ? encoded : "");
 	return value->value != NULL;
 }
@@ -220,8 +220,8 @@
 	enum jt_store_result result = state->result;
 
 	if (result == JT_STORE_OK) {
-		*revision = number_of(json_object_get(state->answer, "header"),
-				      "revision");
+		*revision = read_number(
+			json_object_get(state->answer, "header"), "revision");
 		if (!json_is_true(json_object_get(state->answer, "succeeded")))
 			result = JT_STORE_FAILED_COMPARE;
 	}
@@ -251,7 +251,7 @@
 	talloc_free(frame);
 }
 
-static void watch_part(const char *data, size_t length, void *private_data)
+static void on_watch_data(const char *data, size_t length, void *private_data)
 {
 	struct watch_state *state = private_data;
 	json_t *message;
@@ -280,7 +280,7 @@
 	}
 }
 
-static void watch_done(struct tevent_req *subreq)
+static void on_watch_done(struct tevent_req *subreq)
 {
 	struct tevent_req *req =
 		tevent_req_callback_data(subreq, struct tevent_req);
@@ -321,14 +321,14 @@
 	json_decref(body);
 	call.url = talloc_asprintf(state, "%s/v3/watch", store->url);
 	call.body = text;
-	call.on_part = watch_part;
+	call.on_part = on_watch_data;
 	call.part_data = state;
 	store->operations++;
 	subreq = jt_http_send(state, store->http, &call);
 	free(text);
 	if (tevent_req_nomem(subreq, req))
 		return tevent_req_post(req, store->loop);
-	tevent_req_set_callback(subreq, watch_done, req);
+	tevent_req_set_callback(subreq, on_watch_done, req);
 	return req;
 }
 
