--- a/src/director/jt_director_node.c
+++ b/src/director/jt_director_node.c
@@ -53,8 +53,7 @@
 	return true;
 }
 
-/* Returns the time from the start of the shutdown by which the node must end.
- */
+/* Returns the limit of a shutdown, counted from its start. */
 static uint64_t leave_limit_ms(const struct jt_director_node *node)
 {
 	uint64_t limit_ms = node->settings->leave_limit_ms;
--- a/src/director/jt_director_node_news.c
+++ b/src/director/jt_director_node_news.c
@@ -275,8 +275,7 @@
 	talloc_free(drains);
 }
 
-/* Applies whole slices: endpoints of a slice that are not in it do not exist.
- */
+/* Applies whole slices, in which missing endpoints do not exist. */
 static void slices_apply(struct jt_director_node *node,
 			 const jt_wire_knowledge *knowledge)
 {
--- a/src/director/jt_director_node_private.h
+++ b/src/director/jt_director_node_private.h
@@ -53,8 +53,7 @@
 	bool told_ready; /* a readiness check was answered with "ready" */
 	STAILQ_HEAD(held_queue, held_packet) held;
 	size_t held_count;
-	uint64_t held_since_ms; /* when the current packet was first held; 0: it
-				   is new */
+	uint64_t held_since_ms; /* of the current packet; 0: it is new */
 	struct jt_director_traffic traffic;
 	void (*on_left)(void *private_data);
 	void *private_data;
--- a/src/director/jt_directory_sync.c
+++ b/src/director/jt_directory_sync.c
@@ -42,8 +42,7 @@
 	bool watching;		  /* the pending call is a watch */
 	bool polling;		  /* the pending check is the follower's step */
 	bool first_page_pending;  /* the check timer waits for a first page */
-	uint64_t peer_wait_until_ms; /* end of the wait for peers before the
-				    first listing */
+	uint64_t peer_wait_until_ms; /* limits the wait for peers */
 	uint64_t page_sent_ms;	     /* when the pending page was requested */
 	char *page_key;		     /* last key of the previous page */
 	bool is_unreachable;
@@ -365,7 +364,7 @@
 	TALLOC_CTX *mem_ctx, struct tevent_context *loop,
 	struct jt_http_client *client, const struct jt_directory *directory,
 	struct jt_address store, const struct jt_directory_watcher *watcher,
-	uint64_t start_wait_ms, uint32_t strength_permille, uint64_t seed)
+	uint64_t start_wait_ms, uint32_t cpu_permille, uint64_t seed)
 {
 	struct jt_directory_sync *sync =
 		talloc_zero(mem_ctx, struct jt_directory_sync);
@@ -379,7 +378,7 @@
 	sync->watcher = *watcher;
 	jt_follower_init(&sync->follower, seed);
 	sync->follower.reading = JT_READING_CHECKS;
-	sync->follower.strength_permille = strength_permille;
+	sync->follower.strength_permille = cpu_permille;
 	sync->timer = jt_timer_create(sync, loop, on_step_due, sync);
 	sync->check_timer = jt_timer_create(sync, loop, on_check_due, sync);
 	if (sync->timer == NULL || sync->check_timer == NULL) {
--- a/src/director/jt_directory_sync.h
+++ b/src/director/jt_directory_sync.h
@@ -44,20 +44,20 @@
 	uint64_t lists[JT_KV_STATUSES];
 	uint64_t watches[JT_KV_STATUSES];
 	uint64_t checks[JT_KV_STATUSES]; /* while a watch is open */
-	uint64_t watches_given_up;
+	uint64_t watches_given_up;	 /* a check showed them to be dead */
 	uint64_t invalid_items;
 };
 
 struct jt_directory_sync;
 
 /* Creates a directory sync. The first listing is delayed by @start_wait_ms,
- * as a peer may send a snapshot before; @strength_permille is the node's
- * share of a core. */
+ * as a peer may send a snapshot before. @cpu_permille is the node's CPU in
+ * thousandths of a core, @seed that of its random delays. */
 struct jt_directory_sync *jt_directory_sync_create(
 	TALLOC_CTX *mem_ctx, struct tevent_context *loop,
 	struct jt_http_client *client, const struct jt_directory *directory,
 	struct jt_address store, const struct jt_directory_watcher *watcher,
-	uint64_t start_wait_ms, uint32_t strength_permille, uint64_t seed);
+	uint64_t start_wait_ms, uint32_t cpu_permille, uint64_t seed);
 /* A snapshot of a peer is complete up to @revision: no listing is needed. */
 void jt_directory_sync_informed(struct jt_directory_sync *sync,
 				uint64_t revision);
@@ -65,7 +65,8 @@
  * store unreachable checks it periodically. */
 void jt_directory_sync_read(struct jt_directory_sync *sync,
 			    enum jt_reading reading);
-/* Sets whether endpoints that packets wait for are re-registering. */
+/* Sets whether this node is in its initial synchronisation, during which
+ * changes are requested sooner, a few at a time. */
 void jt_directory_sync_learning(struct jt_directory_sync *sync, bool learning);
 /* Returns true if the store is unreachable for this node. */
 bool jt_directory_sync_lost(const struct jt_directory_sync *sync);
@@ -76,6 +77,7 @@
 /* Switches to another address of the store. */
 void jt_directory_sync_move(struct jt_directory_sync *sync,
 			    struct jt_address store);
+/* Returns the revision up to which this node has read the store. */
 uint64_t jt_directory_sync_revision(const struct jt_directory_sync *sync);
 /* Returns the milliseconds since the store's last valid answer. */
 uint64_t jt_directory_sync_age_ms(const struct jt_directory_sync *sync);
--- a/src/director/jt_endpoint_probes.h
+++ b/src/director/jt_endpoint_probes.h
@@ -20,14 +20,17 @@
 
 struct jt_endpoint_probes;
 
+/* Returns NULL if memory runs out. @client and @identity must outlive it. */
 struct jt_endpoint_probes *
 jt_endpoint_probes_create(TALLOC_CTX *mem_ctx, struct tevent_context *loop,
 			  struct jt_http_client *client,
 			  const struct jt_identity *identity,
 			  const struct jt_probe_handler *handler);
+/* Opens a TCP connection to the endpoint and reports the outcome. */
 void jt_endpoint_probes_connect(struct jt_endpoint_probes *probes,
 				uint64_t endpoint_id, uint64_t born_ms,
 				struct jt_address address);
+/* Queries which incarnation answers at @address and reports its id. */
 void jt_endpoint_probes_identify(struct jt_endpoint_probes *probes,
 				 uint64_t endpoint_id, uint64_t born_ms,
 				 struct jt_address address,
--- a/src/director/jt_environment.h
+++ b/src/director/jt_environment.h
@@ -59,24 +59,28 @@
 	const char *reason;
 };
 
+/* The answer to a list, watch or check. */
 struct jt_kv_answer {
 	enum jt_kv_status status;
 	uint64_t revision;
 	bool more;
 	const char *last_key; /* of this page; the next page starts after it */
-	bool zones_told; /* this page and earlier ones include all zone drains
-			  */
+	bool zones_told;      /* all zone drains are in the pages so far */
 	struct jt_change *changes;
 	size_t change_count;
 };
 
 /* Calls to the store that holds routing and endpoints. */
 struct jt_directory {
+	/* Requests the page of all items after @after_key (NULL: the first).
+	 * All calls time out after @timeout_ms. */
 	struct tevent_req *(*list_send)(TALLOC_CTX *mem_ctx,
 					struct jt_http_client *client,
 					struct jt_address store,
 					const char *after_key,
 					uint32_t timeout_ms);
+	/* Requests the changes after @revision; the store waits for one up to
+	 * @wait_ms. */
 	struct tevent_req *(*watch_send)(TALLOC_CTX *mem_ctx,
 					 struct jt_http_client *client,
 					 struct jt_address store,
@@ -88,13 +92,15 @@
 					 struct jt_http_client *client,
 					 struct jt_address store,
 					 uint32_t timeout_ms);
-	/* Returns NULL only if memory allocation fails. */
+	/* Returns the answer to any of these calls, a talloc child of
+	 * @mem_ctx; NULL only if memory runs out. */
 	struct jt_kv_answer *(*recv)(struct tevent_req *req,
 				     TALLOC_CTX *mem_ctx);
 };
 
 /* Queries the identity of an endpoint. */
 struct jt_identity {
+	/* Sends a request to the endpoint's health page. */
 	struct tevent_req *(*send)(TALLOC_CTX *mem_ctx,
 				   struct jt_http_client *client,
 				   struct jt_address endpoint,
@@ -104,6 +110,7 @@
 	uint64_t (*recv)(struct tevent_req *req);
 };
 
+/* An environment, selected by its name in the settings. */
 struct jt_environment {
 	const char *name;
 	const struct jt_packet_codec *codec;
--- a/src/director/jt_peer_exchange.c
+++ b/src/director/jt_peer_exchange.c
@@ -435,8 +435,7 @@
 	round_digest_send(exchange, targets, count, now_ms);
 	loads_send(exchange, targets, count);
 	exchange->handler.own_state(&own, exchange->handler.private_data);
-	/* Repeated in case of datagram loss: the leaving order depends on it.
-	 */
+	/* Repeated against datagram loss: the leaving order relies on it. */
 	if (own.leaving)
 		availability_send(exchange, true);
 	jt_peer_knowledge_look(exchange->knowledge, now_ms);
--- a/src/director/jt_peer_exchange.h
+++ b/src/director/jt_peer_exchange.h
@@ -16,6 +16,7 @@
 
 /* Callbacks of the owner of a peer exchange. */
 struct jt_peer_handler {
+	/* Fills in this node's state. */
 	void (*own_state)(struct jt_own_state *own, void *private_data);
 	/* Writes the state that a peer with @need lacks, as talloc children
 	 * of @mem_ctx. Returns false if memory runs out. */
@@ -93,6 +94,7 @@
 bool jt_peer_exchange_learns(const struct jt_peer_exchange *exchange);
 /* Returns this process's random id in the membership. */
 uint64_t jt_peer_exchange_id(const struct jt_peer_exchange *exchange);
+/* Returns the number of live peers. */
 size_t jt_peer_exchange_live(const struct jt_peer_exchange *exchange);
 /* Allocates the ids of the live peers below @mem_ctx. Returns their number. */
 size_t jt_peer_exchange_ids(const struct jt_peer_exchange *exchange,
--- a/src/director/jt_peer_frames.h
+++ b/src/director/jt_peer_frames.h
@@ -16,6 +16,7 @@
 /* Number of message kinds: enum jt_wire_director_kind starts at 1. */
 enum { JT_MESSAGE_KINDS = JT_WIRE_FLOW_ANSWER + 1 };
 
+/* Counters of messages and snapshots since the start. */
 struct jt_peer_counters {
 	struct jt_message_count sent[JT_MESSAGE_KINDS];
 	struct jt_message_count received[JT_MESSAGE_KINDS];
@@ -43,6 +44,7 @@
  * be zeroed, is freed with jt_peer_frames_free(). */
 bool jt_peer_frames_open(struct jt_peer_frames *frames, const uint8_t *data,
 			 size_t length, jt_wire_director_message *message);
+/* Frees what decoding allocated in @message. */
 void jt_peer_frames_free(jt_wire_director_message *message);
 
 #endif
--- a/src/director/jt_peer_knowledge.c
+++ b/src/director/jt_peer_knowledge.c
@@ -130,8 +130,7 @@
 	else if (snapshots->fetched.slice > before)
 		part_request(snapshots);
 	else
-		fetch_end(snapshots,
-			  JT_FETCH_BUSY); /* the answer held no whole slice */
+		fetch_end(snapshots, JT_FETCH_BUSY); /* no whole slice */
 }
 
 static void fetch_start(struct jt_peer_knowledge *snapshots,
--- a/src/director/jt_peer_knowledge.h
+++ b/src/director/jt_peer_knowledge.h
@@ -16,6 +16,7 @@
 
 /* Callbacks that provide this node's state and receive that of peers. */
 struct jt_knowledge_handler {
+	/* Fills in this node's state. */
 	void (*own_state)(struct jt_own_state *own, void *private_data);
 	/* Writes the state that a peer with @need lacks, as talloc children
 	 * of @mem_ctx. Returns false if memory runs out. */
--- a/src/director/jt_peer_sender.h
+++ b/src/director/jt_peer_sender.h
@@ -15,6 +15,7 @@
 	size_t some_next; /* index of the next peer in the rotation */
 };
 
+/* Sends a datagram; a message that is too long is dropped and counted. */
 void jt_peer_sender_send(struct jt_peer_sender *sender, struct jt_address to,
 			 const jt_wire_director_message *message);
 /* Sends to every live peer, or only to those of this node's zone. */
--- a/src/director_daemon/director_process.c
+++ b/src/director_daemon/director_process.c
@@ -16,9 +16,8 @@
 	struct tevent_context *loop;
 	struct jt_log log;
 	const char *file;
-	struct timespec file_mtime; /* modification time of the settings file */
-	struct jt_director_settings
-		*settings; /* owned by the node once it runs */
+	struct timespec file_mtime;
+	struct jt_director_settings *settings; /* owned by a running node */
 	struct jt_director_node *node;
 	struct jt_timer *settings_timer;
 	bool finished;
--- a/src/director_daemon/main.c
+++ b/src/director_daemon/main.c
@@ -57,7 +57,7 @@
 		result = EXIT_USAGE;
 	} else if (options->config == NULL) {
 		fprintf(stderr, DIRECTOR_PROGRAM
-			": --config or " SETTINGS_VARIABLE " is required\n");
+			": --config or " SETTINGS_VARIABLE " is needed\n");
 		result = EXIT_USAGE;
 	} else {
 		*run = true;
@@ -81,8 +81,7 @@
 	if (!run)
 		return result;
 	if (sodium_init() < 0) {
-		fprintf(stderr,
-			DIRECTOR_PROGRAM ": libsodium can't be initialised\n");
+		fprintf(stderr, DIRECTOR_PROGRAM ": libsodium can't start\n");
 		return EXIT_FAILED;
 	}
 	mem_ctx = talloc_new(NULL);
--- a/src/store/jt_store.h
+++ b/src/store/jt_store.h
@@ -12,7 +12,7 @@
 	JT_STORE_FAILED_COMPARE, /* the key was modified concurrently */
 	JT_STORE_REFUSED,	 /* rate limit or error: it was not applied */
 	JT_STORE_LOST,		 /* no answer: a write may have been applied */
-	JT_STORE_BAD_ANSWER,
+	JT_STORE_BAD_ANSWER,	 /* the answer could not be parsed */
 };
 
 struct jt_store_value {
@@ -23,9 +23,11 @@
 
 struct jt_store;
 
+/* Returns NULL if memory runs out. @url is the base of all calls. */
 struct jt_store *jt_store_create(TALLOC_CTX *mem_ctx,
 				 struct tevent_context *loop, const char *url);
 
+/* Reads @key. */
 struct tevent_req *jt_store_get_send(TALLOC_CTX *mem_ctx,
 				     struct jt_store *store, const char *key);
 enum jt_store_result jt_store_get_recv(struct tevent_req *req,
@@ -37,6 +39,7 @@
 struct tevent_req *jt_store_put_send(TALLOC_CTX *mem_ctx,
 				     struct jt_store *store, const char *key,
 				     const char *value, uint64_t mod_revision);
+/* Sets @revision to that of the store after the write. */
 enum jt_store_result jt_store_put_recv(struct tevent_req *req,
 				       uint64_t *revision);
 
@@ -52,6 +55,7 @@
 
 /* Bytes sent and received since the start. */
 uint64_t jt_store_bytes(const struct jt_store *store);
+/* Calls made since the start. */
 uint64_t jt_store_operations(const struct jt_store *store);
 
 #endif
