--- a/src/director/jt_director_log.c
+++ b/src/director/jt_director_log.c
@@ -51,7 +51,7 @@
 static void log_refusal(const struct jt_log *log,
 			const struct jt_director_action *action)
 {
-	const struct jt_director_room *room = &action->room;
+	const struct jt_director_room *admission = &action->room;
 	char flow[FLOW_TEXT];
 
 	jt_log_line(log, LOG_INFO,
@@ -59,9 +59,9 @@
 		    "version=%llu route=%s priority=%u limit=%u in_flight=%u "
 		    "delay_ms=%u allowed_ms=%u request=-",
 		    flow_format(&action->key, flow),
-		    (unsigned long long)action->version, room->route,
-		    room->priority, room->limit, room->in_flight,
-		    room->delay_ms, room->allowed_ms);
+		    (unsigned long long)action->version, admission->route,
+		    admission->priority, admission->limit, admission->in_flight,
+		    admission->delay_ms, admission->allowed_ms);
 }
 
 void jt_director_log_flow(const struct jt_log *log,
@@ -177,15 +177,15 @@
 void jt_director_log_room(const struct jt_log *log,
 			  const struct jt_director_action *action)
 {
-	const struct jt_director_room *room = &action->room;
+	const struct jt_director_room *admission = &action->room;
 	bool full = action->kind == JT_DIRECTOR_SERVICE_FULL;
 
 	jt_log_line(log, LOG_NOTICE,
 		    "event=%s service=%x limit=%u in_flight=%u delay_ms=%u "
 		    "allowed_ms=%u",
 		    full ? "service_full" : "service_free", action->service_id,
-		    room->limit, room->in_flight, room->delay_ms,
-		    room->allowed_ms);
+		    admission->limit, admission->in_flight, admission->delay_ms,
+		    admission->allowed_ms);
 }
 
 void jt_director_log_flush(const struct jt_log *log, uint64_t now_ms)
--- a/src/director/jt_director_node_news.c
+++ b/src/director/jt_director_node_news.c
@@ -244,12 +244,12 @@
 
 static bool on_snapshot_query(TALLOC_CTX *mem_ctx,
 			      const struct jt_knowledge_need *need,
-			      jt_wire_knowledge *knowledge, void *private_data)
+			      jt_wire_knowledge *snapshot, void *private_data)
 {
 	const struct jt_director_node *node = private_data;
 
 	return jt_knowledge_write(mem_ctx, node->director, need, jt_clock_ms(),
-				  knowledge);
+				  snapshot);
 }
 
 static void entries_apply(struct jt_director_node *node,
@@ -277,35 +277,35 @@
 
 /* Applies whole slices, in which missing endpoints do not exist. */
 static void slices_apply(struct jt_director_node *node,
-			 const jt_wire_knowledge *knowledge)
+			 const jt_wire_knowledge *snapshot)
 {
 	TALLOC_CTX *frame = talloc_new(node);
 	struct jt_director_event event;
 
-	if (jt_knowledge_slices(frame, knowledge, &event))
+	if (jt_knowledge_slices(frame, snapshot, &event))
 		jt_director_node_event(node, &event);
 	talloc_free(frame);
 }
 
 /* Applies a part of a peer's state snapshot: routing, endpoints and all zone
  * drains. */
-static void on_snapshot_part(const jt_wire_knowledge *knowledge,
+static void on_snapshot_part(const jt_wire_knowledge *snapshot,
 			     void *private_data)
 {
 	struct jt_director_node *node = private_data;
 	struct jt_routing *routing =
-		jt_knowledge_routing(node, &knowledge->routing);
+		jt_knowledge_routing(node, &snapshot->routing);
 
 	if (routing != NULL)
 		routing_apply(node, routing, "peer");
 	if (routing != NULL && jt_director_routing(node->director) != routing)
 		talloc_free(routing);
-	entries_apply(node, knowledge->entries.entries_val,
-		      knowledge->entries.entries_len);
-	slices_apply(node, knowledge);
-	wire_zone_drains_apply(node, knowledge->zones.zones_val,
-			       knowledge->zones.zones_len, true,
-			       knowledge->revision);
+	entries_apply(node, snapshot->entries.entries_val,
+		      snapshot->entries.entries_len);
+	slices_apply(node, snapshot);
+	wire_zone_drains_apply(node, snapshot->zones.zones_val,
+			       snapshot->zones.zones_len, true,
+			       snapshot->revision);
 	on_partial_listing(node);
 }
 
@@ -338,7 +338,7 @@
 	jt_directory_sync_informed(node->sync, snapshot->revision);
 }
 
-static void on_updates(const jt_wire_news *news, void *private_data)
+static void on_updates(const jt_wire_news *update, void *private_data)
 {
 	struct jt_director_node *node = private_data;
 	struct jt_director_event event = {.kind = JT_DIRECTOR_NEWS};
@@ -346,15 +346,16 @@
 
 	if (!jt_director_started(node->director))
 		return;
-	entries_apply(node, news->entries.entries_val,
-		      news->entries.entries_len);
-	wire_zone_drains_apply(node, news->zones.zones_val,
-			       news->zones.zones_len, false,
-			       news->digest.revision);
-	event.u.news.since = news->since;
-	event.u.news.revision = news->digest.revision;
-	event.u.news.routing_version = news->digest.routing_version;
-	event.u.news.gap = (struct jt_list_gap){news->gap_from, news->gap_to};
+	entries_apply(node, update->entries.entries_val,
+		      update->entries.entries_len);
+	wire_zone_drains_apply(node, update->zones.zones_val,
+			       update->zones.zones_len, false,
+			       update->digest.revision);
+	event.u.news.since = update->since;
+	event.u.news.revision = update->digest.revision;
+	event.u.news.routing_version = update->digest.routing_version;
+	event.u.news.gap =
+		(struct jt_list_gap){update->gap_from, update->gap_to};
 	jt_director_node_event(node, &event);
 	if (jt_director_revision(node->director) > before)
 		jt_peer_exchange_news(node->peers);
--- a/src/director/jt_peer_exchange.c
+++ b/src/director/jt_peer_exchange.c
@@ -30,7 +30,7 @@
 	struct jt_peer_handler handler;
 	struct jt_peer_sender sender;
 	struct jt_membership *membership;
-	struct jt_peer_knowledge *knowledge;
+	struct jt_peer_knowledge *snapshots;
 	struct jt_http_server *server;
 	struct jt_timer *timer;
 	struct jt_timer *update_timer;
@@ -156,50 +156,50 @@
 
 /* Adds the zone drains that changed since the last update. Returns false if
  * there are too many. */
-static bool update_add_zones(const jt_wire_knowledge *knowledge,
-			     jt_wire_news *news)
+static bool update_add_zones(const jt_wire_knowledge *snapshot,
+			     jt_wire_news *update)
 {
-	jt_wire_zone_drain *zones = knowledge->zones.zones_val;
+	jt_wire_zone_drain *zones = snapshot->zones.zones_val;
 	u_int count = 0;
 
-	for (u_int i = 0; i < knowledge->zones.zones_len; i++) {
-		if (zones[i].revision <= knowledge->since)
+	for (u_int i = 0; i < snapshot->zones.zones_len; i++) {
+		if (zones[i].revision <= snapshot->since)
 			continue;
 		if (count == JT_DIRECTOR_MAX_NEWS_ZONES)
 			return false;
 		zones[count++] = zones[i];
 	}
-	news->zones.zones_val = zones;
-	news->zones.zones_len = count;
+	update->zones.zones_val = zones;
+	update->zones.zones_len = count;
 	return true;
 }
 
 static void update_add_entries(struct jt_peer_exchange *exchange,
 			       TALLOC_CTX *frame,
 			       const struct jt_own_state *own,
-			       jt_wire_news *news)
+			       jt_wire_news *update)
 {
-	jt_wire_knowledge knowledge = {0};
+	jt_wire_knowledge snapshot = {0};
 	const struct jt_knowledge_need need = {
 		.since = exchange->sent_revision,
 		.version = own->routing_version,
 	};
 
 	/* An update without entries makes the receivers request a snapshot. */
-	news->since = own->revision;
+	update->since = own->revision;
 	if (exchange->sent_revision == 0 ||
-	    !exchange->handler.knowledge(frame, &need, &knowledge,
+	    !exchange->handler.knowledge(frame, &need, &snapshot,
 					 exchange->handler.private_data) ||
-	    !jt_knowledge_whole(&knowledge) ||
-	    knowledge.since != exchange->sent_revision ||
-	    knowledge.entries.entries_len > JT_DIRECTOR_MAX_NEWS ||
-	    !update_add_zones(&knowledge, news))
+	    !jt_knowledge_whole(&snapshot) ||
+	    snapshot.since != exchange->sent_revision ||
+	    snapshot.entries.entries_len > JT_DIRECTOR_MAX_NEWS ||
+	    !update_add_zones(&snapshot, update))
 		return;
-	news->since = knowledge.since;
-	news->gap_from = knowledge.gap_from;
-	news->gap_to = knowledge.gap_to;
-	news->entries.entries_val = knowledge.entries.entries_val;
-	news->entries.entries_len = knowledge.entries.entries_len;
+	update->since = snapshot.since;
+	update->gap_from = snapshot.gap_from;
+	update->gap_to = snapshot.gap_to;
+	update->entries.entries_val = snapshot.entries.entries_val;
+	update->entries.entries_len = snapshot.entries.entries_len;
 }
 
 static void on_update_due(void *private_data)
@@ -212,15 +212,15 @@
 		.from = exchange->membership->id,
 		.body.kind = JT_WIRE_NEWS,
 	};
-	jt_wire_news *news = &message.body.jt_wire_director_body_u.news;
+	jt_wire_news *update = &message.body.jt_wire_director_body_u.news;
 	TALLOC_CTX *frame = talloc_new(exchange);
 	struct jt_own_state own = {0};
 
 	exchange->update_pending = false;
 	exchange->handler.own_state(&own, exchange->handler.private_data);
 	jt_membership_own_state(exchange->membership, &own, jt_clock_ms(),
-				&news->digest);
-	update_add_entries(exchange, frame, &own, news);
+				&update->digest);
+	update_add_entries(exchange, frame, &own, update);
 	exchange->sent_revision = own.revision;
 	for (size_t i = 0; i < count; i++) {
 		jt_peer_sender_send(&exchange->sender, targets[i], &message);
@@ -309,7 +309,7 @@
 		exchange->handler.store_heard(now_ms - digest->store_age_ms,
 					      digest->store_reader,
 					      exchange->handler.private_data);
-	jt_peer_knowledge_look(exchange->knowledge, now_ms);
+	jt_peer_knowledge_look(exchange->snapshots, now_ms);
 }
 
 static void failures_receive(struct jt_peer_exchange *exchange,
@@ -331,7 +331,7 @@
 			     struct jt_address from,
 			     const jt_wire_director_message *message)
 {
-	const jt_wire_news *news;
+	const jt_wire_news *update;
 
 	switch (message->body.kind) {
 	case JT_WIRE_DIGEST:
@@ -339,9 +339,9 @@
 			       &message->body.jt_wire_director_body_u.digest);
 		break;
 	case JT_WIRE_NEWS:
-		news = &message->body.jt_wire_director_body_u.news;
-		exchange->handler.news(news, exchange->handler.private_data);
-		digest_receive(exchange, message->from, from, &news->digest);
+		update = &message->body.jt_wire_director_body_u.news;
+		exchange->handler.news(update, exchange->handler.private_data);
+		digest_receive(exchange, message->from, from, &update->digest);
 		break;
 	case JT_WIRE_STANDING:
 		if (jt_membership_standing(
@@ -438,7 +438,7 @@
 	/* Repeated against datagram loss: the leaving order relies on it. */
 	if (own.leaving)
 		availability_send(exchange, true);
-	jt_peer_knowledge_look(exchange->knowledge, now_ms);
+	jt_peer_knowledge_look(exchange->snapshots, now_ms);
 	jt_timer_set(exchange->timer,
 		     now_ms - exchange->created_ms < FAST_ROUNDS_TOTAL_MS
 			     ? FAST_ROUND_MS
@@ -469,7 +469,7 @@
 			     const struct jt_director_settings *settings)
 {
 	exchange->sender.frames.keys = settings->keys;
-	jt_peer_knowledge_set_link(exchange->knowledge, settings->link_mbps);
+	jt_peer_knowledge_set_link(exchange->snapshots, settings->link_mbps);
 	if (settings->leave_limit_ms > 0)
 		exchange->membership->leave_limit_ms = settings->leave_limit_ms;
 	seeds_add(exchange, settings);
@@ -486,14 +486,14 @@
 		return false;
 	exchange->server = jt_http_server_create(
 		exchange, exchange->loop, &options, jt_peer_knowledge_request,
-		exchange->knowledge);
+		exchange->snapshots);
 	return exchange->server != NULL &&
 	       tevent_add_fd(exchange->loop, exchange, exchange->sender.fd,
 			     TEVENT_FD_READ, on_datagrams, exchange) != NULL;
 }
 
 static struct jt_peer_knowledge *
-knowledge_create(struct jt_peer_exchange *exchange,
+snapshots_create(struct jt_peer_exchange *exchange,
 		 struct jt_http_client *client)
 {
 	const struct jt_peer_knowledge_options options = {
@@ -544,9 +544,9 @@
 	exchange->timer = jt_timer_create(exchange, loop, on_round, exchange);
 	exchange->update_timer =
 		jt_timer_create(exchange, loop, on_update_due, exchange);
-	exchange->knowledge = knowledge_create(exchange, client);
+	exchange->snapshots = snapshots_create(exchange, client);
 	if (exchange->membership == NULL || exchange->timer == NULL ||
-	    exchange->update_timer == NULL || exchange->knowledge == NULL)
+	    exchange->update_timer == NULL || exchange->snapshots == NULL)
 		goto fail;
 	if (!peer_address_open(exchange)) {
 		*error = talloc_asprintf(
@@ -572,12 +572,12 @@
 
 bool jt_peer_exchange_fetching(const struct jt_peer_exchange *exchange)
 {
-	return jt_peer_knowledge_fetching(exchange->knowledge);
+	return jt_peer_knowledge_fetching(exchange->snapshots);
 }
 
 bool jt_peer_exchange_learns(const struct jt_peer_exchange *exchange)
 {
-	return jt_peer_knowledge_learns(exchange->knowledge);
+	return jt_peer_knowledge_learns(exchange->snapshots);
 }
 
 uint64_t jt_peer_exchange_id(const struct jt_peer_exchange *exchange)
--- a/src/director/jt_peer_exchange.h
+++ b/src/director/jt_peer_exchange.h
@@ -22,14 +22,14 @@
 	 * of @mem_ctx. Returns false if memory runs out. */
 	bool (*knowledge)(TALLOC_CTX *mem_ctx,
 			  const struct jt_knowledge_need *need,
-			  jt_wire_knowledge *knowledge, void *private_data);
+			  jt_wire_knowledge *snapshot, void *private_data);
 	/* A part of a state snapshot was received. */
-	void (*learned)(const jt_wire_knowledge *knowledge, void *private_data);
+	void (*learned)(const jt_wire_knowledge *snapshot, void *private_data);
 	/* The snapshot is complete; @whole summarises its parts. */
 	void (*learned_all)(const struct jt_knowledge_fetch *whole,
 			    void *private_data);
 	/* Gossip updates were received. */
-	void (*news)(const jt_wire_news *news, void *private_data);
+	void (*news)(const jt_wire_news *update, void *private_data);
 	/* A peer with no newer state than this node has all that the store
 	 * held at @as_of_ms, when @reader read it. */
 	void (*store_heard)(uint64_t as_of_ms, uint64_t reader,
--- a/src/director/jt_peer_knowledge.c
+++ b/src/director/jt_peer_knowledge.c
@@ -43,13 +43,13 @@
 }
 
 static void part_apply(struct jt_peer_knowledge *snapshots,
-		       const jt_wire_knowledge *knowledge)
+		       const jt_wire_knowledge *snapshot)
 {
 	struct jt_knowledge_fetch *fetched = &snapshots->fetched;
 	void *private_data = snapshots->handler.private_data;
 
-	snapshots->handler.learned(knowledge, private_data);
-	if (jt_knowledge_fetch_took(fetched, knowledge, jt_clock_ms()))
+	snapshots->handler.learned(snapshot, private_data);
+	if (jt_knowledge_fetch_took(fetched, snapshot, jt_clock_ms()))
 		snapshots->handler.learned_all(fetched, private_data);
 }
 
@@ -162,13 +162,13 @@
 
 /* Sets the age of this node's store data, and the node that read it. */
 static void snapshot_set_age(const struct jt_peer_knowledge *snapshots,
-			     jt_wire_knowledge *knowledge)
+			     jt_wire_knowledge *snapshot)
 {
 	struct jt_own_state own = {0};
 
 	snapshots->handler.own_state(&own, snapshots->handler.private_data);
-	knowledge->store_age_ms = jt_own_store_age_ms(&own, jt_clock_ms());
-	knowledge->store_reader = own.store_reader;
+	snapshot->store_age_ms = jt_own_store_age_ms(&own, jt_clock_ms());
+	snapshot->store_reader = own.store_reader;
 }
 
 static void snapshot_reply(struct jt_peer_knowledge *snapshots,
@@ -181,7 +181,7 @@
 	};
 	xdrproc_t encode = (xdrproc_t)xdr_jt_wire_director_message;
 	TALLOC_CTX *frame = talloc_new(snapshots);
-	jt_wire_knowledge *knowledge =
+	jt_wire_knowledge *snapshot =
 		&message.body.jt_wire_director_body_u.knowledge;
 	const struct jt_knowledge_need need = {
 		.since = query_number(request, "since"),
@@ -191,9 +191,9 @@
 	uint8_t *body = NULL;
 	size_t size, length = 0;
 
-	if (snapshots->handler.knowledge(frame, &need, knowledge,
+	if (snapshots->handler.knowledge(frame, &need, snapshot,
 					 snapshots->handler.private_data)) {
-		snapshot_set_age(snapshots, knowledge);
+		snapshot_set_age(snapshots, snapshot);
 		size = xdr_sizeof(encode, &message) + JT_FRAME_HEADER +
 		       JT_TAG_BYTES;
 		if (size <= SNAPSHOT_MAX)
--- a/src/director/jt_peer_knowledge.h
+++ b/src/director/jt_peer_knowledge.h
@@ -22,9 +22,9 @@
 	 * of @mem_ctx. Returns false if memory runs out. */
 	bool (*knowledge)(TALLOC_CTX *mem_ctx,
 			  const struct jt_knowledge_need *need,
-			  jt_wire_knowledge *knowledge, void *private_data);
+			  jt_wire_knowledge *snapshot, void *private_data);
 	/* A part of a snapshot was received. */
-	void (*learned)(const jt_wire_knowledge *knowledge, void *private_data);
+	void (*learned)(const jt_wire_knowledge *snapshot, void *private_data);
 	/* The snapshot is complete; @whole summarises its parts. */
 	void (*learned_all)(const struct jt_knowledge_fetch *whole,
 			    void *private_data);
--- a/src/store/jt_store.c
+++ b/src/store/jt_store.c
@@ -49,12 +49,12 @@
 static char *to_base64(TALLOC_CTX *mem_ctx, const char *text)
 {
 	size_t length = strlen(text);
-	size_t room = sodium_base64_ENCODED_LEN(length,
+	size_t size = sodium_base64_ENCODED_LEN(length,
 						sodium_base64_VARIANT_ORIGINAL);
-	char *encoded = talloc_array(mem_ctx, char, room);
+	char *encoded = talloc_array(mem_ctx, char, size);
 
 	if (encoded != NULL)
-		sodium_bin2base64(encoded, room, (const uint8_t *)text, length,
+		sodium_bin2base64(encoded, size, (const uint8_t *)text, length,
 				  sodium_base64_VARIANT_ORIGINAL);
 	return encoded;
 }
@@ -102,11 +102,11 @@
 	char *body = NULL;
 	size_t bytes = 0;
 	long status = 0;
-	int lost = jt_http_recv(subreq, state, &status, &body, &bytes);
+	int failed = jt_http_recv(subreq, state, &status, &body, &bytes);
 
 	TALLOC_FREE(subreq);
 	state->store->bytes += bytes;
-	if (lost) {
+	if (failed) {
 		state->result = JT_STORE_LOST;
 	} else if (status != 200) {
 		/* A gateway's 5xx does not show whether the write was
