--- a/src/director/jt_director_log.c
+++ b/src/director/jt_director_log.c
@@ -8,10 +8,10 @@
 {
 	struct jt_address from = {key->source, key->source_port};
 	struct jt_address to = {key->destination, key->destination_port};
-	char left[JT_ADDRESS_TEXT], right[JT_ADDRESS_TEXT];
+	char source[JT_ADDRESS_TEXT], destination[JT_ADDRESS_TEXT];
 
-	snprintf(text, FLOW_TEXT, "%s>%s", jt_address_format(from, left),
-		 jt_address_format(to, right));
+	snprintf(text, FLOW_TEXT, "%s>%s", jt_address_format(from, source),
+		 jt_address_format(to, destination));
 	return text;
 }
 
@@ -39,19 +39,19 @@
 	}
 }
 
-static bool allowed(const struct jt_log *log, enum jt_log_class class,
-		    uint64_t now_ms)
+static bool is_allowed(const struct jt_log *log, enum jt_log_class class,
+		       uint64_t now_ms)
 {
 	if (log->threshold < LOG_INFO)
 		return false;
 	return log->sink == NULL || jt_log_sink_allow(log->sink, class, now_ms);
 }
 
-/* A new flow found no room at its service. */
+/* Logs a new flow that was refused for lack of capacity. */
 static void log_refusal(const struct jt_log *log,
 			const struct jt_director_action *action)
 {
-	const struct jt_director_room *room = &action->room;
+	const struct jt_director_room *admission = &action->room;
 	char flow[FLOW_TEXT];
 
 	jt_log_line(log, LOG_INFO,
@@ -59,9 +59,9 @@
 		    "version=%llu route=%s priority=%u limit=%u in_flight=%u "
 		    "delay_ms=%u allowed_ms=%u request=-",
 		    flow_format(&action->key, flow),
-		    (unsigned long long)action->version, room->route,
-		    room->priority, room->limit, room->in_flight,
-		    room->delay_ms, room->allowed_ms);
+		    (unsigned long long)action->version, admission->route,
+		    admission->priority, admission->limit, admission->in_flight,
+		    admission->delay_ms, admission->allowed_ms);
 }
 
 void jt_director_log_flow(const struct jt_log *log,
@@ -71,7 +71,7 @@
 	char flow[FLOW_TEXT], address[JT_ADDRESS_TEXT];
 
 	if (action->reason == JT_DIRECTOR_LABELLED ||
-	    !allowed(log, reason_class(action->reason), now_ms))
+	    !is_allowed(log, reason_class(action->reason), now_ms))
 		return;
 	if (action->reason == JT_DIRECTOR_OVERLOADED) {
 		log_refusal(log, action);
@@ -100,7 +100,7 @@
 {
 	char flow[FLOW_TEXT];
 
-	if (!allowed(log, JT_LOG_ORDINARY, now_ms))
+	if (!is_allowed(log, JT_LOG_ORDINARY, now_ms))
 		return;
 	jt_log_line(log, LOG_INFO,
 		    "event=request request=%s flow=%s endpoint=%llx "
@@ -119,7 +119,7 @@
 {
 	char flow[FLOW_TEXT];
 
-	if (!allowed(log, JT_LOG_ORDINARY, now_ms))
+	if (!is_allowed(log, JT_LOG_ORDINARY, now_ms))
 		return;
 	jt_log_line(log, LOG_INFO, "event=flow_told flow=%s known=%s label=%x",
 		    flow_format(key, flow), label != 0 ? "yes" : "no", label);
@@ -149,8 +149,9 @@
 {
 	char address[JT_ADDRESS_TEXT];
 
-	/* Most endpoints of a service may turn at the same moment. */
-	if (!allowed(log, JT_LOG_UNUSUAL, now_ms))
+	/* Rate-limited: many endpoints of a service may change at the same
+	 * time. */
+	if (!is_allowed(log, JT_LOG_UNUSUAL, now_ms))
 		return;
 	jt_log_line(log, LOG_NOTICE,
 		    "event=%s endpoint=%llx born_ms=%llu address=%s "
@@ -176,15 +177,15 @@
 void jt_director_log_room(const struct jt_log *log,
 			  const struct jt_director_action *action)
 {
-	const struct jt_director_room *room = &action->room;
+	const struct jt_director_room *admission = &action->room;
 	bool full = action->kind == JT_DIRECTOR_SERVICE_FULL;
 
 	jt_log_line(log, LOG_NOTICE,
 		    "event=%s service=%x limit=%u in_flight=%u delay_ms=%u "
 		    "allowed_ms=%u",
 		    full ? "service_full" : "service_free", action->service_id,
-		    room->limit, room->in_flight, room->delay_ms,
-		    room->allowed_ms);
+		    admission->limit, admission->in_flight, admission->delay_ms,
+		    admission->allowed_ms);
 }
 
 void jt_director_log_flush(const struct jt_log *log, uint64_t now_ms)
