--- a/src/daemon/jt_api.c
+++ b/src/daemon/jt_api.c
@@ -14,28 +14,28 @@
 enum {
 	CONNECTION_LIMIT = 256,
 	WATCH_TIMEOUT_MS = 30000,
-	RATE_PER_S = 200, /* requests of all callers together */
+	RATE_PER_S = 200, /* requests of all API users together */
 	RATE_BURST = 400,
 };
 
-struct waiting_watch {
-	struct waiting_watch *next;
+struct pending_watch {
+	struct pending_watch *next;
 	struct jt_api *api;
 	struct jt_http_request *request;
-	uint64_t after;
-	uint64_t until_ms;
+	uint64_t after_revision;
+	uint64_t deadline_ms;
 };
 
 struct jt_api {
 	struct jt_node *node;
 	struct jt_config_sync *sync;
 	struct jt_http_server *server;
-	struct waiting_watch *watches;
+	struct pending_watch *watches;
 	uint64_t tokens_milli;
 	uint64_t refilled_ms;
 };
 
-/* A write whose request waits for the outcome. */
+/* A write whose HTTP request waits for the outcome. */
 struct api_write {
 	struct jt_api *api;
 	struct jt_http_request *request;
@@ -56,8 +56,8 @@
 	return true;
 }
 
-/* Reads are from what is in force here. */
-static json_t *document_in_force(const struct jt_node *node, uint64_t *revision)
+/* Returns the document active on this node, without the write ids. */
+static json_t *active_document(const struct jt_node *node, uint64_t *revision)
 {
 	const struct jt_cell_state *state = jt_core_state(node->core);
 	const struct jt_document *document = NULL;
@@ -95,8 +95,9 @@
 	talloc_free(write);
 }
 
-static struct api_write *
-write_make(struct jt_api *api, struct jt_http_request *request, const char *id)
+static struct api_write *write_create(struct jt_api *api,
+				      struct jt_http_request *request,
+				      const char *id)
 {
 	struct api_write *write = talloc_zero(api, struct api_write);
 	uint8_t bytes[12];
@@ -134,12 +135,12 @@
 {
 	struct jt_resource_error error = {0};
 	uint64_t revision;
-	json_t *before = document_in_force(api->node, &revision);
-	json_t *after;
+	json_t *current = active_document(api->node, &revision);
+	json_t *new_document;
 	enum jt_change_result result = jt_change_apply(
-		before, changes, count, "dry-run", &after, &error);
+		current, changes, count, "dry-run", &new_document, &error);
 
-	json_decref(before);
+	json_decref(current);
 	if (result != JT_CHANGE_OK) {
 		jt_api_reply_wrong(request, change_status(result), &error);
 		return;
@@ -147,17 +148,18 @@
 	jt_api_reply_json(request, 200,
 			  json_pack("{s:s,s:I,s:o}", "outcome", "valid",
 				    "revision", (json_int_t)revision, "plan",
-				    jt_status_plan(api->node, after)));
-	json_decref(after);
+				    jt_status_plan(api->node, new_document)));
+	json_decref(new_document);
 }
 
-/* Takes over @posted. */
-static void submit(struct jt_api *api, struct jt_http_request *request,
-		   const struct jt_token *token, struct jt_change *changes,
-		   size_t count, json_t *posted)
+/* Checks and submits @changes. Takes ownership of @changes and @posted. */
+static void changes_submit(struct jt_api *api, struct jt_http_request *request,
+			   const struct jt_token *token,
+			   struct jt_change *changes, size_t count,
+			   json_t *posted)
 {
 	const char *id = jt_http_header(request, "X-Request-Id");
-	const char *dry = jt_http_query(request, "dry_run");
+	const char *dry_run_query = jt_http_query(request, "dry_run");
 	struct jt_resource_error error = {0};
 	struct api_write *write;
 
@@ -169,31 +171,31 @@
 			jt_api_reply_error(
 				request, 403,
 				"the token does not allow this change");
-			goto refused;
+			goto release;
 		}
 		if (jt_api_deletion_cuts(api->node->core, &changes[i],
 					 &error)) {
 			jt_api_reply_wrong(request, 409, &error);
-			goto refused;
+			goto release;
 		}
 	}
-	if (dry != NULL && strcmp(dry, "1") == 0) {
+	if (dry_run_query != NULL && strcmp(dry_run_query, "1") == 0) {
 		dry_run(api, request, changes, count);
-		goto refused;
+		goto release;
 	}
 	if (id != NULL && (strlen(id) == 0 || strlen(id) > JT_WRITE_ID_BYTES)) {
 		jt_api_reply_error(
 			request, 400,
 			"X-Request-Id must have 1 to 128 characters");
-		goto refused;
+		goto release;
 	}
-	write = write_make(api, request, id);
+	write = write_create(api, request, id);
 	if (write == NULL)
-		goto refused;
+		goto release;
 	jt_config_write(api->sync, write->id, changes, count, posted,
 			on_written, write);
 	return;
-refused:
+release:
 	talloc_free(changes);
 	json_decref(posted);
 }
@@ -229,7 +231,7 @@
 		json_decref(posted);
 		return;
 	}
-	submit(api, request, token, changes, count, posted);
+	changes_submit(api, request, token, changes, count, posted);
 }
 
 static void handle_put(struct jt_api *api, struct jt_http_request *request,
@@ -238,13 +240,13 @@
 {
 	json_t *posted = parse_body(request);
 	struct jt_change *change;
-	const char *own;
+	const char *resource_name;
 
 	if (posted == NULL)
 		return;
 	change = talloc_zero(api, struct jt_change);
-	own = jt_resource_name(change, kind, posted);
-	if (own == NULL || strcmp(own, name) != 0) {
+	resource_name = jt_resource_name(change, kind, posted);
+	if (resource_name == NULL || strcmp(resource_name, name) != 0) {
 		jt_api_reply_json(request, 422,
 				  json_pack("{s:s,s:s}", "error",
 					    "differs from the name in the path",
@@ -254,13 +256,13 @@
 		return;
 	}
 	change->kind = kind;
-	change->name = own;
+	change->name = resource_name;
 	change->resource = posted;
 	change->has_version =
 		json_is_integer(json_object_get(posted, "version"));
 	change->version = (uint64_t)json_integer_value(
 		json_object_get(posted, "version"));
-	submit(api, request, token, change, 1, posted);
+	changes_submit(api, request, token, change, 1, posted);
 }
 
 static void handle_delete(struct jt_api *api, struct jt_http_request *request,
@@ -276,14 +278,14 @@
 		change->has_version = true;
 		change->version = strtoull(version, NULL, 10);
 	}
-	submit(api, request, token, change, 1, NULL);
+	changes_submit(api, request, token, change, 1, NULL);
 }
 
 static void handle_get(struct jt_api *api, struct jt_http_request *request,
 		       enum jt_resource_kind kind, const char *name)
 {
 	uint64_t revision;
-	json_t *root = document_in_force(api->node, &revision);
+	json_t *root = active_document(api->node, &revision);
 	json_t *list = json_object_get(root, jt_resource_kind_name(kind));
 	size_t at;
 
@@ -295,8 +297,7 @@
 	} else {
 		at = jt_resource_find(root, kind, name);
 		if (at == SIZE_MAX)
-			jt_api_reply_error(request, 404,
-					   "there is no such resource");
+			jt_api_reply_error(request, 404, "resource not found");
 		else
 			jt_api_reply_json(
 				request, 200,
@@ -307,9 +308,9 @@
 
 /* Watching */
 
-static void watch_remove(struct waiting_watch *watch)
+static void watch_remove(struct pending_watch *watch)
 {
-	struct waiting_watch **link = &watch->api->watches;
+	struct pending_watch **link = &watch->api->watches;
 
 	while (*link != NULL && *link != watch)
 		link = &(*link)->next;
@@ -323,11 +324,11 @@
 	watch_remove(private_data);
 }
 
-static void watch_answer(struct waiting_watch *watch)
+static void watch_answer(struct pending_watch *watch)
 {
 	struct jt_http_request *request = watch->request;
 	uint64_t revision;
-	json_t *root = document_in_force(watch->api->node, &revision);
+	json_t *root = active_document(watch->api->node, &revision);
 
 	jt_http_on_close(request, NULL, NULL);
 	watch_remove(watch);
@@ -336,7 +337,7 @@
 				    (json_int_t)revision, "resources", root));
 }
 
-static uint64_t revision_in_force(const struct jt_node *node)
+static uint64_t active_revision(const struct jt_node *node)
 {
 	const struct jt_cell_state *state = jt_core_state(node->core);
 
@@ -345,42 +346,43 @@
 
 void jt_api_changed(struct jt_api *api)
 {
-	struct waiting_watch *watch, *next;
+	struct pending_watch *watch, *next;
 	uint64_t revision;
 
-	revision = revision_in_force(api->node);
+	revision = active_revision(api->node);
 	for (watch = api->watches; watch != NULL; watch = next) {
 		next = watch->next;
-		if (revision > watch->after)
+		if (revision > watch->after_revision)
 			watch_answer(watch);
 	}
 }
 
 void jt_api_tick(struct jt_api *api)
 {
-	struct waiting_watch *watch, *next;
+	struct pending_watch *watch, *next;
 	uint64_t now = jt_clock_ms();
 
 	for (watch = api->watches; watch != NULL; watch = next) {
 		next = watch->next;
-		if (now >= watch->until_ms)
+		if (now >= watch->deadline_ms)
 			watch_answer(watch);
 	}
 }
 
 static void handle_watch(struct jt_api *api, struct jt_http_request *request)
 {
-	const char *after = jt_http_query(request, "after");
-	struct waiting_watch *watch = talloc_zero(api, struct waiting_watch);
+	const char *after_revision = jt_http_query(request, "after");
+	struct pending_watch *watch = talloc_zero(api, struct pending_watch);
 
 	watch->api = api;
 	watch->request = request;
-	watch->after = after ? strtoull(after, NULL, 10) : 0;
-	watch->until_ms = jt_clock_ms() + WATCH_TIMEOUT_MS;
+	watch->after_revision =
+		after_revision ? strtoull(after_revision, NULL, 10) : 0;
+	watch->deadline_ms = jt_clock_ms() + WATCH_TIMEOUT_MS;
 	watch->next = api->watches;
 	api->watches = watch;
 	jt_http_on_close(request, on_watch_closed, watch);
-	if (revision_in_force(api->node) > watch->after)
+	if (active_revision(api->node) > watch->after_revision)
 		watch_answer(watch);
 }
 
@@ -411,7 +413,7 @@
 			     struct jt_http_request *request)
 {
 	uint64_t revision;
-	json_t *root = document_in_force(api->node, &revision);
+	json_t *root = active_document(api->node, &revision);
 
 	jt_api_reply_json(request, 200,
 			  json_pack("{s:I,s:o}", "revision",
@@ -421,19 +423,20 @@
 static void handle_outcome(struct jt_api *api, struct jt_http_request *request,
 			   const char *id)
 {
-	struct api_write *write = write_make(api, request, id);
+	struct api_write *write = write_create(api, request, id);
 
 	if (write != NULL)
 		jt_config_write_outcome(api->sync, write->id, on_written,
 					write);
 }
 
-/* True when the path is a resource's; *name is NULL for a whole list. */
+/* Returns true if @path is a kind of resources or one resource; *name is NULL
+ * for a kind. */
 static bool parse_resource_path(const char *path, enum jt_resource_kind *kind,
 				const char **name)
 {
 	static const char prefix[] = "/v1/";
-	char word[16];
+	char kind_name[16];
 	const char *end;
 	size_t length;
 
@@ -442,11 +445,11 @@
 	path += strlen(prefix);
 	end = strchrnul(path, '/');
 	length = (size_t)(end - path);
-	if (length >= sizeof(word))
+	if (length >= sizeof(kind_name))
 		return false;
-	memcpy(word, path, length);
-	word[length] = '\0';
-	*kind = jt_resource_kind_parse(word);
+	memcpy(kind_name, path, length);
+	kind_name[length] = '\0';
+	*kind = jt_resource_kind_parse(kind_name);
 	*name = *end == '/' && end[1] != '\0' ? end + 1 : NULL;
 	return *kind != JT_RESOURCE_KINDS;
 }
@@ -475,7 +478,7 @@
 	else if (strcmp(method, "POST") == 0 && strcmp(path, "/v1/apply") == 0)
 		handle_apply(api, request, token);
 	else if (!parse_resource_path(path, &kind, &name))
-		jt_api_reply_error(request, 404, "there is no such page");
+		jt_api_reply_error(request, 404, "path not found");
 	else if (get)
 		handle_get(api, request, kind, name);
 	else if (name != NULL && strcmp(method, "PUT") == 0)
@@ -483,10 +486,11 @@
 	else if (name != NULL && strcmp(method, "DELETE") == 0)
 		handle_delete(api, request, token, kind, name);
 	else
-		jt_api_reply_error(request, 405, "method not allowed here");
+		jt_api_reply_error(request, 405, "method not allowed");
 }
 
-static void handle_open(struct jt_api *api, struct jt_http_request *request)
+static void handle_unauthenticated(struct jt_api *api,
+				   struct jt_http_request *request)
 {
 	const char *path = jt_http_path(request);
 	char *text;
@@ -503,7 +507,7 @@
 		jt_http_reply(request, 200, "text/plain; version=0.0.4", text);
 		talloc_free(text);
 	} else {
-		jt_api_reply_error(request, 404, "there is no such page");
+		jt_api_reply_error(request, 404, "path not found");
 	}
 }
 
@@ -514,7 +518,7 @@
 	const struct jt_token *token;
 
 	if (strncmp(path, "/v1/", 4) != 0) {
-		handle_open(api, request);
+		handle_unauthenticated(api, request);
 		return;
 	}
 	if (!rate_allows(api)) {
@@ -524,7 +528,7 @@
 	}
 	token = jt_api_find_token(api->node->settings, request);
 	if (token == NULL) {
-		jt_api_reply_error(request, 401, "a bearer token is needed");
+		jt_api_reply_error(request, 401, "a bearer token is required");
 		return;
 	}
 	if (token->role < JT_ROLE_OPERATE &&
--- a/src/daemon/jt_api.h
+++ b/src/daemon/jt_api.h
@@ -2,16 +2,16 @@
  * The resource API of one node, over HTTP with JSON bodies.
  *
  *   GET  /healthz /ready /metrics             no token
- *   GET  /v1/resources                        the document in force
- *   GET  /v1/KIND[/NAME]                      one list or resource
+ *   GET  /v1/resources                        the active document
+ *   GET  /v1/KIND[/NAME]                      all resources of a kind, or one
  *   PUT  /v1/KIND/NAME, DELETE /v1/KIND/NAME  one change
- *   POST /v1/apply                            many changes at once
- *   GET  /v1/writes/ID                        what became of a write
- *   GET  /v1/watch?after=REVISION             answers when more is in force
+ *   POST /v1/apply                            several changes
+ *   GET  /v1/writes/ID                        the outcome of a write
+ *   GET  /v1/watch?after=REVISION             answers on a newer revision
  *   GET  /v1/status, /v1/explain?source=IP:PORT&destination=IP:PORT
  *
  * PUT, DELETE and POST take ?dry_run=1 (check only) and the header
- * X-Request-Id (the same id never takes effect twice).
+ * X-Request-Id (a write id takes effect at most once).
  */
 #ifndef JT_API_H
 #define JT_API_H
@@ -20,12 +20,13 @@
 
 struct jt_api;
 
-/* Serve @node, whose changes go to the store by @sync. NULL with errno where
- * the address can't be used. */
+/* Starts the API server of @node; @sync writes its changes to the store.
+ * Returns NULL with errno on failure. */
 struct jt_api *jt_api_create(TALLOC_CTX *mem_ctx, struct jt_node *node,
 			     struct jt_config_sync *sync);
-/* Something that watchers wait for may have changed. */
+/* Answers the pending watch requests for which a newer revision is active. */
 void jt_api_changed(struct jt_api *api);
+/* Answers watch requests that timed out; called periodically. */
 void jt_api_tick(struct jt_api *api);
 
 #endif
--- a/src/daemon/jt_api_access.c
+++ b/src/daemon/jt_api_access.c
@@ -32,8 +32,8 @@
 		return true;
 	if (token->role != JT_ROLE_OPERATE)
 		return false;
-	/* An operator of one group may change its addresses only; shares are
-	 * the administrator's, or a group could help itself. */
+	/* The operator of a group may change its addresses only; shares are
+	 * reserved for administrators. */
 	if (change->kind != JT_RESOURCE_ADDRESS || change->resource == NULL)
 		return false;
 	group = json_object_get(change->resource, "group");
@@ -47,7 +47,7 @@
 {
 	const struct jt_cell_state *state = jt_core_state(core);
 	const struct jt_config *config = state ? state->config : NULL;
-	uint32_t open = 0;
+	uint32_t open_flows = 0;
 
 	if (change->resource != NULL || config == NULL ||
 	    change->kind == JT_RESOURCE_ENDPOINT ||
@@ -59,34 +59,35 @@
 		const struct jt_group_config *group =
 			&config->groups[config->shares[i].group];
 		char share[2 * JT_NAME_SIZE];
-		bool hit = false;
+		bool affected = false;
 
 		snprintf(share, sizeof(share), "%s/%s", service->name,
 			 group->name);
 		if (change->kind == JT_RESOURCE_SHARE)
-			hit = strcmp(share, change->name) == 0;
+			affected = strcmp(share, change->name) == 0;
 		if (change->kind == JT_RESOURCE_SERVICE)
-			hit = strcmp(service->name, change->name) == 0;
+			affected = strcmp(service->name, change->name) == 0;
 		for (size_t a = 0; change->kind == JT_RESOURCE_ADDRESS &&
 				   a < config->address_count;
 		     a++) {
 			const struct jt_address_config *address =
 				&config->addresses[a];
 
-			hit |= strcmp(address->name, change->name) == 0 &&
-			       address->service == config->shares[i].service &&
-			       address->group == config->shares[i].group;
+			affected |=
+				strcmp(address->name, change->name) == 0 &&
+				address->service == config->shares[i].service &&
+				address->group == config->shares[i].group;
 		}
-		if (hit)
-			open += jt_core_share_open(core, service->id,
-						   group->id);
+		if (affected)
+			open_flows += jt_core_share_open(core, service->id,
+							 group->id);
 	}
-	if (open == 0)
+	if (open_flows == 0)
 		return false;
 	snprintf(error->resource, sizeof(error->resource), "%s/%.127s",
 		 jt_resource_kind_name(change->kind), change->name);
 	error->field[0] = '\0';
-	snprintf(error->reason, sizeof(error->reason),
-		 "%u flows are open through it", open);
+	snprintf(error->reason, sizeof(error->reason), "has %u open flows",
+		 open_flows);
 	return true;
 }
--- a/src/daemon/jt_api_reply.c
+++ b/src/daemon/jt_api_reply.c
@@ -2,14 +2,14 @@
 
 #include <stdlib.h>
 
-static const char json_content[] = "application/json";
+static const char json_content_type[] = "application/json";
 
 void jt_api_reply_json(struct jt_http_request *request, unsigned status,
 		       json_t *body)
 {
 	char *text = json_dumps(body, JSON_INDENT(2));
 
-	jt_http_reply(request, status, json_content, text ? text : "{}");
+	jt_http_reply(request, status, json_content_type, text ? text : "{}");
 	free(text);
 	json_decref(body);
 }
@@ -45,8 +45,8 @@
 			request, 202,
 			json_pack("{s:s,s:I,s:s,s:s}", "outcome", "stored",
 				  "revision", (json_int_t)revision, "error",
-				  "stored for good; the cell has yet to "
-				  "agree, ask /v1/writes/ID",
+				  "stored, not active in the cell yet; "
+				  "query /v1/writes/ID",
 				  "id", id));
 		break;
 	case JT_WRITE_CONFLICT:
@@ -65,14 +65,14 @@
 		jt_api_reply_json(request, 503,
 				  json_pack("{s:s,s:s,s:s}", "outcome",
 					    "not run", "error",
-					    "the store can't be reached", "id",
+					    "the store is unreachable", "id",
 					    id));
 		break;
 	case JT_WRITE_UNKNOWN:
 		jt_api_reply_json(request, 202,
 				  json_pack("{s:s,s:s,s:s}", "outcome",
 					    "unknown", "error",
-					    "no answer from the store; ask "
+					    "no answer from the store; query "
 					    "/v1/writes/ID",
 					    "id", id));
 		break;
--- a/src/daemon/jt_balancer.c
+++ b/src/daemon/jt_balancer.c
@@ -31,7 +31,7 @@
 {
 	struct jt_balancer *balancer = private_data;
 
-	/* The node may learn something before there is an API. */
+	/* The node may change before the API is created. */
 	if (balancer->api != NULL)
 		jt_api_changed(balancer->api);
 }
--- a/src/daemon/jt_balancer.h
+++ b/src/daemon/jt_balancer.h
@@ -1,6 +1,6 @@
 /*
- * A whole balancer: a node and the parts that stand on it, which are its
- * resource API, its dealings with the store, its probes and the store's vote.
+ * A complete balancer: a node with its resource API, store access, health
+ * probes and witness.
  */
 #ifndef JT_BALANCER_H
 #define JT_BALANCER_H
@@ -12,16 +12,17 @@
 struct jt_balancer_options {
 	struct tevent_context *loop;
 	const struct jt_log *log;
-	struct jt_settings *settings; /* taken over */
-	/* The node has left its cell. Said once, from the loop. */
+	struct jt_settings *settings; /* ownership passes to the balancer */
+	/* The node has left its cell. Called once, from the loop. */
 	void (*left)(void *private_data);
 	void *private_data;
 };
 
-/* NULL with a line in @error (below @mem_ctx) when something can't start. */
+/* Returns NULL with a message in @error, a child of @mem_ctx, on failure. */
 struct jt_balancer *
 jt_balancer_create(TALLOC_CTX *mem_ctx,
 		   const struct jt_balancer_options *options, char **error);
+/* Returns the node, which @balancer owns. */
 struct jt_node *jt_balancer_node(struct jt_balancer *balancer);
 
 #endif
--- a/src/daemon/jt_config_sync.c
+++ b/src/daemon/jt_config_sync.c
@@ -9,18 +9,18 @@
 enum {
 	RETRY_MIN_MS = 300,
 	RETRY_MAX_MS = 8000,
-	WRITE_PATIENCE_MS = 4000, /* then "not run" or "outcome unknown" */
-	WRITE_EFFORT_MS = 60000,  /* an unknown write is followed this long */
+	WRITE_ANSWER_TIMEOUT_MS = 4000, /* limit for answering the request */
+	WRITE_RETRY_LIMIT_MS = 60000,	/* limit for retries of a write */
 	WRITE_RETRY_MS = 300,
 };
 
-enum write_step { STEP_GET, STEP_PUT, STEP_WAIT, STEP_AGREE };
+enum write_step { STEP_GET, STEP_PUT, STEP_WAIT, STEP_ACTIVATE };
 
 struct pending_write {
 	struct pending_write *next;
 	struct jt_config_sync *sync;
 	char *id;
-	struct jt_change *changes; /* NULL: only find out the outcome */
+	struct jt_change *changes; /* NULL: queries the outcome only */
 	size_t count;
 	json_t *posted;
 	jt_write_callback callback;
@@ -28,9 +28,9 @@
 	uint64_t started_ms;
 	uint64_t retry_ms;
 	enum write_step step;
-	bool sent;	       /* a put went out whose outcome is not known */
-	uint64_t put_revision; /* the revision that put compared with */
-	uint64_t stored_revision; /* where the write stands in the store */
+	bool sent;		  /* a put was sent, its outcome is unknown */
+	uint64_t put_revision;	  /* the revision that the put compares */
+	uint64_t stored_revision; /* the revision that contains the write */
 	char *put_text;
 };
 
@@ -49,7 +49,7 @@
 	struct pending_write *writes;
 };
 
-static void back_off(struct jt_config_sync *sync)
+static void retry_schedule(struct jt_config_sync *sync)
 {
 	sync->read_due_ms = jt_clock_ms() + jt_store_jitter(sync->backoff_ms);
 	sync->backoff_ms *= 2;
@@ -57,7 +57,7 @@
 		sync->backoff_ms = RETRY_MAX_MS;
 }
 
-static void note_store(struct jt_config_sync *sync, bool up)
+static void store_state_set(struct jt_config_sync *sync, bool up)
 {
 	if (sync->store_up == up)
 		return;
@@ -102,7 +102,7 @@
 {
 	struct jt_config_sync *sync = private_data;
 
-	note_store(sync, true);
+	store_state_set(sync, true);
 	jt_node_take_document(sync->node, value->mod_revision, value->value);
 }
 
@@ -113,7 +113,7 @@
 
 	jt_store_watch_recv(req);
 	TALLOC_FREE(sync->watching);
-	back_off(sync);
+	retry_schedule(sync);
 }
 
 static void on_read(struct tevent_req *req)
@@ -126,12 +126,12 @@
 
 	TALLOC_FREE(sync->reading);
 	if (result != JT_STORE_OK) {
-		note_store(sync, false);
-		back_off(sync);
+		store_state_set(sync, false);
+		retry_schedule(sync);
 		talloc_free(frame);
 		return;
 	}
-	note_store(sync, true);
+	store_state_set(sync, true);
 	sync->backoff_ms = RETRY_MIN_MS;
 	if (value.present)
 		jt_node_take_document(sync->node, value.mod_revision,
@@ -168,7 +168,7 @@
 	return 0;
 }
 
-static void write_answer(struct pending_write *write,
+static void write_report(struct pending_write *write,
 			 enum jt_write_outcome outcome, uint64_t revision,
 			 const struct jt_resource_error *error)
 {
@@ -181,28 +181,29 @@
 			 write->private_data);
 }
 
-static void write_end(struct pending_write *write,
-		      enum jt_write_outcome outcome, uint64_t revision,
-		      const struct jt_resource_error *error)
+static void write_finish(struct pending_write *write,
+			 enum jt_write_outcome outcome, uint64_t revision,
+			 const struct jt_resource_error *error)
 {
 	struct pending_write **link = &write->sync->writes;
 
-	write_answer(write, outcome, revision, error);
+	write_report(write, outcome, revision, error);
 	while (*link != write)
 		link = &(*link)->next;
 	*link = write->next;
 	talloc_free(write);
 }
 
-static void write_wait(struct pending_write *write)
+static void write_retry_schedule(struct pending_write *write)
 {
 	write->step = STEP_WAIT;
 	write->retry_ms = jt_clock_ms() + jt_store_jitter(2 * WRITE_RETRY_MS);
 }
 
-/* Accepted means agreed on: until then another part of a divided cell might
- * not hear of it. Before there is a cell, the store alone decides. */
-static bool write_agreed(const struct pending_write *write)
+/* Returns true if the cell has activated the stored revision; before that, the
+ * other side of a network partition may not have received it. Without a cell,
+ * storing it is sufficient. */
+static bool write_active(const struct pending_write *write)
 {
 	const struct jt_cell_state *state =
 		jt_core_state(write->sync->node->core);
@@ -214,9 +215,9 @@
 static void write_stored(struct pending_write *write, uint64_t revision)
 {
 	write->stored_revision = revision;
-	write->step = STEP_AGREE;
-	if (write_agreed(write))
-		write_end(write, JT_WRITE_ACCEPTED, revision, NULL);
+	write->step = STEP_ACTIVATE;
+	if (write_active(write))
+		write_finish(write, JT_WRITE_ACCEPTED, revision, NULL);
 }
 
 static void write_get(struct pending_write *write);
@@ -232,23 +233,23 @@
 	talloc_free(req);
 	switch (result) {
 	case JT_STORE_OK:
-		note_store(sync, true);
+		store_state_set(sync, true);
 		jt_node_take_document(sync->node, revision, write->put_text);
 		write_stored(write, revision);
 		break;
 	case JT_STORE_FAILED_COMPARE:
-		/* Someone else's write, or our own whose answer was lost:
-		 * reading tells. */
+		/* Another node wrote, or the answer to an earlier put was
+		 * lost: reads the store to find out. */
 		write_get(write);
 		break;
 	case JT_STORE_REFUSED:
-		write_wait(write);
+		write_retry_schedule(write);
 		break;
 	case JT_STORE_LOST:
 	case JT_STORE_BAD_ANSWER:
-		note_store(sync, false);
+		store_state_set(sync, false);
 		write->sent = true;
-		write_wait(write);
+		write_retry_schedule(write);
 		break;
 	}
 }
@@ -261,7 +262,7 @@
 	req = jt_store_put_send(write, write->sync->store, write->sync->key,
 				write->put_text, write->put_revision);
 	if (req == NULL) {
-		write_wait(write);
+		write_retry_schedule(write);
 		return;
 	}
 	tevent_req_set_callback(req, on_write_put, write);
@@ -278,17 +279,17 @@
 	};
 	struct jt_resource_error error = {0};
 	enum jt_change_result result;
-	json_t *after;
+	json_t *new_document;
 	char *text;
 
 	result = jt_change_apply(document, write->changes, write->count,
-				 write->id, &after, &error);
+				 write->id, &new_document, &error);
 	if (result != JT_CHANGE_OK) {
-		write_end(write, outcomes[result], 0, &error);
+		write_finish(write, outcomes[result], 0, &error);
 		return;
 	}
-	text = json_dumps(after, JSON_COMPACT | JSON_SORT_KEYS);
-	json_decref(after);
+	text = json_dumps(new_document, JSON_COMPACT | JSON_SORT_KEYS);
+	json_decref(new_document);
 	talloc_free(write->put_text);
 	write->put_text = talloc_strdup(write, text);
 	free(text);
@@ -297,15 +298,15 @@
 	write_put(write);
 }
 
-static void write_read(struct pending_write *write,
-		       const struct jt_store_value *value)
+static void write_evaluate(struct pending_write *write,
+			   const struct jt_store_value *value)
 {
 	json_t *document = value->present ? json_loads(value->value, 0, NULL)
 					  : json_object();
 	uint64_t revision = value->present ? value->mod_revision : 0;
 
 	if (document == NULL) {
-		write_wait(write);
+		write_retry_schedule(write);
 		return;
 	}
 	if (jt_change_written(document, write->id)) {
@@ -313,10 +314,10 @@
 				      value->value);
 		write_stored(write, revision);
 	} else if (write->changes == NULL) {
-		write_end(write, JT_WRITE_ABSENT, 0, NULL);
+		write_finish(write, JT_WRITE_ABSENT, 0, NULL);
 	} else if (write->sent && revision == write->put_revision) {
-		/* The lost put may still arrive; the same put again can take
-		 * effect only once. */
+		/* The earlier put may still arrive; both compare the same
+		 * revision, so that at most one takes effect. */
 		write_put(write);
 	} else {
 		write_prepare(write, document, revision);
@@ -333,11 +334,11 @@
 	enum jt_store_result result = jt_store_get_recv(req, frame, &value);
 
 	talloc_free(req);
-	note_store(write->sync, result == JT_STORE_OK);
+	store_state_set(write->sync, result == JT_STORE_OK);
 	if (result == JT_STORE_OK)
-		write_read(write, &value);
+		write_evaluate(write, &value);
 	else
-		write_wait(write);
+		write_retry_schedule(write);
 	talloc_free(frame);
 }
 
@@ -348,7 +349,7 @@
 	write->step = STEP_GET;
 	req = jt_store_get_send(write, write->sync->store, write->sync->key);
 	if (req == NULL) {
-		write_wait(write);
+		write_retry_schedule(write);
 		return;
 	}
 	tevent_req_set_callback(req, on_write_get, write);
@@ -358,29 +359,29 @@
 {
 	uint64_t now = jt_clock_ms();
 
-	if (write->step == STEP_AGREE) {
-		if (write_agreed(write))
-			write_end(write, JT_WRITE_ACCEPTED,
-				  write->stored_revision, NULL);
-		else if (now >= write->started_ms + WRITE_PATIENCE_MS)
-			write_end(write, JT_WRITE_STORED,
-				  write->stored_revision, NULL);
+	if (write->step == STEP_ACTIVATE) {
+		if (write_active(write))
+			write_finish(write, JT_WRITE_ACCEPTED,
+				     write->stored_revision, NULL);
+		else if (now >= write->started_ms + WRITE_ANSWER_TIMEOUT_MS)
+			write_finish(write, JT_WRITE_STORED,
+				     write->stored_revision, NULL);
 		return;
 	}
 
-	if (now >= write->started_ms + WRITE_PATIENCE_MS &&
+	if (now >= write->started_ms + WRITE_ANSWER_TIMEOUT_MS &&
 	    write->callback != NULL) {
 		if (!write->sent && write->step == STEP_WAIT) {
-			write_end(write, JT_WRITE_NOT_RUN, 0, NULL);
+			write_finish(write, JT_WRITE_NOT_RUN, 0, NULL);
 			return;
 		}
 		if (write->sent)
-			write_answer(write, JT_WRITE_UNKNOWN, 0, NULL);
+			write_report(write, JT_WRITE_UNKNOWN, 0, NULL);
 	}
 	if (write->step != STEP_WAIT || now < write->retry_ms)
 		return;
-	if (now >= write->started_ms + WRITE_EFFORT_MS) {
-		write_end(write, JT_WRITE_UNKNOWN, 0, NULL);
+	if (now >= write->started_ms + WRITE_RETRY_LIMIT_MS) {
+		write_finish(write, JT_WRITE_UNKNOWN, 0, NULL);
 		return;
 	}
 	if (jt_store_budget_take(&write->sync->budget))
@@ -435,7 +436,7 @@
 void jt_config_write_outcome(struct jt_config_sync *sync, const char *write_id,
 			     jt_write_callback callback, void *private_data)
 {
-	/* A write that is still on its way here is not absent. */
+	/* A write that is pending here is not absent. */
 	for (struct pending_write *w = sync->writes; w; w = w->next) {
 		if (w->changes != NULL && strcmp(w->id, write_id) == 0) {
 			callback(JT_WRITE_UNKNOWN, 0, NULL, private_data);
--- a/src/daemon/jt_document.c
+++ b/src/daemon/jt_document.c
@@ -43,8 +43,8 @@
 	return newest;
 }
 
-/* A free place, or the oldest document's. */
-static int place_for_next(const struct jt_document_memory *memory)
+/* Returns the index of an unused slot, or of the lowest revision. */
+static int slot_select(const struct jt_document_memory *memory)
 {
 	int oldest = 0;
 
@@ -61,11 +61,11 @@
 void jt_document_keep(struct jt_document_memory *memory,
 		      struct jt_document *document)
 {
-	int place = place_for_next(memory);
-	struct jt_document *oldest = memory->items[place];
+	int slot = slot_select(memory);
+	struct jt_document *oldest = memory->items[slot];
 
-	/* Others may still refer to its configuration. */
+	/* Others may hold references to its configuration. */
 	if (oldest != NULL)
 		talloc_unlink(talloc_parent(oldest), oldest);
-	memory->items[place] = document;
+	memory->items[slot] = document;
 }
--- a/src/daemon/jt_document.h
+++ b/src/daemon/jt_document.h
@@ -1,6 +1,6 @@
 /*
- * Configurations as text, as they go to peers and the store, and the few
- * newest of them that a node keeps.
+ * Configuration documents in the text form sent to peers and the store, and a
+ * cache of the newest ones.
  */
 #ifndef JT_DOCUMENT_H
 #define JT_DOCUMENT_H
@@ -10,6 +10,7 @@
 
 #include <talloc.h>
 
+/* A document; config is NULL if the text is invalid. */
 struct jt_document {
 	uint64_t revision;
 	char *text;
@@ -19,21 +20,22 @@
 enum { JT_DOCUMENT_MEMORY = 8 };
 
 struct jt_document_memory {
-	struct jt_document *items[JT_DOCUMENT_MEMORY]; /* NULL: free */
+	struct jt_document *items[JT_DOCUMENT_MEMORY]; /* NULL: unused slot */
 };
 
-/* Read @text. Where it is invalid, config is NULL and @error says why; NULL
- * where memory runs out. */
+/* Parses @text. If it is invalid, config is NULL and @error gives the reason.
+ * Returns NULL when out of memory. */
 struct jt_document *jt_document_create(TALLOC_CTX *mem_ctx, uint64_t revision,
 				       const char *text,
 				       struct jt_resource_error *error);
-/* NULL where there is none of that revision. */
+/* Returns the document of @revision, or NULL. */
 const struct jt_document *
 jt_document_find(const struct jt_document_memory *memory, uint64_t revision);
-/* NULL where there is none. */
+/* Returns the document of the highest revision, or NULL. */
 const struct jt_document *
 jt_document_newest(const struct jt_document_memory *memory);
-/* Keep @document; the oldest one gives way where there is no room. */
+/* Stores @document; replaces the one of the lowest revision if the cache is
+ * full. */
 void jt_document_keep(struct jt_document_memory *memory,
 		      struct jt_document *document);
 
--- a/src/daemon/jt_founding.c
+++ b/src/daemon/jt_founding.c
@@ -6,21 +6,21 @@
 #include <stdlib.h>
 
 enum {
-	FOUND_AFTER_MS = 3000, /* peers get this long to answer */
-	FOUNDER_INTERVAL_MS = 10000,
-	FOUNDER_POLL_MS = 3000,	   /* while this node has no cell */
-	FOUNDER_SILENT_MS = 60000, /* a mark unrenewed so long is dead */
+	FOUND_DELAY_MS = 3000, /* time for peers to answer */
+	RENEW_INTERVAL_MS = 10000,
+	POLL_INTERVAL_MS = 3000, /* without a cell */
+	RECORD_STALE_MS = 60000, /* the record is stale if not renewed */
 };
 
 struct jt_founding {
 	struct jt_node *node;
 	struct jt_store *store;
 	struct jt_store_budget *budget;
-	char *key; /* of the mark */
+	char *key; /* of the founder record */
 	uint64_t due_ms;
-	bool busy;
-	uint64_t mark_revision;	   /* as last seen */
-	uint64_t mark_observed_ms; /* since when it has stood still; 0: no */
+	bool request_pending;
+	uint64_t record_revision;    /* as of the last read */
+	uint64_t unchanged_since_ms; /* unchanged since; 0: not observed */
 	uint64_t cell;
 };
 
@@ -43,15 +43,15 @@
 	return founding;
 }
 
-static void founder_done(struct jt_founding *founding, bool founded)
+static void attempt_finish(struct jt_founding *founding, bool founded)
 {
 	struct jt_event event = {.kind = JT_EVENT_FOUND};
 	bool member = jt_core_state(founding->node->core) != NULL;
 
-	founding->busy = false;
+	founding->request_pending = false;
 	founding->due_ms =
 		jt_clock_ms() +
-		jt_store_jitter(member ? FOUNDER_INTERVAL_MS : FOUNDER_POLL_MS);
+		jt_store_jitter(member ? RENEW_INTERVAL_MS : POLL_INTERVAL_MS);
 	if (!founded || member)
 		return;
 	event.u.cell = founding->cell;
@@ -60,7 +60,7 @@
 	jt_node_event(founding->node, &event);
 }
 
-static void on_founder_put(struct tevent_req *req)
+static void on_record_put(struct tevent_req *req)
 {
 	struct jt_founding *founding =
 		tevent_req_callback_data(req, struct jt_founding);
@@ -68,11 +68,12 @@
 	enum jt_store_result result = jt_store_put_recv(req, &revision);
 
 	talloc_free(req);
-	founder_done(founding, result == JT_STORE_OK);
+	attempt_finish(founding, result == JT_STORE_OK);
 }
 
-/* Write the mark if it is still at @revision: found, take over or renew. */
-static void founder_mark(struct jt_founding *founding, uint64_t revision)
+/* Writes the founder record if it is still at @revision: founds a cell,
+ * replaces a stale record or renews it. */
+static void record_write(struct jt_founding *founding, uint64_t revision)
 {
 	const struct jt_cell_state *state = jt_core_state(founding->node->core);
 	struct tevent_req *req;
@@ -86,49 +87,50 @@
 	req = jt_store_put_send(founding, founding->store, founding->key, text,
 				revision);
 	if (req == NULL)
-		founder_done(founding, false);
+		attempt_finish(founding, false);
 	else
-		tevent_req_set_callback(req, on_founder_put, founding);
+		tevent_req_set_callback(req, on_record_put, founding);
 }
 
-static bool mark_is_dead(struct jt_founding *founding, uint64_t revision)
+static bool record_is_stale(struct jt_founding *founding, uint64_t revision)
 {
 	uint64_t now = jt_clock_ms();
 
-	if (founding->mark_observed_ms == 0 ||
-	    founding->mark_revision != revision) {
-		founding->mark_observed_ms = now;
-		founding->mark_revision = revision;
+	if (founding->unchanged_since_ms == 0 ||
+	    founding->record_revision != revision) {
+		founding->unchanged_since_ms = now;
+		founding->record_revision = revision;
 	}
-	return now >= founding->mark_observed_ms + FOUNDER_SILENT_MS;
+	return now >= founding->unchanged_since_ms + RECORD_STALE_MS;
 }
 
-static void founder_read(struct jt_founding *founding,
-			 const struct jt_store_value *value)
+static void record_evaluate(struct jt_founding *founding,
+			    const struct jt_store_value *value)
 {
 	const struct jt_cell_state *state = jt_core_state(founding->node->core);
-	uint64_t found = value->present ? strtoull(value->value, NULL, 16) : 0;
+	uint64_t record_cell =
+		value->present ? strtoull(value->value, NULL, 16) : 0;
 
 	if (!value->present) {
-		founder_mark(founding, 0);
-	} else if (state == NULL && found == founding->cell) {
-		founder_done(founding,
-			     true); /* the answer to our put was lost */
+		record_write(founding, 0);
+	} else if (state == NULL && record_cell == founding->cell) {
+		attempt_finish(founding,
+			       true); /* the answer to the put was lost */
 	} else if (state == NULL) {
-		if (mark_is_dead(founding, value->mod_revision))
-			founder_mark(founding, value->mod_revision);
+		if (record_is_stale(founding, value->mod_revision))
+			record_write(founding, value->mod_revision);
 		else
-			founder_done(founding, false);
-	} else if (found == state->cell) {
-		founder_mark(founding, value->mod_revision);
+			attempt_finish(founding, false);
+	} else if (record_cell == state->cell) {
+		record_write(founding, value->mod_revision);
 	} else {
 		jt_log_line(founding->node->log, LOG_ERR,
-			    "event=foreign_cell cell=%016" PRIx64, found);
-		founder_done(founding, false);
+			    "event=foreign_cell cell=%016" PRIx64, record_cell);
+		attempt_finish(founding, false);
 	}
 }
 
-static void on_founder_get(struct tevent_req *req)
+static void on_record_get(struct tevent_req *req)
 {
 	struct jt_founding *founding =
 		tevent_req_callback_data(req, struct jt_founding);
@@ -138,10 +140,10 @@
 
 	talloc_free(req);
 	if (result == JT_STORE_OK) {
-		founder_read(founding, &value);
+		record_evaluate(founding, &value);
 	} else {
-		founding->mark_observed_ms = 0;
-		founder_done(founding, false);
+		founding->unchanged_since_ms = 0;
+		attempt_finish(founding, false);
 	}
 	talloc_free(frame);
 }
@@ -153,12 +155,12 @@
 	struct tevent_req *req;
 
 	if (state != NULL)
-		founding->mark_observed_ms = 0;
-	if (founding->busy || now < founding->due_ms ||
+		founding->unchanged_since_ms = 0;
+	if (founding->request_pending || now < founding->due_ms ||
 	    founding->node->draining)
 		return;
 	if (state == NULL &&
-	    (now < founding->node->started_ms + FOUND_AFTER_MS ||
+	    (now < founding->node->started_ms + FOUND_DELAY_MS ||
 	     jt_node_newest(founding->node) == NULL))
 		return;
 	if (state != NULL && !jt_core_coordinator(founding->node->core))
@@ -168,6 +170,6 @@
 	req = jt_store_get_send(founding, founding->store, founding->key);
 	if (req == NULL)
 		return;
-	founding->busy = true;
-	tevent_req_set_callback(req, on_founder_get, founding);
+	founding->request_pending = true;
+	tevent_req_set_callback(req, on_record_get, founding);
 }
--- a/src/daemon/jt_founding.h
+++ b/src/daemon/jt_founding.h
@@ -1,10 +1,11 @@
 /*
- * Founding of a cell: the store's compare-and-swap lets one node alone begin.
+ * Founding of a cell: the founder record in the store, written by
+ * compare-and-swap, lets exactly one node found the cell.
  *
- * The mark has no lease, because an outage of the store would let a lease
- * lapse under a living cell. The coordinator renews the mark; a node without
- * a cell takes it over only after it has watched it stand still for long,
- * with the store answering all the time and no peer taking the node in.
+ * The record has no lease, because the lease would expire under a running cell
+ * during an outage of the store. The coordinator renews the record. A node
+ * without a cell replaces it only if the record was not renewed for a long time
+ * in which the store was reachable and no peer admitted the node.
  */
 #ifndef JT_FOUNDING_H
 #define JT_FOUNDING_H
@@ -15,11 +16,13 @@
 
 struct jt_founding;
 
-/* @node, @store and @budget outlive it. */
+/* Returns NULL when out of memory. @node, @store and @budget must outlive the
+ * result. */
 struct jt_founding *jt_founding_create(TALLOC_CTX *mem_ctx,
 				       struct jt_node *node,
 				       struct jt_store *store,
 				       struct jt_store_budget *budget);
+/* Reads, writes or renews the founder record when due; called periodically. */
 void jt_founding_tick(struct jt_founding *founding);
 
 #endif
--- a/src/daemon/jt_health_probe.c
+++ b/src/daemon/jt_health_probe.c
@@ -15,20 +15,20 @@
 	uint32_t endpoint_id;
 	struct jt_address health;
 	uint64_t due_ms;
-	bool asking;
-	bool request; /* load counts slots, not connections */
+	bool probe_pending;
+	bool counts_slots; /* load is slots, not connections */
 };
 
 struct jt_health_probe {
 	struct jt_node *node;
 	struct jt_http_client *http;
-	struct probe_target **targets; /* remembered after removal */
+	struct probe_target **targets; /* kept after removal */
 	size_t target_count;
 	uint64_t machines_due_ms;
-	bool machines_asking;
+	bool machines_pending;
 };
 
-struct probe_answer {
+struct probe_call {
 	struct jt_health_probe *probe;
 	struct probe_target *target;
 };
@@ -69,7 +69,7 @@
 	return target;
 }
 
-static unsigned flags_of(const json_t *page)
+static unsigned flags_parse(const json_t *page)
 {
 	unsigned flags = 0;
 
@@ -84,8 +84,8 @@
 	return flags;
 }
 
-/* The page's "instance" folded into 1 to 255; 0 when it has none. */
-static uint8_t instance_of(const json_t *page)
+/* Returns the "instance" of the page mapped to 1 to 255, or 0 without one. */
+static uint8_t instance_parse(const json_t *page)
 {
 	const json_t *instance = json_object_get(page, "instance");
 
@@ -96,8 +96,8 @@
 
 static void on_probe(struct tevent_req *req)
 {
-	struct probe_answer *answer =
-		tevent_req_callback_data(req, struct probe_answer);
+	struct probe_call *answer =
+		tevent_req_callback_data(req, struct probe_call);
 	struct jt_health_probe *probe = answer->probe;
 	struct probe_target *target = answer->target;
 	struct jt_event event = {.kind = JT_EVENT_HEALTH};
@@ -105,19 +105,20 @@
 	size_t bytes = 0;
 	char *body = NULL;
 	long status = 0;
-	int lost = jt_http_recv(req, answer, &status, &body, &bytes);
+	int failed = jt_http_recv(req, answer, &status, &body, &bytes);
 	json_t *page = NULL;
 
-	target->asking = false;
+	target->probe_pending = false;
 	probe->node->counters.probe_bytes += bytes;
 	health->endpoint_id = target->endpoint_id;
-	if (!lost && status == 200)
+	if (!failed && status == 200)
 		page = json_loads(body, 0, NULL);
 	if (page != NULL) {
-		health->flags = flags_of(page);
-		health->instance = instance_of(page);
+		health->flags = flags_parse(page);
+		health->instance = instance_parse(page);
 		health->load = (uint32_t)json_integer_value(json_object_get(
-			page, target->request ? "slots_used" : "connections"));
+			page,
+			target->counts_slots ? "slots_used" : "connections"));
 		json_decref(page);
 	}
 	talloc_free(req);
@@ -125,12 +126,12 @@
 	jt_node_event(probe->node, &event);
 }
 
-static void probe_ask(struct jt_health_probe *probe,
-		      struct probe_target *target)
+static void probe_send(struct jt_health_probe *probe,
+		       struct probe_target *target)
 {
 	struct jt_http_call call = {.method = "GET",
 				    .timeout_ms = PROBE_TIMEOUT_MS};
-	struct probe_answer *answer = talloc_zero(probe, struct probe_answer);
+	struct probe_call *answer = talloc_zero(probe, struct probe_call);
 	char text[JT_ADDRESS_TEXT];
 	struct tevent_req *req;
 
@@ -143,7 +144,7 @@
 		talloc_free(answer);
 		return;
 	}
-	target->asking = true;
+	target->probe_pending = true;
 	tevent_req_set_callback(req, on_probe, answer);
 }
 
@@ -157,14 +158,14 @@
 	size_t count = 0, bytes = 0;
 	char *body = NULL;
 	long status = 0;
-	int lost = jt_http_recv(req, probe, &status, &body, &bytes);
+	int failed = jt_http_recv(req, probe, &status, &body, &bytes);
 	json_t *list = NULL, *entry;
 	size_t index;
 
 	talloc_free(req);
-	probe->machines_asking = false;
+	probe->machines_pending = false;
 	probe->node->counters.probe_bytes += bytes;
-	if (!lost && status == 200)
+	if (!failed && status == 200)
 		list = json_loads(body, 0, NULL);
 	talloc_free(body);
 	for (; count < settings->seed_count; count++)
@@ -183,7 +184,7 @@
 	jt_node_event(probe->node, &event);
 }
 
-static void machines_ask(struct jt_health_probe *probe)
+static void machines_request(struct jt_health_probe *probe)
 {
 	struct jt_http_call call = {.method = "GET",
 				    .timeout_ms = PROBE_TIMEOUT_MS};
@@ -197,18 +198,18 @@
 	talloc_free(url);
 	if (req == NULL)
 		return;
-	probe->machines_asking = true;
+	probe->machines_pending = true;
 	tevent_req_set_callback(req, on_machines, probe);
 }
 
-static void remember_targets(struct jt_health_probe *probe,
-			     const struct jt_config *config)
+static void targets_update(struct jt_health_probe *probe,
+			   const struct jt_config *config)
 {
 	for (size_t i = 0; i < config->endpoint_count; i++) {
 		const struct jt_endpoint_config *e = &config->endpoints[i];
 		struct probe_target *target = target_get(probe, e);
 
-		target->request =
+		target->counts_slots =
 			config->services[e->service].kind == JT_SERVICE_REQUEST;
 	}
 }
@@ -219,23 +220,23 @@
 	uint64_t now = jt_clock_ms();
 
 	if (probe->node->settings->machines_url != NULL &&
-	    now >= probe->machines_due_ms && !probe->machines_asking) {
+	    now >= probe->machines_due_ms && !probe->machines_pending) {
 		probe->machines_due_ms = now + MACHINES_INTERVAL_MS;
-		machines_ask(probe);
+		machines_request(probe);
 	}
 	if (state == NULL)
 		return;
-	remember_targets(probe, state->config);
+	targets_update(probe, state->config);
 	for (size_t i = 0; i < probe->target_count; i++) {
 		struct probe_target *target = probe->targets[i];
 
-		if (target->asking || now < target->due_ms ||
+		if (target->probe_pending || now < target->due_ms ||
 		    jt_cell_endpoint(state, target->endpoint_id) ==
 			    JT_NO_ENDPOINT ||
 		    !jt_core_probes(probe->node->core, target->endpoint_id))
 			continue;
 		target->due_ms = now + jt_core_probe_pause(probe->node->core,
 							   PROBE_INTERVAL_MS);
-		probe_ask(probe, target);
+		probe_send(probe, target);
 	}
 }
--- a/src/daemon/jt_health_probe.h
+++ b/src/daemon/jt_health_probe.h
@@ -1,9 +1,10 @@
 /*
- * Asks the endpoints' health and load pages, and the machine list.
+ * Health probes: fetches the health pages of the endpoints and the machine
+ * list.
  *
- * Each endpoint is probed by two nodes of the cell only; the others learn
- * from them. A page may lag or lie, so the decision library treats what it
- * says as a hint.
+ * Two nodes of the cell probe each endpoint and report the result to the
+ * others. A health page may be outdated or wrong, so the decision library
+ * treats it as a hint.
  */
 #ifndef JT_HEALTH_PROBE_H
 #define JT_HEALTH_PROBE_H
@@ -12,8 +13,10 @@
 
 struct jt_health_probe;
 
+/* Returns NULL on failure. @node must outlive the result. */
 struct jt_health_probe *jt_health_probe_create(TALLOC_CTX *mem_ctx,
 					       struct jt_node *node);
+/* Starts the requests that are due; called periodically. */
 void jt_health_probe_tick(struct jt_health_probe *probe);
 
 #endif
--- a/src/daemon/jt_node.c
+++ b/src/daemon/jt_node.c
@@ -12,10 +12,10 @@
 
 enum {
 	TICK_MS = 25,
-	LEAVE_LIMIT_S = 15,  /* a leave that nobody confirms */
-	HELD_LIMIT = 8192,   /* first packets that wait for a replica */
-	PEER_BATCH = 64,     /* datagrams before other events get a turn */
-	CONTROL_BATCH = 256, /* queued packets, likewise */
+	LEAVE_LIMIT_S = 15,  /* timeout of a leave that no peer confirms */
+	HELD_LIMIT = 8192,   /* first packets waiting for replication */
+	PEER_BATCH = 64,     /* datagrams per run of the event handler */
+	CONTROL_BATCH = 256, /* queued packets per run of the handler */
 	PEER_FRAME_MIN = 28,
 };
 
@@ -110,7 +110,8 @@
 	peer_send(node, action->address, &message);
 }
 
-static void config_fetch(struct jt_node *node, const struct jt_action *action)
+static void config_request_send(struct jt_node *node,
+				const struct jt_action *action)
 {
 	jt_wire_message message = {
 		.from = jt_core_node_id(node->core),
@@ -121,8 +122,8 @@
 	peer_send(node, action->address, &message);
 }
 
-static void config_answer(struct jt_node *node, struct jt_address to,
-			  uint64_t revision)
+static void config_reply(struct jt_node *node, struct jt_address to,
+			 uint64_t revision)
 {
 	const struct jt_document *document = jt_node_document(node, revision);
 	jt_wire_message message = {
@@ -184,9 +185,9 @@
 			length);
 }
 
-static void packet_act(struct jt_node *node, const struct jt_action *action,
-		       const struct jt_parsed *parsed, const uint8_t *packet,
-		       size_t length)
+static void packet_execute(struct jt_node *node, const struct jt_action *action,
+			   const struct jt_parsed *parsed,
+			   const uint8_t *packet, size_t length)
 {
 	switch (action->kind) {
 	case JT_ACTION_FORWARD:
@@ -212,8 +213,8 @@
 		if (action->kind == JT_ACTION_HOLD)
 			packet_hold(node);
 		else
-			packet_act(node, action, &node->packet_parsed,
-				   node->packet, node->packet_length);
+			packet_execute(node, action, &node->packet_parsed,
+				       node->packet, node->packet_length);
 		return;
 	}
 	link = held_find(node, action->token);
@@ -222,11 +223,11 @@
 		return;
 	*link = held->next;
 	node->held_count--;
-	packet_act(node, action, &held->parsed, held->data, held->length);
+	packet_execute(node, action, &held->parsed, held->data, held->length);
 	talloc_free(held);
 }
 
-static void node_act(struct jt_node *node, const struct jt_action *action)
+static void action_execute(struct jt_node *node, const struct jt_action *action)
 {
 	switch (action->kind) {
 	case JT_ACTION_FORWARD:
@@ -240,7 +241,7 @@
 		peer_send(node, action->address, action->message);
 		break;
 	case JT_ACTION_FETCH_CONFIG:
-		config_fetch(node, action);
+		config_request_send(node, action);
 		break;
 	case JT_ACTION_PUBLISH:
 		node->publish = true;
@@ -269,7 +270,7 @@
 		    (unsigned long long)state->config->revision);
 }
 
-static void node_published(struct jt_node *node)
+static void tables_publish(struct jt_node *node)
 {
 	node->publish = false;
 	jt_traffic_publish(node->traffic, node->core);
@@ -277,7 +278,7 @@
 	node->handler.changed(node->handler.private_data);
 }
 
-static void left_tell(struct jt_node *node)
+static void left_report(struct jt_node *node)
 {
 	if (node->left_told)
 		return;
@@ -285,7 +286,7 @@
 	node->handler.left(node->handler.private_data);
 }
 
-static void watch_ready(struct jt_node *node)
+static void ready_update(struct jt_node *node)
 {
 	bool ready = jt_node_ready(node);
 
@@ -301,13 +302,13 @@
 	event->now_ms = jt_clock_ms();
 	jt_core_handle(node->core, event, node->actions);
 	for (size_t i = 0; i < node->actions->count; i++)
-		node_act(node, &node->actions->items[i]);
+		action_execute(node, &node->actions->items[i]);
 	jt_actions_clear(node->actions);
 	if (node->publish)
-		node_published(node);
+		tables_publish(node);
 	jt_traffic_set_lease(node->traffic, jt_core_lease_until(node->core));
 	if (node->left)
-		left_tell(node);
+		left_report(node);
 }
 
 /* Input */
@@ -372,8 +373,8 @@
 			     (uint8_t)(relay->hops > 255 ? 255 : relay->hops));
 		break;
 	case JT_WIRE_CONFIG_REQUEST:
-		config_answer(node, from,
-			      body->jt_wire_body_u.config_request.revision);
+		config_reply(node, from,
+			     body->jt_wire_body_u.config_request.revision);
 		break;
 	case JT_WIRE_CONFIG:
 		text = talloc_strndup(node, config->document.document_val,
@@ -440,7 +441,7 @@
 	struct jt_event event = {.kind = JT_EVENT_TICK};
 
 	jt_node_event(node, &event);
-	watch_ready(node);
+	ready_update(node);
 	node->handler.tick(node->handler.private_data);
 	jt_timer_set(node->tick, TICK_MS);
 }
@@ -450,7 +451,7 @@
 	return !node->draining && jt_core_ready(node->core, jt_clock_ms());
 }
 
-/* The rest of the cell can't let this node go, or is gone itself. */
+/* Ends the leave if the cell has not confirmed it in time. */
 static void on_leave_limit(void *private_data)
 {
 	struct jt_node *node = private_data;
@@ -458,7 +459,7 @@
 	if (node->left_told)
 		return;
 	jt_log_line(node->log, LOG_WARNING, "event=leave_unconfirmed");
-	left_tell(node);
+	left_report(node);
 }
 
 static void on_leave(void *private_data)
@@ -487,7 +488,7 @@
 	return 0;
 }
 
-static struct jt_core *node_core(struct jt_node *node)
+static struct jt_core *core_create(struct jt_node *node)
 {
 	const struct jt_settings *settings = node->settings;
 	struct jt_core_options options;
@@ -500,7 +501,7 @@
 	return jt_core_create(node, &options);
 }
 
-static void node_seeds(struct jt_node *node)
+static void seeds_submit(struct jt_node *node)
 {
 	struct jt_event event = {.kind = JT_EVENT_CANDIDATES};
 
@@ -526,7 +527,7 @@
 	node->started_ms = jt_clock_ms();
 	talloc_set_destructor(node, node_destructor);
 	node->replays = jt_replay_table_create(node);
-	node->core = node_core(node);
+	node->core = core_create(node);
 	node->actions = jt_actions_create(node);
 	node->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
 	node->peer_fd = jt_udp_open(settings->peer, false);
@@ -551,10 +552,10 @@
 	node->leave_limit = jt_timer_create(node, loop, on_leave_limit, node);
 	if (node->tick == NULL || node->leave == NULL ||
 	    node->leave_limit == NULL) {
-		*error = talloc_strdup(mem_ctx, "descriptors run out");
+		*error = talloc_strdup(mem_ctx, "out of file descriptors");
 		goto fail;
 	}
-	node_seeds(node);
+	seeds_submit(node);
 	tevent_add_fd(loop, node, node->wake_fd, TEVENT_FD_READ, on_wake, node);
 	tevent_add_fd(loop, node, node->peer_fd, TEVENT_FD_READ, on_peer, node);
 	jt_timer_set(node->tick, 0);
@@ -568,5 +569,5 @@
 {
 	talloc_unlink(node, node->settings);
 	node->settings = talloc_steal(node, settings);
-	node_seeds(node);
+	seeds_submit(node);
 }
--- a/src/daemon/jt_node.h
+++ b/src/daemon/jt_node.h
@@ -1,7 +1,8 @@
 /*
- * One balancer node: drives the decision library from sockets and timers.
+ * One balancer node: passes events from sockets and timers to the decision
+ * library and executes the actions that it returns.
  *
- * Everything here runs on the control thread.
+ * All functions run on the control thread.
  */
 #ifndef JT_NODE_H
 #define JT_NODE_H
@@ -31,16 +32,18 @@
 	uint64_t relay_bytes_sent;
 };
 
-/* What the parts that stand on a node are told. */
+/* Callbacks of the modules that use a node. */
 struct jt_node_handler {
-	/* Time has passed, or a good deal has happened. */
+	/* Called periodically. */
 	void (*tick)(void *private_data);
-	/* A document has become known, or another one may be in force. */
+	/* A configuration document was received, or the active one may have
+	 * changed. */
 	void (*changed)(void *private_data);
-	/* The store's vote is wanted; @request is valid during the call. */
+	/* Requests the witness vote of the store; @request is valid during the
+	 * call only. */
 	void (*witness)(const struct jt_witness_request *request,
 			void *private_data);
-	/* The node has left its cell. Said once. */
+	/* The node has left its cell. Called once. */
 	void (*left)(void *private_data);
 	void *private_data;
 };
@@ -50,8 +53,8 @@
 	const struct jt_log *log;
 	struct jt_settings *settings;
 	struct jt_timer *tick;
-	struct jt_timer *leave;	      /* until the fabric has stopped */
-	struct jt_timer *leave_limit; /* a leave that nobody confirms */
+	struct jt_timer *leave;	      /* delay before the cell is left */
+	struct jt_timer *leave_limit; /* ends a leave that no peer confirms */
 	struct jt_core *core;
 	struct jt_actions *actions;
 	struct jt_traffic *traffic;
@@ -63,13 +66,13 @@
 	struct jt_held_packet *held;
 	size_t held_count;
 	uint64_t next_token;
-	/* The packet of the event in hand. */
+	/* The packet of the event being handled; NULL if none. */
 	const uint8_t *packet;
 	size_t packet_length;
 	uint64_t packet_token;
 	struct jt_parsed packet_parsed;
 	bool publish;
-	bool draining; /* SIGTERM came: not ready any more */
+	bool draining; /* stopping: reports itself not ready */
 	bool left;
 	bool was_ready;
 	uint64_t started_ms;
@@ -78,27 +81,32 @@
 	bool left_told;
 };
 
-/* NULL with a line in @error (below @mem_ctx) when something can't start. Of
- * the callbacks only changed may come from within this call. */
+/* Creates a node and takes ownership of @settings. Returns NULL with a message
+ * in @error, a child of @mem_ctx, if a socket, thread or timer cannot be
+ * created. Only the callback `changed` may be called before this returns. */
 struct jt_node *jt_node_create(TALLOC_CTX *mem_ctx, struct tevent_context *loop,
 			       const struct jt_log *log,
 			       struct jt_settings *settings,
 			       const struct jt_node_handler *handler,
 			       char **error);
-/* Give @event to the decision library and do what it says. */
+/* Passes @event to the decision library and executes the returned actions. */
 void jt_node_event(struct jt_node *node, struct jt_event *event);
-/* Take a configuration document; false when it is invalid. A revision that
- * is known already is accepted again. */
+/* Stores a configuration document and passes it to the decision library.
+ * Returns false if it is invalid; returns true for a known revision. */
 bool jt_node_take_document(struct jt_node *node, uint64_t revision,
 			   const char *text);
-/* The newest document, NULL if none is known. */
+/* Returns the document of the highest revision, or NULL if there is none. */
 const struct jt_document *jt_node_newest(const struct jt_node *node);
+/* Returns the document of @revision, or NULL if it is not stored. */
 const struct jt_document *jt_node_document(const struct jt_node *node,
 					   uint64_t revision);
+/* Returns true if the node forwards packets and is not stopping. */
 bool jt_node_ready(const struct jt_node *node);
-/* Planned stop: not ready at once, leave the cell after the leave delay. */
+/* Starts a planned stop: the node is not ready from now on and leaves the cell
+ * after the configured leave delay. */
 void jt_node_leave(struct jt_node *node);
-/* Use changed settings (keys, tokens, seeds, log level, store rate). */
+/* Replaces the settings (keys, tokens, seeds, log level, store rate) and takes
+ * ownership of @settings. */
 void jt_node_reload(struct jt_node *node, struct jt_settings *settings);
 
 #endif
--- a/src/daemon/jt_replay_table.c
+++ b/src/daemon/jt_replay_table.c
@@ -3,16 +3,16 @@
 
 #include <string.h>
 
-enum { SENDERS = 1024 }; /* nodes whose sequence numbers are kept */
+enum { SENDER_LIMIT = 1024 }; /* nodes with a window in the table */
 
 struct sender_window {
 	uint64_t sender;
-	uint64_t used_ms;
+	uint64_t last_used_ms;
 	struct jt_replay window;
 };
 
 struct jt_replay_table {
-	struct sender_window senders[SENDERS];
+	struct sender_window senders[SENDER_LIMIT];
 	size_t count;
 };
 
@@ -30,15 +30,17 @@
 	for (size_t i = 0; i < table->count; i++) {
 		if (table->senders[i].sender == sender)
 			entry = &table->senders[i];
-		if (table->senders[i].used_ms < table->senders[oldest].used_ms)
+		if (table->senders[i].last_used_ms <
+		    table->senders[oldest].last_used_ms)
 			oldest = i;
 	}
 	if (entry == NULL) {
-		entry = &table->senders[table->count < SENDERS ? table->count++
-							       : oldest];
+		entry = &table->senders[table->count < SENDER_LIMIT
+						? table->count++
+						: oldest];
 		memset(entry, 0, sizeof(*entry));
 		entry->sender = sender;
 	}
-	entry->used_ms = now_ms;
+	entry->last_used_ms = now_ms;
 	return jt_replay_check(&entry->window, sequence);
 }
--- a/src/daemon/jt_replay_table.h
+++ b/src/daemon/jt_replay_table.h
@@ -1,5 +1,4 @@
-/* Which frames of which senders have come already, so that none counts twice.
- */
+/* Replay protection: a window of received sequence numbers per sender. */
 #ifndef JT_REPLAY_TABLE_H
 #define JT_REPLAY_TABLE_H
 
@@ -9,9 +8,10 @@
 
 struct jt_replay_table;
 
+/* Returns NULL when out of memory. */
 struct jt_replay_table *jt_replay_table_create(TALLOC_CTX *mem_ctx);
-/* Whether the frame is new; it is then taken down. The sender that was heard
- * least recently is forgotten where there are too many. */
+/* Returns true and records the sequence number if the frame is new. A new
+ * sender replaces the least recently used one if the table is full. */
 bool jt_replay_table_take(struct jt_replay_table *table, uint64_t sender,
 			  uint64_t sequence, uint64_t now_ms);
 
--- a/src/daemon/jt_status.c
+++ b/src/daemon/jt_status.c
@@ -105,14 +105,14 @@
 {
 	const struct jt_cell_state *state = jt_core_state(node->core);
 	const struct jt_document *newest = jt_node_newest(node);
-	uint64_t everywhere = jt_core_revision_everywhere(node->core);
+	uint64_t active_on_all = jt_core_revision_everywhere(node->core);
 	json_t *status = json_pack(
 		"{s:s,s:s,s:b,s:b,s:b,s:I,s:I,s:I}", "node",
 		node->settings->name, "zone", node->settings->zone, "ready",
 		(int)jt_node_ready(node), "leaving", (int)node->draining,
 		"store_up", (int)jt_config_sync_store_up(sync),
 		"revision_known", (json_int_t)(newest ? newest->revision : 0),
-		"revision_in_force_everywhere", (json_int_t)everywhere,
+		"revision_in_force_everywhere", (json_int_t)active_on_all,
 		"flow_records", (json_int_t)jt_core_flow_count(node->core));
 
 	if (state == NULL)
@@ -261,14 +261,14 @@
 	return text;
 }
 
-/* A dry run: the tables that the change would make, against those now. */
-json_t *jt_status_plan(const struct jt_node *node, const json_t *after)
+/* Compares the current tables with the endpoints of the new document. */
+json_t *jt_status_plan(const struct jt_node *node, const json_t *new_document)
 {
 	const struct jt_cell_state *state = jt_core_state(node->core);
 	struct jt_resource_error error;
 	TALLOC_CTX *frame = talloc_new(NULL);
 	const struct jt_config *config =
-		jt_resource_build(frame, after, 0, &error);
+		jt_resource_build(frame, new_document, 0, &error);
 	json_t *list = json_array();
 
 	for (size_t s = 0; config && s < config->service_count; s++) {
--- a/src/daemon/jt_store_budget.c
+++ b/src/daemon/jt_store_budget.c
@@ -22,7 +22,8 @@
 	uint64_t rate = budget->node->settings->store_operations_per_s;
 	uint64_t now = jt_clock_ms();
 
-	/* Half of the rate is divided evenly; the rest is for readers. */
+	/* Half of the rate is divided evenly among the members; the other half
+	 * is left for readers. */
 	budget->tokens_milli += (now - budget->refilled_ms) * rate /
 				(2 * (members ? members : 1));
 	budget->refilled_ms = now;
--- a/src/daemon/jt_traffic.c
+++ b/src/daemon/jt_traffic.c
@@ -14,34 +14,34 @@
 #include <urcu-qsbr.h>
 
 enum {
-	BATCH = 64,	     /* packets of one recvmmsg() */
+	BATCH = 64,	     /* packets per recvmmsg() */
 	QUEUE_LIMIT = 16384, /* packets waiting for the control thread */
 	POLL_MS = 50,
 };
 
 struct bucket_entry {
 	struct sockaddr_in endpoint;
-	bool plain;
+	bool direct;
 };
 
 struct service_entry {
 	struct bucket_entry buckets[JT_BUCKETS];
 };
 
-/* What the traffic threads decide by; immutable once published. */
+/* Forwarding decisions of the traffic threads; immutable once published. */
 struct forwarding_table {
 	struct rcu_head rcu;
 	struct jt_config config; /* addresses only */
 	struct service_entry *services;
 };
 
-/* The queue to the control thread has a lock: it is no part of the way of
- * packets that the table decides. */
-struct queued {
-	STAILQ_ENTRY(queued) next;
+/* An entry of the queue to the control thread. Packets that the table forwards
+ * directly do not take the lock of the queue. */
+struct queue_entry {
+	STAILQ_ENTRY(queue_entry) next;
 	struct jt_slow_packet *packet;
 };
-STAILQ_HEAD(packet_queue, queued);
+STAILQ_HEAD(packet_queue, queue_entry);
 
 struct traffic_thread {
 	struct jt_traffic *traffic;
@@ -68,7 +68,7 @@
 	atomic_bool stopping;
 	_Atomic uint64_t lease_until_ms;
 	struct forwarding_table *_Atomic table;
-	pthread_mutex_t queue_lock; /* for the two below */
+	pthread_mutex_t queue_lock; /* guards queue and queue_length */
 	struct packet_queue queue;
 	size_t queue_length;
 	bool stopped;
@@ -84,9 +84,9 @@
 	unsigned out_count;
 };
 
-static void count(struct traffic_thread *thread, int which, uint64_t by)
+static void count(struct traffic_thread *thread, int which, uint64_t increment)
 {
-	atomic_fetch_add_explicit(&thread->counts[which], by,
+	atomic_fetch_add_explicit(&thread->counts[which], increment,
 				  memory_order_relaxed);
 }
 
@@ -100,26 +100,27 @@
 	free(table);
 }
 
-/* False when the queue is full; *first tells that it was empty. */
-static bool queue_add(struct jt_traffic *traffic, struct queued *entry,
+/* Returns false if the queue is full; sets *first if the queue was empty. */
+static bool queue_add(struct jt_traffic *traffic, struct queue_entry *entry,
 		      bool *first)
 {
-	bool room;
+	bool accepted;
 
 	pthread_mutex_lock(&traffic->queue_lock);
-	room = traffic->queue_length < QUEUE_LIMIT;
+	accepted = traffic->queue_length < QUEUE_LIMIT;
 	*first = traffic->queue_length == 0;
-	if (room) {
+	if (accepted) {
 		STAILQ_INSERT_TAIL(&traffic->queue, entry, next);
 		traffic->queue_length++;
 	}
 	pthread_mutex_unlock(&traffic->queue_lock);
-	return room;
+	return accepted;
 }
 
-static struct queued *queued_make(const uint8_t *data, size_t length)
+static struct queue_entry *queue_entry_create(const uint8_t *data,
+					      size_t length)
 {
-	struct queued *entry = malloc(sizeof(*entry));
+	struct queue_entry *entry = malloc(sizeof(*entry));
 
 	if (entry == NULL)
 		return NULL;
@@ -133,10 +134,10 @@
 	return entry;
 }
 
-static void to_control(struct traffic_thread *thread, const uint8_t *data,
-		       size_t length)
+static void control_enqueue(struct traffic_thread *thread, const uint8_t *data,
+			    size_t length)
 {
-	struct queued *entry = queued_make(data, length);
+	struct queue_entry *entry = queue_entry_create(data, length);
 	uint64_t one = 1;
 	bool first = false;
 
@@ -148,11 +149,11 @@
 		return;
 	}
 	count(thread, COUNT_CONTROL, 1);
-	if (first) /* a full eventfd wakes as well */
+	if (first) /* a saturated eventfd is readable too */
 		(void)!write(thread->traffic->wake_fd, &one, sizeof(one));
 }
 
-static void queue_out(struct batch *batch, uint8_t *data, size_t length,
+static void batch_add(struct batch *batch, uint8_t *data, size_t length,
 		      const struct sockaddr_in *to)
 {
 	unsigned at = batch->out_count++;
@@ -167,9 +168,10 @@
 	batch->out[at].msg_hdr.msg_iovlen = 1;
 }
 
-/* The endpoint of a packet that needs no owner, NULL for all others. */
+/* Returns the endpoint of a packet that can be forwarded directly, or NULL if
+ * the control thread must handle it. */
 static const struct sockaddr_in *
-table_decide(const struct forwarding_table *table,
+table_lookup(const struct forwarding_table *table,
 	     const struct jt_parsed *parsed)
 {
 	const struct jt_address_config *address;
@@ -182,7 +184,7 @@
 		return NULL;
 	entry = &table->services[address->service]
 			 .buckets[jt_flow_bucket(&parsed->key)];
-	return entry->plain ? &entry->endpoint : NULL;
+	return entry->direct ? &entry->endpoint : NULL;
 }
 
 static void handle_packet(struct traffic_thread *thread, struct batch *batch,
@@ -199,12 +201,12 @@
 		return;
 	}
 	if (table != NULL)
-		to = table_decide(table, &parsed);
+		to = table_lookup(table, &parsed);
 	if (to == NULL) {
-		to_control(thread, data, length);
+		control_enqueue(thread, data, length);
 		return;
 	}
-	queue_out(batch, data, length, to);
+	batch_add(batch, data, length, to);
 }
 
 static void send_batch(struct traffic_thread *thread, struct batch *batch)
@@ -212,18 +214,18 @@
 	unsigned sent = 0;
 
 	while (sent < batch->out_count) {
-		int done = sendmmsg(thread->fd, batch->out + sent,
-				    batch->out_count - sent, 0);
+		int sent_now = sendmmsg(thread->fd, batch->out + sent,
+					batch->out_count - sent, 0);
 
-		if (done <= 0) {
+		if (sent_now <= 0) {
 			if (errno == EINTR)
 				continue;
 			count(thread, COUNT_FAILED, 1);
-			sent++; /* the first of the rest can't be sent */
+			sent++; /* skips the packet that failed */
 			continue;
 		}
-		sent += (unsigned)done;
-		count(thread, COUNT_FORWARDED, (uint64_t)done);
+		sent += (unsigned)sent_now;
+		count(thread, COUNT_FORWARDED, (uint64_t)sent_now);
 	}
 	batch->out_count = 0;
 }
@@ -376,7 +378,7 @@
 			if (e == JT_NO_ENDPOINT ||
 			    jt_core_bucket_relayed(core, s, b))
 				continue;
-			entry->plain = true;
+			entry->direct = true;
 			jt_address_to_socket(state->endpoints[e].address,
 					     &entry->endpoint);
 		}
@@ -393,7 +395,7 @@
 		table = calloc(1, sizeof(*table));
 		if (table != NULL && !table_fill(table, core)) {
 			table_free(&table->rcu);
-			table = NULL; /* everything goes through control */
+			table = NULL; /* no packet is forwarded directly */
 		}
 	}
 	atomic_store_explicit(&traffic->table, table, memory_order_release);
@@ -409,7 +411,7 @@
 struct jt_slow_packet *jt_traffic_next(struct jt_traffic *traffic)
 {
 	struct jt_slow_packet *packet = NULL;
-	struct queued *entry;
+	struct queue_entry *entry;
 
 	pthread_mutex_lock(&traffic->queue_lock);
 	entry = STAILQ_FIRST(&traffic->queue);
--- a/src/daemon/jt_witness.c
+++ b/src/daemon/jt_witness.c
@@ -6,13 +6,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { PROPOSAL_BYTES = 60000 };
+enum { PROPOSAL_LIMIT_BYTES = 60000 };
 
 struct jt_witness {
 	struct jt_node *node;
 	struct jt_config_sync *sync;
 	char *key;
-	struct witness_call *call; /* one at a time */
+	struct witness_call *call; /* the pending call; NULL: none */
 };
 
 struct witness_call {
@@ -36,26 +36,29 @@
 	return witness;
 }
 
-/* "EPOCH ROUND NODE ROUND NODE HEX": promised, accepted, XDR proposal. */
+/* Formats a record as "EPOCH ROUND NODE ROUND NODE HEX.": the promised and the
+ * accepted ballot, then the accepted proposal in XDR. */
 static char *record_to_text(TALLOC_CTX *mem_ctx,
 			    const struct jt_witness_record *record)
 {
-	uint8_t *bytes = talloc_array(mem_ctx, uint8_t, PROPOSAL_BYTES);
-	char *hex = talloc_zero_array(mem_ctx, char, 2 * PROPOSAL_BYTES + 1);
+	uint8_t *bytes = talloc_array(mem_ctx, uint8_t, PROPOSAL_LIMIT_BYTES);
+	char *hex =
+		talloc_zero_array(mem_ctx, char, 2 * PROPOSAL_LIMIT_BYTES + 1);
 	size_t length = 0;
 	XDR xdr;
 
 	if (bytes == NULL || hex == NULL)
 		return NULL;
 	if (record->accepted != NULL) {
-		xdrmem_create(&xdr, (char *)bytes, PROPOSAL_BYTES, XDR_ENCODE);
+		xdrmem_create(&xdr, (char *)bytes, PROPOSAL_LIMIT_BYTES,
+			      XDR_ENCODE);
 		if (xdr_jt_wire_proposal(&xdr, record->accepted))
 			length = xdr_getpos(&xdr);
 		xdr_destroy(&xdr);
 		if (length == 0)
 			return NULL;
 	}
-	sodium_bin2hex(hex, 2 * PROPOSAL_BYTES + 1, bytes, length);
+	sodium_bin2hex(hex, 2 * PROPOSAL_LIMIT_BYTES + 1, bytes, length);
 	return talloc_asprintf(
 		mem_ctx, "%" PRIu64 " %u %" PRIu64 " %u %" PRIu64 " %s.",
 		record->epoch, record->promised_round, record->promised_node,
@@ -83,34 +86,34 @@
 	return proposal;
 }
 
-/* False when the text is no record: better no vote than a wrong one. */
+/* Returns false if the text is not a valid record. */
 static bool record_from_text(TALLOC_CTX *mem_ctx, const char *text,
 			     struct jt_witness_record *record)
 {
 	const char *hex;
-	int used = 0;
+	int consumed = 0;
 
 	memset(record, 0, sizeof(*record));
 	if (sscanf(text, "%" SCNu64 " %u %" SCNu64 " %u %" SCNu64 " %n",
 		   &record->epoch, &record->promised_round,
 		   &record->promised_node, &record->accepted_round,
-		   &record->accepted_node, &used) != 5 ||
-	    used == 0)
+		   &record->accepted_node, &consumed) != 5 ||
+	    consumed == 0)
 		return false;
-	hex = text + used;
+	hex = text + consumed;
 	if (strcmp(hex, ".") == 0)
 		return true;
 	record->accepted = proposal_from_hex(mem_ctx, hex, strcspn(hex, "."));
 	return record->accepted != NULL;
 }
 
-static void call_end(struct witness_call *call, bool told)
+static void call_finish(struct witness_call *call, bool replied)
 {
 	struct jt_witness *witness = call->witness;
 	struct jt_event event = {.kind = JT_EVENT_WITNESS};
 
 	witness->call = NULL;
-	if (told) {
+	if (replied) {
 		event.u.witness = &call->reply;
 		jt_node_event(witness->node, &event);
 	}
@@ -125,7 +128,7 @@
 	enum jt_store_result result = jt_store_put_recv(req, &revision);
 
 	talloc_free(req);
-	call_end(call, result == JT_STORE_OK);
+	call_finish(call, result == JT_STORE_OK);
 }
 
 static void on_get(struct tevent_req *req)
@@ -142,20 +145,20 @@
 	if (result != JT_STORE_OK ||
 	    (value.present &&
 	     !record_from_text(call, value.value, &reply->record))) {
-		call_end(call, false);
+		call_finish(call, false);
 		return;
 	}
 	reply->granted = jt_witness_apply(&reply->record, &reply->request);
 	if (reply->granted)
 		text = record_to_text(call, &reply->record);
 	if (text == NULL) {
-		call_end(call, !reply->granted);
+		call_finish(call, !reply->granted);
 		return;
 	}
 	req = jt_store_put_send(call, jt_config_sync_store(witness->sync),
 				witness->key, text, value.mod_revision);
 	if (req == NULL)
-		call_end(call, false);
+		call_finish(call, false);
 	else
 		tevent_req_set_callback(req, on_put, call);
 }
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,4 +1,4 @@
-/* jaspertrackd: one balancer node. */
+/* jaspertrackd: daemon that runs one balancer node. */
 #include "jt_balancer.h"
 #include "jt_director_settings.h"
 #include "jt_net.h"
@@ -12,7 +12,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Names the settings file where --config does not. */
+/* Environment variable with the settings file, if --config is not given. */
 #define SETTINGS_VARIABLE "JASPERTRACK_SETTINGS"
 
 enum { EXIT_DONE = 0, EXIT_FAILED = 1, EXIT_USAGE = 2 };
@@ -42,7 +42,7 @@
 	arg_print_glossary(stdout, table, "  %-26s %s\n");
 }
 
-/* EXIT_DONE with *run true when the node is to start. */
+/* Returns the exit status; sets *run if the daemon is to continue. */
 static int parse_arguments(int argc, char **argv, struct options *options,
 			   bool *run)
 {
@@ -73,7 +73,7 @@
 		result = EXIT_USAGE;
 	} else if (config->count == 0 && getenv(SETTINGS_VARIABLE) == NULL) {
 		fprintf(stderr, "jaspertrackd: --config or " SETTINGS_VARIABLE
-				" is needed\n");
+				" is required\n");
 		result = EXIT_USAGE;
 	} else {
 		options->config = config->count ? config->filename[0]
@@ -84,7 +84,7 @@
 		options->check = check->count > 0;
 		*run = true;
 	}
-	/* The strings point into argv, not into the table. */
+	/* The strings in @options point into argv, not into the table. */
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return result;
 }
@@ -106,7 +106,7 @@
 	settings->log_threshold = jt_log_severity(options->log_level);
 	if (settings->log_threshold < 0) {
 		*error = talloc_asprintf(mem_ctx,
-					 "--log-level: '%s' is no severity",
+					 "--log-level: '%s' is not a severity",
 					 options->log_level);
 		TALLOC_FREE(settings);
 	}
@@ -212,14 +212,14 @@
 	bool run;
 	int result;
 
-	/* Until the handlers stand, these must not end the process. */
+	/* Ignored until the handlers are installed. */
 	signal(SIGHUP, SIG_IGN);
 	signal(SIGPIPE, SIG_IGN);
 	result = parse_arguments(argc, argv, &daemon->options, &run);
 	if (!run)
 		goto out;
 	if (sodium_init() < 0 || curl_global_init(CURL_GLOBAL_DEFAULT) != 0) {
-		fprintf(stderr, "jaspertrackd: libraries can't start\n");
+		fprintf(stderr, "jaspertrackd: cannot initialise libraries\n");
 		result = EXIT_FAILED;
 		goto out;
 	}
@@ -238,7 +238,7 @@
 		goto out;
 	}
 	if (daemon->options.check)
-		printf("%s: settings are right\n", daemon->options.config);
+		printf("%s: settings are valid\n", daemon->options.config);
 	else
 		result = run_node(daemon, settings);
 out:
