--- a/src/common/jt_log.c
+++ b/src/common/jt_log.c
@@ -15,7 +15,7 @@
 enum {
 	SEVERITY_COUNT = sizeof(severity_names) / sizeof(severity_names[0]),
 	LINE_BYTES = 1024,
-	UP_BYTES = 40, /* room for " up_ms=N" and the line's end */
+	UPTIME_BYTES = 40, /* space for " up_ms=N\n" */
 };
 
 int jt_log_severity(const char *name)
@@ -31,7 +31,7 @@
 		 ...)
 {
 	char text[LINE_BYTES], line[LINE_BYTES];
-	char stamp[32];
+	char timestamp[32];
 	struct timespec now;
 	struct tm parts;
 	va_list arguments;
@@ -41,23 +41,23 @@
 		return;
 	clock_gettime(CLOCK_REALTIME, &now);
 	gmtime_r(&now.tv_sec, &parts);
-	strftime(stamp, sizeof(stamp), "%Y-%m-%dT%H:%M:%S", &parts);
+	strftime(timestamp, sizeof(timestamp), "%Y-%m-%dT%H:%M:%S", &parts);
 	va_start(arguments, format);
 	vsnprintf(text, sizeof(text), format, arguments);
 	va_end(arguments);
-	length = snprintf(line, sizeof(line) - UP_BYTES,
-			  "%s.%03ldZ %s %s[%d]: %s", stamp,
+	length = snprintf(line, sizeof(line) - UPTIME_BYTES,
+			  "%s.%03ldZ %s %s[%d]: %s", timestamp,
 			  now.tv_nsec / 1000000, severity_names[severity],
 			  log->program, (int)getpid(), text);
-	if (length >= (int)sizeof(line) - UP_BYTES)
-		length = (int)sizeof(line) - UP_BYTES - 1;
+	if (length >= (int)sizeof(line) - UPTIME_BYTES)
+		length = (int)sizeof(line) - UPTIME_BYTES - 1;
 	if (log->sink == NULL) {
 		fprintf(stderr, "%.*s\n", length, line);
 		return;
 	}
 	clock_gettime(CLOCK_MONOTONIC, &now);
 	length +=
-		snprintf(line + length, UP_BYTES, " up_ms=%lld\n",
+		snprintf(line + length, UPTIME_BYTES, " up_ms=%lld\n",
 			 (long long)now.tv_sec * 1000 + now.tv_nsec / 1000000);
 	jt_log_sink_add(log->sink, line, (size_t)length);
 }
--- a/src/common/jt_log_sink.c
+++ b/src/common/jt_log_sink.c
@@ -10,12 +10,12 @@
 	BUFFER_BYTES = 256 * 1024,
 	UNUSUAL_PER_S = 400,
 	ORDINARY_PER_S = 300,
-	REPORT_MS = 1000,
+	REPORT_INTERVAL_MS = 1000,
 	US_PER_S = 1000000,
 };
 
-/* Lines that may still be written in the second at hand. */
-struct allowance {
+/* Lines used of the rate limit in the current second. */
+struct rate_usage {
 	uint64_t second;
 	uint32_t used;
 };
@@ -23,9 +23,9 @@
 struct jt_log_sink {
 	int fd;
 	size_t used;
-	struct allowance allowances[JT_LOG_CLASSES];
+	struct rate_usage rate_usages[JT_LOG_CLASSES];
 	struct jt_log_counters counters;
-	uint64_t reported; /* sum of what was left out, as told last */
+	uint64_t reported_lines; /* suppressed and lost, at the last report */
 	uint64_t reported_ms;
 	char buffer[BUFFER_BYTES];
 };
@@ -38,7 +38,7 @@
 	if (sink == NULL)
 		return NULL;
 	sink->fd = fd;
-	/* Where that fails, writes wait: still better than no log. */
+	/* If this fails, writes block. */
 	if (flags >= 0)
 		(void)fcntl(fd, F_SETFL, flags | O_NONBLOCK);
 	return sink;
@@ -59,16 +59,16 @@
 bool jt_log_sink_allow(struct jt_log_sink *sink, enum jt_log_class class,
 		       uint64_t now_ms)
 {
-	struct allowance *allowance = &sink->allowances[class];
+	struct rate_usage *rate_usage = &sink->rate_usages[class];
 	uint64_t second = now_ms / 1000;
 
-	if (allowance->second != second)
-		*allowance = (struct allowance){.second = second};
-	if (allowance->used >= class_limit(class)) {
+	if (rate_usage->second != second)
+		*rate_usage = (struct rate_usage){.second = second};
+	if (rate_usage->used >= class_limit(class)) {
 		sink->counters.left_out[class]++;
 		return false;
 	}
-	allowance->used++;
+	rate_usage->used++;
 	return true;
 }
 
@@ -95,26 +95,27 @@
 
 static ssize_t timed_write(struct jt_log_sink *sink)
 {
-	uint64_t began_us = clock_us();
-	ssize_t done = write(sink->fd, sink->buffer, sink->used);
+	uint64_t start_us = clock_us();
+	ssize_t written = write(sink->fd, sink->buffer, sink->used);
 
-	sink->counters.write_us += clock_us() - began_us;
-	return done;
+	sink->counters.write_us += clock_us() - start_us;
+	return written;
 }
 
 void jt_log_sink_flush(struct jt_log_sink *sink)
 {
 	while (sink->used > 0) {
-		ssize_t done = timed_write(sink);
+		ssize_t written = timed_write(sink);
 
-		if (done < 0 && errno == EINTR)
+		if (written < 0 && errno == EINTR)
 			continue;
-		if (done < 0 && errno == EAGAIN)
+		if (written < 0 && errno == EAGAIN)
 			return;
-		if (done < 0)
-			done = (ssize_t)sink->used; /* nobody reads any more */
-		sink->used -= (size_t)done;
-		memmove(sink->buffer, sink->buffer + done, sink->used);
+		/* Discards the buffer if the reader closed its end. */
+		if (written < 0)
+			written = (ssize_t)sink->used;
+		sink->used -= (size_t)written;
+		memmove(sink->buffer, sink->buffer + written, sink->used);
 	}
 }
 
@@ -124,9 +125,10 @@
 
 	for (int i = 0; i < JT_LOG_CLASSES; i++)
 		sum += sink->counters.left_out[i];
-	if (sum == sink->reported || now_ms - sink->reported_ms < REPORT_MS)
+	if (sum == sink->reported_lines ||
+	    now_ms - sink->reported_ms < REPORT_INTERVAL_MS)
 		return false;
-	sink->reported = sum;
+	sink->reported_lines = sum;
 	sink->reported_ms = now_ms;
 	return true;
 }
--- a/src/common/jt_mechanism.c
+++ b/src/common/jt_mechanism.c
@@ -3,8 +3,9 @@
 #include <stddef.h>
 #include <string.h>
 
-/* In the order of their bits. */
-static const char *const names[] = {
+/* Names of the features as in the setting `without`, in the order of their
+ * bits. */
+static const char *const feature_names[] = {
 	"zone-first",
 	"peer-work",
 	"slowness",
@@ -38,8 +39,8 @@
 
 uint32_t jt_mechanism_find(const char *name)
 {
-	for (unsigned bit = 0; names[bit] != NULL; bit++) {
-		if (strcmp(names[bit], name) == 0)
+	for (unsigned bit = 0; feature_names[bit] != NULL; bit++) {
+		if (strcmp(feature_names[bit], name) == 0)
 			return 1u << bit;
 	}
 	return 0;
@@ -47,5 +48,5 @@
 
 const char *const *jt_mechanism_names(void)
 {
-	return names;
+	return feature_names;
 }
--- a/src/common/jt_mechanism.h
+++ b/src/common/jt_mechanism.h
@@ -1,6 +1,6 @@
 /*
- * Mechanisms of a director node that a setting can switch off, to measure what
- * each is worth. For experiments only: all are on unless `without` names them.
+ * Feature switches of a director node. All features are enabled unless the
+ * setting `without` names them, which is for experiments only.
  */
 #ifndef JT_MECHANISM_H
 #define JT_MECHANISM_H
@@ -8,48 +8,77 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Bits of a set of mechanisms. */
+/* The features, as bits of a set. */
 enum jt_mechanism {
-	JT_MECHANISM_ZONE_FIRST = 1 << 0,     /* own zone's endpoints first */
-	JT_MECHANISM_PEER_WORK = 1 << 1,      /* peers' work counts */
-	JT_MECHANISM_SLOWNESS = 1 << 2,	      /* measured speed counts */
-	JT_MECHANISM_COLD = 1 << 3,	      /* cold endpoints get less */
-	JT_MECHANISM_NEWCOMER_SHARE = 1 << 4, /* newcomers get no more */
-	JT_MECHANISM_DOUBT_OPENING = 1 << 5,  /* no answer to a first packet */
-	JT_MECHANISM_DOUBT_RESENT = 1 << 6,   /* data sent again */
-	JT_MECHANISM_PEER_SUSPICION = 1 << 7, /* peers' verdicts are probed */
-	JT_MECHANISM_REFUSE_FULL = 1 << 8,    /* full endpoints get none */
-	JT_MECHANISM_PARTS_GIVE_WAY = 1 << 9, /* to parts with better ones */
-	JT_MECHANISM_OUTAGE_LAPSES = 1 << 10, /* live ones keep new flows */
-	JT_MECHANISM_NEWS = 1 << 11,	      /* changes are told at once */
-	JT_MECHANISM_NEAR_DIGESTS = 1 << 12,  /* most stay in their zone */
-	JT_MECHANISM_ONE_WATCHER = 1 << 13,   /* other readers only check */
-	JT_MECHANISM_FEW_READERS = 1 << 14,   /* most leave it to peers */
-	JT_MECHANISM_FIRST_START = 1 << 15,   /* is spread over time */
-	JT_MECHANISM_PEERS_FIRST = 1 << 16,   /* a start asks peers first */
-	JT_MECHANISM_LEAVE_IN_TURN = 1 << 17, /* nodes of a zone */
-	JT_MECHANISM_EARLY_END = 1 << 18,     /* when packets stop */
-	JT_MECHANISM_OUTLIERS = 1 << 19,     /* what fails requests gets none */
-	JT_MECHANISM_HOLD_UNKNOWN = 1 << 20, /* packets wait for entries */
-	JT_MECHANISM_SPREAD_LEARNING = 1 << 21, /* so do new flows */
-	JT_MECHANISM_PARTLY_KNOWN = 1 << 22,	/* is enough to place flows */
-	JT_MECHANISM_ADMISSION = 1 << 23, /* full services refuse by priority */
-	JT_MECHANISM_SHORT_ANSWERS = 1 << 24, /* may be failures */
-	JT_MECHANISM_FAST_FIRST = 1 << 25,    /* slow ones rest till needed */
-	JT_MECHANISM_ZONE_ROOM = 1 << 26,   /* flows go far for want of room */
-	JT_MECHANISM_FLOW_LOOKUP = 1 << 27, /* peers are asked for flows */
+	/* Prefers endpoints of the own zone. */
+	JT_MECHANISM_ZONE_FIRST = 1 << 0,
+	/* Load of an endpoint includes the load reported by peers. */
+	JT_MECHANISM_PEER_WORK = 1 << 1,
+	/* Weighs endpoints by their relative response time. */
+	JT_MECHANISM_SLOWNESS = 1 << 2,
+	/* Slow start of cold endpoints. */
+	JT_MECHANISM_COLD = 1 << 3,
+	/* Limits the traffic share of new endpoints. */
+	JT_MECHANISM_NEWCOMER_SHARE = 1 << 4,
+	/* Suspects an endpoint that leaves a first packet unanswered. */
+	JT_MECHANISM_DOUBT_OPENING = 1 << 5,
+	/* Suspects an endpoint on retransmissions to it. */
+	JT_MECHANISM_DOUBT_RESENT = 1 << 6,
+	/* Probes endpoints that peers suspect. */
+	JT_MECHANISM_PEER_SUSPICION = 1 << 7,
+	/* Sends no new flows to endpoints at their connection limit. */
+	JT_MECHANISM_REFUSE_FULL = 1 << 8,
+	/* Skips parts of a traffic split whose endpoints all seem to be down.
+	 */
+	JT_MECHANISM_PARTS_GIVE_WAY = 1 << 9,
+	/* Live endpoints that expired in a store outage stay eligible. */
+	JT_MECHANISM_OUTAGE_LAPSES = 1 << 10,
+	/* Sends a gossip update on each change. */
+	JT_MECHANISM_NEWS = 1 << 11,
+	/* Sends most digests within the own zone. */
+	JT_MECHANISM_NEAR_DIGESTS = 1 << 12,
+	/* One reader watches the store, the others only check. */
+	JT_MECHANISM_ONE_WATCHER = 1 << 13,
+	/* Few nodes read the store, the others rely on peers. */
+	JT_MECHANISM_FEW_READERS = 1 << 14,
+	/* Spreads the start of the whole system over time. */
+	JT_MECHANISM_FIRST_START = 1 << 15,
+	/* A starting node asks its peers before it reads the store. */
+	JT_MECHANISM_PEERS_FIRST = 1 << 16,
+	/* Nodes of a zone leave one after the other. */
+	JT_MECHANISM_LEAVE_IN_TURN = 1 << 17,
+	/* A leaving node exits early once no packets arrive. */
+	JT_MECHANISM_EARLY_END = 1 << 18,
+	/* Excludes endpoints that fail requests. */
+	JT_MECHANISM_OUTLIERS = 1 << 19,
+	/* Holds packets of unknown labels in the initial synchronisation. */
+	JT_MECHANISM_HOLD_UNKNOWN = 1 << 20,
+	/* Spreads or holds new flows in the initial synchronisation. */
+	JT_MECHANISM_SPREAD_LEARNING = 1 << 21,
+	/* Accepts new flows before the state is complete. */
+	JT_MECHANISM_PARTLY_KNOWN = 1 << 22,
+	/* Overloaded services refuse flows by priority. */
+	JT_MECHANISM_ADMISSION = 1 << 23,
+	/* Short answers may count as failures. */
+	JT_MECHANISM_SHORT_ANSWERS = 1 << 24,
+	/* Uses slow endpoints only if the load requires it. */
+	JT_MECHANISM_FAST_FIRST = 1 << 25,
+	/* Sends flows to other zones if the own one lacks headroom. */
+	JT_MECHANISM_ZONE_ROOM = 1 << 26,
+	/* Queries peers about unknown flows. */
+	JT_MECHANISM_FLOW_LOOKUP = 1 << 27,
 };
 
-/* The mechanism of that name, 0 when there is none. */
+/* Returns the feature with the name, or 0 if there is none. */
 uint32_t jt_mechanism_find(const char *name);
-/* The names, ended by NULL. */
+/* Returns the names in the order of their bits, terminated by NULL. */
 const char *const *jt_mechanism_names(void);
 
-/* Whether the mechanism is on where those of @without are off. */
-static inline bool jt_mechanism_on(uint32_t without,
-				   enum jt_mechanism mechanism)
+/* Returns true if the feature is not in the set @disabled_features. */
+static inline bool jt_mechanism_on(uint32_t disabled_features,
+				   enum jt_mechanism feature)
 {
-	return (without & (uint32_t)mechanism) == 0;
+	return (disabled_features & (uint32_t)feature) == 0;
 }
 
 #endif
--- a/src/common/jt_net.c
+++ b/src/common/jt_net.c
@@ -62,8 +62,8 @@
 
 int jt_udp_open(struct jt_address address, bool reuse_port)
 {
-	int size = SOCKET_BUFFER_BYTES, one = 1, saved;
-	struct sockaddr_in name;
+	int size = SOCKET_BUFFER_BYTES, one = 1, saved_errno;
+	struct sockaddr_in socket_address;
 	int fd;
 
 	fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -72,17 +72,18 @@
 	if (reuse_port &&
 	    setsockopt(fd, SOL_SOCKET, SO_REUSEPORT, &one, sizeof(one)) != 0)
 		goto fail;
-	/* A smaller buffer than asked for still works. */
+	/* Failure is harmless: the system default applies. */
 	(void)setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
 	(void)setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &size, sizeof(size));
-	jt_address_to_socket(address, &name);
-	if (bind(fd, (struct sockaddr *)&name, sizeof(name)) != 0)
+	jt_address_to_socket(address, &socket_address);
+	if (bind(fd, (struct sockaddr *)&socket_address,
+		 sizeof(socket_address)) != 0)
 		goto fail;
 	return fd;
 fail:
-	saved = errno;
+	saved_errno = errno;
 	close(fd);
-	errno = saved;
+	errno = saved_errno;
 	return -1;
 }
 
--- a/src/common/jt_random.h
+++ b/src/common/jt_random.h
@@ -1,6 +1,6 @@
 /*
- * Random numbers that repeat for a seed: XXH64 of a counter. For jitter and
- * for breaking ties; not for secrets.
+ * Reproducible pseudo-random numbers: XXH64 of a counter with a seed. For
+ * jitter and tie-breaking; not suitable for secrets.
  */
 #ifndef JT_RANDOM_H
 #define JT_RANDOM_H
@@ -13,6 +13,7 @@
 	uint64_t counter;
 };
 
+/* Returns the next number of the sequence. */
 static inline uint64_t jt_random_next(struct jt_random *random)
 {
 	uint64_t counter = random->counter++;
--- a/src/common/jt_timer.c
+++ b/src/common/jt_timer.c
@@ -1,7 +1,7 @@
 /*
  * All timers of a loop share one descriptor (timerfd_create(2)), which is set
- * to the earliest of them: descriptors are few, and most settings of a timer
- * need no system call.
+ * to the earliest of them. This saves descriptors, and setting a timer needs no
+ * system call unless it becomes the earliest.
  */
 #include "jt_timer.h"
 
@@ -17,13 +17,13 @@
 TAILQ_HEAD(timer_list, jt_timer);
 
 struct jt_timer {
-	struct jt_timer_queue *queue; /* NULL once the loop is gone */
-	struct timer_list *list;      /* that holds it; NULL: it is not set */
+	struct jt_timer_queue *queue; /* NULL after the loop is freed */
+	struct timer_list *list;      /* set or firing; NULL: not set */
 	uint64_t due_ns;
 	void (*callback)(void *);
 	void *private_data;
-	TAILQ_ENTRY(jt_timer) link;   /* in the list */
-	TAILQ_ENTRY(jt_timer) member; /* of the queue */
+	TAILQ_ENTRY(jt_timer) link;   /* in @list */
+	TAILQ_ENTRY(jt_timer) member; /* in the members of the queue */
 };
 
 /* The timers of one loop; freed with it. */
@@ -32,15 +32,15 @@
 	int fd;
 	struct tevent_fd *watch;
 	struct timer_list members;
-	struct timer_list set;	  /* the earliest first */
-	struct timer_list firing; /* due, their callbacks not yet made */
-	uint64_t armed_ns;	  /* what the descriptor is set to, 0: never */
+	struct timer_list set;	  /* ordered by due time */
+	struct timer_list firing; /* due, callback not called yet */
+	uint64_t armed_ns;	  /* expiry of the descriptor; 0: none */
 	TAILQ_ENTRY(jt_timer_queue) link;
 };
 
 TAILQ_HEAD(queue_list, jt_timer_queue);
 
-/* Loops are used by the thread that made them. */
+/* Per thread: a loop is used only by the thread that created it. */
 static _Thread_local struct queue_list queues;
 
 static uint64_t clock_ns(void)
@@ -51,7 +51,7 @@
 	return (uint64_t)now.tv_sec * NS_PER_S + (uint64_t)now.tv_nsec;
 }
 
-/* Set the descriptor to the earliest timer. */
+/* Sets the descriptor to the earliest timer. */
 static void queue_arm(struct jt_timer_queue *queue)
 {
 	const struct jt_timer *first = TAILQ_FIRST(&queue->set);
@@ -75,8 +75,8 @@
 	timer->list = NULL;
 }
 
-static void queue_due(struct tevent_context *loop, struct tevent_fd *watch,
-		      uint16_t flags, void *private_data)
+static void on_queue_due(struct tevent_context *loop, struct tevent_fd *watch,
+			 uint16_t flags, void *private_data)
 {
 	struct jt_timer_queue *queue = private_data;
 	uint64_t expirations, now_ns = clock_ns();
@@ -87,7 +87,7 @@
 	(void)flags;
 	(void)!read(queue->fd, &expirations, sizeof(expirations));
 	queue->armed_ns = 0;
-	/* What a callback sets anew waits for the loop's next turn. */
+	/* Timers set by a callback fire in the next iteration of the loop. */
 	while ((timer = TAILQ_FIRST(&queue->set)) != NULL &&
 	       timer->due_ns <= now_ns) {
 		TAILQ_REMOVE(&queue->set, timer, link);
@@ -136,13 +136,13 @@
 	TAILQ_INSERT_TAIL(&queues, queue, link);
 	talloc_set_destructor(queue, queue_destructor);
 	queue->watch = tevent_add_fd(loop, queue, queue->fd, TEVENT_FD_READ,
-				     queue_due, queue);
+				     on_queue_due, queue);
 	if (queue->watch == NULL)
 		TALLOC_FREE(queue);
 	return queue;
 }
 
-static struct jt_timer_queue *queue_of(struct tevent_context *loop)
+static struct jt_timer_queue *queue_get(struct tevent_context *loop)
 {
 	struct jt_timer_queue *queue;
 
@@ -169,7 +169,7 @@
 				 void (*callback)(void *private_data),
 				 void *private_data)
 {
-	struct jt_timer_queue *queue = queue_of(loop);
+	struct jt_timer_queue *queue = queue_get(loop);
 	struct jt_timer *timer;
 
 	if (queue == NULL)
@@ -185,7 +185,7 @@
 	return timer;
 }
 
-/* Put @timer before the first one that is due later. */
+/* Inserts @timer before the first one that is due later. */
 static void timer_insert(struct jt_timer_queue *queue, struct jt_timer *timer)
 {
 	struct jt_timer *later;
--- a/src/common/jt_timer.h
+++ b/src/common/jt_timer.h
@@ -1,8 +1,6 @@
 /*
- * A timer on the monotonic clock inside a tevent loop.
- *
- * tevent's own timers follow the time of day, which may jump on any machine;
- * these do not. All timers of a loop share one descriptor.
+ * Timers of a tevent loop on the monotonic clock; the timers of tevent follow
+ * the time of day, which may be set. All timers of a loop share one descriptor.
  */
 #ifndef JT_TIMER_H
 #define JT_TIMER_H
@@ -13,14 +11,16 @@
 
 struct jt_timer;
 
-/* A timer that is not set; NULL when memory or descriptors run out. Freeing
- * it stops it. */
+/* Creates a stopped timer. Returns NULL when out of memory or descriptors.
+ * Freeing the timer stops it. */
 struct jt_timer *jt_timer_create(TALLOC_CTX *mem_ctx,
 				 struct tevent_context *loop,
 				 void (*callback)(void *private_data),
 				 void *private_data);
-/* Call back once, @delay_ms from now, whatever was set before. */
+/* Schedules one call of the callback in @delay_ms; replaces an earlier
+ * schedule. */
 void jt_timer_set(struct jt_timer *timer, uint64_t delay_ms);
+/* Cancels the schedule, if any. */
 void jt_timer_stop(struct jt_timer *timer);
 
 #endif
--- a/src/settings/jt_director_settings.c
+++ b/src/settings/jt_director_settings.c
@@ -8,40 +8,39 @@
 #include <string.h>
 
 enum {
-	MOST_S = 24 * 3600,
+	TIME_MAX_S = 24 * 3600,
 	DEFAULT_DRAIN_MS = 3000,
 	DEFAULT_LEAVE_S = 5,
 	DEFAULT_FLOW_AGE_S = 3600,
 	DEFAULT_FLOW_LIMIT = 1 << 16,
 	DEFAULT_CONFIG_MS = 3000,
 	DEFAULT_ZONE_DRAIN_MS = 5000,
-	CORES_MOST = 4096,
+	CORES_MAX = 4096,
 	DEFAULT_CORES = 1,
 	DEFAULT_MEMORY_MB = 128,
-	MEMORY_LEAST_MB = 8,
-	MEMORY_MOST_MB = 1 << 20,
-	/* Endpoints may take this part of a node's memory, and one takes up to
-	 * 805 bytes with its places in all indices (docs/CAPACITY.md). */
-	MEMORY_PART = 4,
+	MEMORY_MIN_MB = 8,
+	MEMORY_MAX_MB = 1 << 20,
+	/* Endpoints may use a quarter of the memory of a node; ENDPOINT_BYTES
+	   is an upper bound for one with its index entries. */
+	ENDPOINT_MEMORY_DIVISOR = 4,
 	ENDPOINT_BYTES = 840,
 	DEFAULT_LINK_MBPS = 100,
-	LINK_LEAST_MBPS = 0,
-	LINK_MOST_MBPS = 1000000,
-	/* A node's weight as a reader: thousandths of a core. */
-	WEIGHT_OF_A_CORE = 1000,
-	/* Knowledge may be as old as this part of the time in which a change
-	 * must be in force; the rest is for reading and telling. */
-	STORE_AGE_PART = 2,
+	LINK_MIN_MBPS = 0,
+	LINK_MAX_MBPS = 1000000,
+	/* Capacity to read the store, in thousandths of a core. */
+	READER_WEIGHT_PER_CORE = 1000,
+	/* The directory may be as old as half of the time limit for a change to
+	 * take effect; the rest is for reading and distributing it. */
+	STORE_AGE_DIVISOR = 2,
 	PERMILLE = 1000,
-	COLD_OVERSHOOT_MOST = 100,
-	COLD_SLACK_MOST = 100000,
+	COLD_OVERSHOOT_MAX = 100,
+	COLD_SLACK_MAX = 100000,
 };
 
-/* A caller of the least urgent route that asks thrice a second is served within
- * some seconds by so small a part; the urgent hardly notice it. */
+/* Lets clients of the lowest priority succeed within seconds by retrying. */
 static const double default_admission_floor = 0.05;
-/* More for each priority would leave nothing to go by urgency. */
-static const double admission_floor_most = 0.2;
+/* Keeps part of the capacity for admission by priority. */
+static const double admission_floor_max = 0.2;
 
 static int read_node(struct jt_settings_reader *r, const config_setting_t *root,
 		     struct jt_director_settings *s)
@@ -53,19 +52,20 @@
 
 	if (node == NULL || jt_settings_check_keys(r, node, known) != 0 ||
 	    jt_settings_read_text(r, node, "name", true, &s->name) != 0 ||
-	    jt_settings_read_real(r, node, "cores", 0, CORES_MOST,
-				  DEFAULT_CORES, &cores) != 0 ||
-	    jt_settings_read_real(r, node, "memory_mb", MEMORY_LEAST_MB,
-				  MEMORY_MOST_MB, DEFAULT_MEMORY_MB,
+	    jt_settings_read_real(r, node, "cores", 0, CORES_MAX, DEFAULT_CORES,
+				  &cores) != 0 ||
+	    jt_settings_read_real(r, node, "memory_mb", MEMORY_MIN_MB,
+				  MEMORY_MAX_MB, DEFAULT_MEMORY_MB,
 				  &memory_mb) != 0 ||
-	    jt_settings_read_real(r, node, "link_mbps", LINK_LEAST_MBPS,
-				  LINK_MOST_MBPS, DEFAULT_LINK_MBPS,
+	    jt_settings_read_real(r, node, "link_mbps", LINK_MIN_MBPS,
+				  LINK_MAX_MBPS, DEFAULT_LINK_MBPS,
 				  &link_mbps) != 0)
 		return -1;
-	s->endpoint_limit = (uint32_t)(memory_mb * (1 << 20) / MEMORY_PART /
-				       ENDPOINT_BYTES);
+	s->endpoint_limit =
+		(uint32_t)(memory_mb * (1 << 20) / ENDPOINT_MEMORY_DIVISOR /
+			   ENDPOINT_BYTES);
 	s->link_mbps = (uint32_t)link_mbps + 1;
-	s->reader_weight = (uint32_t)(cores * WEIGHT_OF_A_CORE) + 1;
+	s->reader_weight = (uint32_t)(cores * READER_WEIGHT_PER_CORE) + 1;
 	return jt_settings_read_text(r, node, "zone", true, &s->zone);
 }
 
@@ -89,7 +89,7 @@
 	return jt_settings_read_address(r, listen, "peer", &s->peer);
 }
 
-static double lower(double a, double b)
+static double smaller_of(double a, double b)
 {
 	return a < b ? a : b;
 }
@@ -108,26 +108,27 @@
 	       flow_age_s = 0, cold_overshoot = 0, admission_floor = 0;
 
 	if (limits == NULL || jt_settings_check_keys(r, limits, known) != 0 ||
-	    jt_settings_read_real(r, limits, "drain_ms", 0, MOST_S * 1000.0,
+	    jt_settings_read_real(r, limits, "drain_ms", 0, TIME_MAX_S * 1000.0,
 				  DEFAULT_DRAIN_MS, &drain_ms) != 0 ||
-	    jt_settings_read_real(r, limits, "config_ms", 0, MOST_S * 1000.0,
-				  DEFAULT_CONFIG_MS, &config_ms) != 0 ||
+	    jt_settings_read_real(r, limits, "config_ms", 0,
+				  TIME_MAX_S * 1000.0, DEFAULT_CONFIG_MS,
+				  &config_ms) != 0 ||
 	    jt_settings_read_real(r, limits, "zone_drain_ms", 0,
-				  MOST_S * 1000.0, DEFAULT_ZONE_DRAIN_MS,
+				  TIME_MAX_S * 1000.0, DEFAULT_ZONE_DRAIN_MS,
 				  &zone_drain_ms) != 0 ||
-	    jt_settings_read_real(r, limits, "leave_s", 0, MOST_S,
+	    jt_settings_read_real(r, limits, "leave_s", 0, TIME_MAX_S,
 				  DEFAULT_LEAVE_S, &leave_s) != 0 ||
-	    jt_settings_read_real(r, limits, "flow_age_s", 0, MOST_S,
+	    jt_settings_read_real(r, limits, "flow_age_s", 0, TIME_MAX_S,
 				  DEFAULT_FLOW_AGE_S, &flow_age_s) != 0 ||
 	    jt_settings_read_number(r, limits, "flows", 16, 100000000,
 				    DEFAULT_FLOW_LIMIT, &s->flow_limit) != 0 ||
 	    jt_settings_read_real(r, limits, "cold_overshoot", 1,
-				  COLD_OVERSHOOT_MOST, 1,
+				  COLD_OVERSHOOT_MAX, 1,
 				  &cold_overshoot) != 0 ||
-	    jt_settings_read_number(r, limits, "cold_slack", 0, COLD_SLACK_MOST,
+	    jt_settings_read_number(r, limits, "cold_slack", 0, COLD_SLACK_MAX,
 				    0, &s->cold_slack) != 0 ||
 	    jt_settings_read_real(r, limits, "admission_floor", 0,
-				  admission_floor_most, default_admission_floor,
+				  admission_floor_max, default_admission_floor,
 				  &admission_floor) != 0)
 		return -1;
 	s->drain_limit_ms = (uint32_t)drain_ms;
@@ -135,8 +136,9 @@
 	s->admission_floor_permille =
 		(uint32_t)(admission_floor * PERMILLE + 0.5);
 	s->store_age_limit_ms =
-		(uint32_t)lower(drain_ms, lower(config_ms, zone_drain_ms)) /
-		STORE_AGE_PART;
+		(uint32_t)smaller_of(drain_ms,
+				     smaller_of(config_ms, zone_drain_ms)) /
+		STORE_AGE_DIVISOR;
 	s->leave_limit_ms = (uint32_t)(leave_s * 1000);
 	s->flow_age_limit_ms = (uint32_t)(flow_age_s * 1000);
 	return 0;
@@ -159,9 +161,9 @@
 	return 0;
 }
 
-static int read_without(struct jt_settings_reader *r,
-			const config_setting_t *root,
-			struct jt_director_settings *s)
+static int read_disabled_features(struct jt_settings_reader *r,
+				  const config_setting_t *root,
+				  struct jt_director_settings *s)
 {
 	const config_setting_t *list =
 		config_setting_get_member(root, "without");
@@ -170,18 +172,18 @@
 		return 0;
 	if (!config_setting_is_list(list) && !config_setting_is_array(list))
 		return jt_settings_wrong(r, list, "without",
-					 "must be a list of mechanisms");
+					 "must be a list of features");
 	for (int i = 0; i < config_setting_length(list); i++) {
 		const char *name = config_setting_get_string_elem(list, i);
-		uint32_t mechanism = name ? jt_mechanism_find(name) : 0;
+		uint32_t feature = name ? jt_mechanism_find(name) : 0;
 
-		if (mechanism == 0)
+		if (feature == 0)
 			return jt_settings_wrong(
 				r, list, "without",
 				talloc_asprintf(r->error_ctx,
-						"there is no mechanism '%s'",
+						"unknown feature '%s'",
 						name ? name : "?"));
-		s->without |= mechanism;
+		s->without |= feature;
 	}
 	return 0;
 }
@@ -206,7 +208,7 @@
 		return -1;
 	if (jt_settings_read_bool(r, root, "first_start", &s->first_start) !=
 		    0 ||
-	    read_without(r, root, s) != 0)
+	    read_disabled_features(r, root, s) != 0)
 		return -1;
 	return read_log_level(r, root, s);
 }
--- a/src/settings/jt_settings.c
+++ b/src/settings/jt_settings.c
@@ -92,9 +92,8 @@
 			return 0;
 		}
 	}
-	return jt_settings_wrong(
-		&r->input, entry, "role",
-		"allowed are \"read\", \"operate\" and \"admin\"");
+	return jt_settings_wrong(&r->input, entry, "role",
+				 "must be \"read\", \"operate\" or \"admin\"");
 }
 
 static int read_token(struct reader *r, const config_setting_t *entry,
@@ -122,14 +121,14 @@
 static char *read_file(struct reader *r, const char *name)
 {
 	char *text = talloc_strdup(r->settings, "");
-	char part[4096];
+	char chunk[4096];
 	FILE *file = fopen(name, "r");
 	size_t count;
 
 	if (file == NULL)
 		return NULL;
-	while ((count = fread(part, 1, sizeof(part), file)) > 0)
-		text = talloc_strndup_append(text, part, count);
+	while ((count = fread(chunk, 1, sizeof(chunk), file)) > 0)
+		text = talloc_strndup_append(text, chunk, count);
 	fclose(file);
 	return text;
 }
@@ -146,7 +145,7 @@
 	*text = read_file(r, name);
 	if (*text == NULL)
 		return jt_settings_wrong(&r->input, api, key,
-					 "names a file that can't be read");
+					 "names a file that cannot be read");
 	return 0;
 }
 
@@ -165,8 +164,9 @@
 		    0)
 		return -1;
 	if ((s->certificate == NULL) != (s->certificate_key == NULL))
-		return jt_settings_wrong(&r->input, api, "certificate",
-					 "and certificate_key go together");
+		return jt_settings_wrong(
+			&r->input, api, "certificate",
+			"must be set together with certificate_key");
 	tokens = config_setting_get_member(api, "tokens");
 	if (tokens == NULL || !config_setting_is_list(tokens) ||
 	    config_setting_length(tokens) < 1 ||
--- a/src/settings/jt_settings.h
+++ b/src/settings/jt_settings.h
@@ -1,8 +1,8 @@
 /*
- * Settings of one balancer node, read by libconfig and checked as a whole.
+ * Settings of a balancer node, read with libconfig and checked as a whole.
  *
- * A wrong setting is reported with file, line, key, what was found and what
- * is allowed; nothing is taken from a file with an error in it.
+ * An invalid setting is reported with file, line, key, value and the allowed
+ * values; a file with an error is rejected as a whole.
  */
 #ifndef JT_SETTINGS_H
 #define JT_SETTINGS_H
@@ -18,13 +18,13 @@
 	JT_TRAFFIC_THREAD_LIMIT = 64,
 };
 
-/* What a bearer token allows; each role includes the ones before it. */
+/* Permissions of a bearer token; each role includes the ones before it. */
 enum jt_role { JT_ROLE_NONE, JT_ROLE_READ, JT_ROLE_OPERATE, JT_ROLE_ADMIN };
 
 struct jt_token {
 	const char *token;
 	enum jt_role role;
-	const char *group; /* with JT_ROLE_OPERATE: the only group */
+	const char *group; /* of JT_ROLE_OPERATE; NULL otherwise */
 };
 
 struct jt_settings {
@@ -41,7 +41,7 @@
 	struct jt_address seeds[JT_SEED_LIMIT];
 	size_t seed_count;
 	const char *store_url;
-	uint32_t store_operations_per_s; /* of all nodes together */
+	uint32_t store_operations_per_s; /* limit for all nodes together */
 	const char *machines_url;	 /* NULL: no machine list */
 	struct jt_keys keys;
 	struct jt_token tokens[JT_TOKEN_LIMIT];
@@ -52,15 +52,15 @@
 };
 
 /*
- * Read and check @file. NULL with a line for people in @error, a talloc
- * child of @mem_ctx.
+ * Reads and checks @file. Returns NULL with a message in @error, a talloc child
+ * of @mem_ctx, if the file is invalid.
  */
 struct jt_settings *jt_settings_load(TALLOC_CTX *mem_ctx, const char *file,
 				     char **error);
 
 /*
- * The first setting that differs and can't change while a node runs, NULL
- * if @changed may replace @current.
+ * Returns the name of the first setting that differs and cannot be changed by a
+ * reload, or NULL if @changed may replace @current.
  */
 const char *jt_settings_fixed_difference(const struct jt_settings *current,
 					 const struct jt_settings *changed);
--- a/src/settings/jt_settings_keys.c
+++ b/src/settings/jt_settings_keys.c
@@ -13,7 +13,7 @@
 
 	if (!config_setting_is_group(entry))
 		return jt_settings_wrong(r, entry, "keys",
-					 "each must be a group");
+					 "each entry must be a group");
 	if (jt_settings_check_keys(r, entry, known) != 0 ||
 	    jt_settings_read_number(r, entry, "id", 1, 255, 0, &id) != 0 ||
 	    jt_settings_read_text(r, entry, "secret", true, &secret) != 0)
--- a/src/settings/jt_settings_reader.c
+++ b/src/settings/jt_settings_reader.c
@@ -16,12 +16,13 @@
 }
 
 int jt_settings_wrong(const struct jt_settings_reader *r,
-		      const config_setting_t *at, const char *key,
+		      const config_setting_t *setting, const char *key,
 		      const char *problem)
 {
-	*r->error = talloc_asprintf(r->error_ctx, "%s:%d: %s: %s", r->file,
-				    at ? config_setting_source_line(at) : 0,
-				    key, problem);
+	*r->error = talloc_asprintf(
+		r->error_ctx, "%s:%d: %s: %s", r->file,
+		setting ? config_setting_source_line(setting) : 0, key,
+		problem);
 	return -1;
 }
 
@@ -45,18 +46,19 @@
 
 int jt_settings_read_text(const struct jt_settings_reader *r,
 			  const config_setting_t *group, const char *key,
-			  bool needed, const char **text)
+			  bool required, const char **text)
 {
-	const config_setting_t *at = config_setting_get_member(group, key);
-
-	if (at == NULL)
-		return needed ? jt_settings_wrong(r, group, key, "is missing")
-			      : 0;
-	if (config_setting_type(at) != CONFIG_TYPE_STRING)
-		return jt_settings_wrong(r, at, key, "must be a string");
-	if (config_setting_get_string(at)[0] == '\0')
-		return jt_settings_wrong(r, at, key, "must not be empty");
-	*text = talloc_strdup(r->values_ctx, config_setting_get_string(at));
+	const config_setting_t *setting = config_setting_get_member(group, key);
+
+	if (setting == NULL)
+		return required ? jt_settings_wrong(r, group, key, "is missing")
+				: 0;
+	if (config_setting_type(setting) != CONFIG_TYPE_STRING)
+		return jt_settings_wrong(r, setting, key, "must be a string");
+	if (config_setting_get_string(setting)[0] == '\0')
+		return jt_settings_wrong(r, setting, key, "must not be empty");
+	*text = talloc_strdup(r->values_ctx,
+			      config_setting_get_string(setting));
 	return 0;
 }
 
@@ -64,38 +66,39 @@
 			  const config_setting_t *group, const char *key,
 			  bool *value)
 {
-	const config_setting_t *at = config_setting_get_member(group, key);
+	const config_setting_t *setting = config_setting_get_member(group, key);
 
 	*value = false;
-	if (at == NULL)
+	if (setting == NULL)
 		return 0;
-	if (config_setting_type(at) != CONFIG_TYPE_BOOL)
-		return jt_settings_wrong(r, at, key, "must be true or false");
-	*value = config_setting_get_bool(at) == CONFIG_TRUE;
+	if (config_setting_type(setting) != CONFIG_TYPE_BOOL)
+		return jt_settings_wrong(r, setting, key,
+					 "must be true or false");
+	*value = config_setting_get_bool(setting) == CONFIG_TRUE;
 	return 0;
 }
 
 int jt_settings_read_number(const struct jt_settings_reader *r,
 			    const config_setting_t *group, const char *key,
-			    int least, int most, uint32_t fallback,
+			    int min, int max, uint32_t default_value,
 			    uint32_t *number)
 {
-	const config_setting_t *at = config_setting_get_member(group, key);
-	int found;
+	const config_setting_t *setting = config_setting_get_member(group, key);
+	int value;
 
-	*number = fallback;
-	if (at == NULL)
+	*number = default_value;
+	if (setting == NULL)
 		return 0;
-	if (config_setting_type(at) != CONFIG_TYPE_INT)
-		return jt_settings_wrong(r, at, key, "must be a whole number");
-	found = config_setting_get_int(at);
-	if (found < least || found > most)
+	if (config_setting_type(setting) != CONFIG_TYPE_INT)
+		return jt_settings_wrong(r, setting, key, "must be an integer");
+	value = config_setting_get_int(setting);
+	if (value < min || value > max)
 		return jt_settings_wrong(
-			r, at, key,
+			r, setting, key,
 			talloc_asprintf(r->error_ctx,
-					"is %d, allowed are %d to %d", found,
-					least, most));
-	*number = (uint32_t)found;
+					"is %d, allowed are %d to %d", value,
+					min, max));
+	*number = (uint32_t)value;
 	return 0;
 }
 
@@ -103,14 +106,15 @@
 			     const config_setting_t *group, const char *key,
 			     struct jt_address *address)
 {
-	const config_setting_t *at = config_setting_get_member(group, key);
+	const config_setting_t *setting = config_setting_get_member(group, key);
 	const char *text;
 
-	if (at == NULL)
+	if (setting == NULL)
 		return jt_settings_wrong(r, group, key, "is missing");
-	text = config_setting_get_string(at);
+	text = config_setting_get_string(setting);
 	if (text == NULL || jt_address_parse(text, address) != 0)
-		return jt_settings_wrong(r, at, key, "must be \"IPV4:PORT\"");
+		return jt_settings_wrong(r, setting, key,
+					 "must be \"IPV4:PORT\"");
 	return 0;
 }
 
@@ -118,14 +122,14 @@
 jt_settings_need_group(const struct jt_settings_reader *r,
 		       const config_setting_t *root, const char *key)
 {
-	const config_setting_t *at = config_setting_get_member(root, key);
+	const config_setting_t *setting = config_setting_get_member(root, key);
 
-	if (at == NULL || !config_setting_is_group(at)) {
-		jt_settings_wrong(r, at ? at : root, key,
+	if (setting == NULL || !config_setting_is_group(setting)) {
+		jt_settings_wrong(r, setting ? setting : root, key,
 				  "must be a group { ... }");
 		return NULL;
 	}
-	return at;
+	return setting;
 }
 
 int jt_settings_read_addresses(const struct jt_settings_reader *r,
@@ -162,29 +166,29 @@
 
 int jt_settings_read_real(const struct jt_settings_reader *r,
 			  const config_setting_t *group, const char *key,
-			  double least, double most, double fallback,
+			  double min, double max, double default_value,
 			  double *number)
 {
-	const config_setting_t *at = config_setting_get_member(group, key);
+	const config_setting_t *setting = config_setting_get_member(group, key);
 
-	*number = fallback;
-	if (at == NULL)
+	*number = default_value;
+	if (setting == NULL)
 		return 0;
-	switch (config_setting_type(at)) {
+	switch (config_setting_type(setting)) {
 	case CONFIG_TYPE_INT:
 	case CONFIG_TYPE_INT64:
-		*number = (double)config_setting_get_int64(at);
+		*number = (double)config_setting_get_int64(setting);
 		break;
 	case CONFIG_TYPE_FLOAT:
-		*number = config_setting_get_float(at);
+		*number = config_setting_get_float(setting);
 		break;
 	default:
-		return jt_settings_wrong(r, at, key, "must be a number");
+		return jt_settings_wrong(r, setting, key, "must be a number");
 	}
-	if (*number >= least && *number <= most)
+	if (*number >= min && *number <= max)
 		return 0;
-	return jt_settings_wrong(r, at, key,
+	return jt_settings_wrong(r, setting, key,
 				 talloc_asprintf(r->error_ctx,
 						 "is %g, allowed are %g to %g",
-						 *number, least, most));
+						 *number, min, max));
 }
--- a/src/settings/jt_settings_reader.h
+++ b/src/settings/jt_settings_reader.h
@@ -1,6 +1,8 @@
 /*
- * Checked reading of libconfig files: every error names file, line, key and
- * what is allowed. Shared by the daemon's settings and the lab's scenarios.
+ * Checked reading of libconfig files: each error names file, line, key and the
+ * allowed values. Used for the daemon's settings and the lab's scenarios.
+ *
+ * Functions that return int return 0, or -1 with an error.
  */
 #ifndef JT_SETTINGS_READER_H
 #define JT_SETTINGS_READER_H
@@ -11,66 +13,67 @@
 #include <stdbool.h>
 #include <talloc.h>
 
+/* Context of reading one file. */
 struct jt_settings_reader {
 	const char *file;
 	TALLOC_CTX *error_ctx;	/* owns *error */
-	TALLOC_CTX *values_ctx; /* owns the texts that are read */
+	TALLOC_CTX *values_ctx; /* owns the strings that are read */
 	char **error;
 };
 
 /*
- * Parse the file into @config, which the caller destroys in either case.
- * The root, or NULL with an error.
+ * Parses the file into @config, which the calling function destroys in either
+ * case. Returns the root, or NULL with an error.
  */
 const config_setting_t *jt_settings_parse(const struct jt_settings_reader *r,
 					  config_t *config);
 
-/* Fill in the error "FILE:LINE: KEY: PROBLEM"; always -1. */
+/* Sets the error to "FILE:LINE: KEY: PROBLEM" and returns -1. */
 int jt_settings_wrong(const struct jt_settings_reader *r,
-		      const config_setting_t *at, const char *key,
+		      const config_setting_t *setting, const char *key,
 		      const char *problem);
 
-/* Every key of @group must be in the NULL-ended @known. 0, or -1. */
+/* Checks that each key of @group is in the NULL-terminated array @known. */
 int jt_settings_check_keys(const struct jt_settings_reader *r,
 			   const config_setting_t *group,
 			   const char *const *known);
 
 /*
- * A text that is not empty. One that is not @needed may be missing, which
- * leaves *@text as it is. 0, or -1.
+ * Reads a non-empty string. If the key is absent, *@text stays unchanged, which
+ * is an error if it is @required.
  */
 int jt_settings_read_text(const struct jt_settings_reader *r,
 			  const config_setting_t *group, const char *key,
-			  bool needed, const char **text);
+			  bool required, const char **text);
 
-/* A whole number from @least to @most; @fallback when it is missing. */
+/* Reads an integer from @min to @max; @default_value if the key is absent. */
 int jt_settings_read_number(const struct jt_settings_reader *r,
 			    const config_setting_t *group, const char *key,
-			    int least, int most, uint32_t fallback,
+			    int min, int max, uint32_t default_value,
 			    uint32_t *number);
 
-/* A number, whole or not, from @least to @most. */
+/* Reads a number from @min to @max; @default_value if the key is absent. */
 int jt_settings_read_real(const struct jt_settings_reader *r,
 			  const config_setting_t *group, const char *key,
-			  double least, double most, double fallback,
+			  double min, double max, double default_value,
 			  double *number);
 
-/* A key that is true or false, false when it is absent. */
+/* Reads a boolean; false if the key is absent. */
 int jt_settings_read_bool(const struct jt_settings_reader *r,
 			  const config_setting_t *group, const char *key,
 			  bool *value);
-/* An address "IPV4:PORT" that must be there. */
+/* Reads a required address "IPV4:PORT". */
 int jt_settings_read_address(const struct jt_settings_reader *r,
 			     const config_setting_t *group, const char *key,
 			     struct jt_address *address);
 
-/* A list of addresses, which may be missing. */
+/* Reads a list of up to @limit addresses; empty if the key is absent. */
 int jt_settings_read_addresses(const struct jt_settings_reader *r,
 			       const config_setting_t *group, const char *key,
 			       struct jt_address *addresses, size_t limit,
 			       size_t *count);
 
-/* A group { ... } that must be there, or NULL with an error. */
+/* Returns a required group { ... }, or NULL with an error. */
 const config_setting_t *
 jt_settings_need_group(const struct jt_settings_reader *r,
 		       const config_setting_t *root, const char *key);
--- a/tests/test_director_settings.c
+++ b/tests/test_director_settings.c
@@ -113,7 +113,7 @@
 	assert_true(jt_mechanism_on(settings->without, JT_MECHANISM_SLOWNESS));
 	talloc_free(settings);
 	expect_error("limits", "without = ( \"magic\" );\nlimits",
-		     "without: there is no mechanism 'magic'");
+		     "without: unknown feature 'magic'");
 	/* Each has a name of its own, in the order of the bits. */
 	for (unsigned bit = 0; names[bit] != NULL; bit++) {
 		assert_int_equal(jt_mechanism_find(names[bit]), 1u << bit);
