--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -73,7 +73,7 @@
 		result = EXIT_USAGE;
 	} else if (config->count == 0 && getenv(SETTINGS_VARIABLE) == NULL) {
 		fprintf(stderr, "jaspertrackd: --config or " SETTINGS_VARIABLE
-				" is required\n");
+				" is needed\n");
 		result = EXIT_USAGE;
 	} else {
 		options->config = config->count ? config->filename[0]
@@ -219,7 +219,7 @@
 	if (!run)
 		goto out;
 	if (sodium_init() < 0 || curl_global_init(CURL_GLOBAL_DEFAULT) != 0) {
-		fprintf(stderr, "jaspertrackd: cannot initialise libraries\n");
+		fprintf(stderr, "jaspertrackd: initialisation failed\n");
 		result = EXIT_FAILED;
 		goto out;
 	}
--- a/src/settings/jt_settings.c
+++ b/src/settings/jt_settings.c
@@ -92,8 +92,9 @@
 			return 0;
 		}
 	}
-	return jt_settings_wrong(&r->input, entry, "role",
-				 "must be \"read\", \"operate\" or \"admin\"");
+	return jt_settings_wrong(
+		&r->input, entry, "role",
+		"allowed are \"read\", \"operate\" and \"admin\"");
 }
 
 static int read_token(struct reader *r, const config_setting_t *entry,
--- a/src/settings/jt_settings_reader.c
+++ b/src/settings/jt_settings_reader.c
@@ -90,7 +90,8 @@
 	if (setting == NULL)
 		return 0;
 	if (config_setting_type(setting) != CONFIG_TYPE_INT)
-		return jt_settings_wrong(r, setting, key, "must be an integer");
+		return jt_settings_wrong(r, setting, key,
+					 "must be a whole number");
 	value = config_setting_get_int(setting);
 	if (value < min || value > max)
 		return jt_settings_wrong(
