--- a/src/common/jt_mechanism.h
+++ b/src/common/jt_mechanism.h
@@ -28,8 +28,7 @@
 	JT_MECHANISM_PEER_SUSPICION = 1 << 7,
 	/* Sends no new flows to endpoints at their connection limit. */
 	JT_MECHANISM_REFUSE_FULL = 1 << 8,
-	/* Skips parts of a traffic split whose endpoints all seem to be down.
-	 */
+	/* Skips parts of a traffic split whose endpoints all seem down. */
 	JT_MECHANISM_PARTS_GIVE_WAY = 1 << 9,
 	/* Live endpoints that expired in a store outage stay eligible. */
 	JT_MECHANISM_OUTAGE_LAPSES = 1 << 10,
--- a/src/settings/jt_director_settings.c
+++ b/src/settings/jt_director_settings.c
@@ -21,7 +21,7 @@
 	MEMORY_MIN_MB = 8,
 	MEMORY_MAX_MB = 1 << 20,
 	/* Endpoints may use a quarter of the memory of a node; ENDPOINT_BYTES
-	   is an upper bound for one with its index entries. */
+	 * is an upper bound for one with its index entries. */
 	ENDPOINT_MEMORY_DIVISOR = 4,
 	ENDPOINT_BYTES = 840,
 	DEFAULT_LINK_MBPS = 100,
