--- a/src/cluster/jt_cluster.c
+++ b/src/cluster/jt_cluster.c
@@ -5,11 +5,11 @@
 #include <xxhash.h>
 
 enum {
-	UDP_OVERHEAD = 28,    /* IPv4 and UDP headers */
-	PAUSE_BACKLOG = 2048, /* datagrams a paused node's socket keeps */
+	UDP_OVERHEAD = 28,    /* bytes of IPv4 and UDP headers */
+	PAUSE_BACKLOG = 2048, /* datagrams queued at a paused node's socket */
 	REORDER_US = 4000,
-	FRAME_BUFFER = JT_FRAME_MAX,
-	ZONE_ID = 1,
+	FRAME_BYTES = JT_FRAME_MAX,
+	FIRST_ZONE_ID = 1,
 };
 
 void jt_cluster_options_init(struct jt_cluster_options *options)
@@ -45,19 +45,19 @@
 	cluster->keys.count = 1;
 	cluster->keys.keys[0].id = 1;
 	cluster->actions = jt_actions_create(cluster);
-	cluster->frame = talloc_array(cluster, uint8_t, FRAME_BUFFER);
+	cluster->frame = talloc_array(cluster, uint8_t, FRAME_BYTES);
 	cluster->listed =
 		talloc_array(cluster, struct jt_address, JT_CLUSTER_NODES);
 	cluster->store_tokens = options->store_operations_per_s;
 	return cluster;
 }
 
-static uint16_t address_node(struct jt_address address)
+static uint16_t node_index(struct jt_address address)
 {
 	return (uint16_t)(address.ip - 0x0a640000u);
 }
 
-static bool alive(const struct node *node)
+static bool process_exists(const struct node *node)
 {
 	return node != NULL &&
 	       (node->life == JT_NODE_RUNNING || node->life == JT_NODE_PAUSED ||
@@ -82,10 +82,10 @@
 	return cells ? service_id % cells : 0;
 }
 
-/* Events to one node */
+/* Actions of a node */
 
-static void tell_verdict(struct node *node, struct waiting_packet *packet,
-			 const struct jt_action *action)
+static void report_verdict(struct node *node, struct waiting_packet *packet,
+			   const struct jt_action *action)
 {
 	struct jt_cluster *cluster = node->cluster;
 	struct jt_verdict verdict = {
@@ -106,8 +106,8 @@
 	cluster->options.on_verdict(cluster->options.private_data, &verdict);
 }
 
-static uint64_t travel_us(struct jt_cluster *cluster, unsigned from,
-			  unsigned to)
+static uint64_t transit_us(struct jt_cluster *cluster, unsigned from,
+			   unsigned to)
 {
 	uint64_t delay = cluster->options.zone_to_zone_us[from][to];
 
@@ -117,7 +117,7 @@
 	return delay;
 }
 
-static void datagram_arrives(void *object, uint64_t argument);
+static void on_datagram(void *object, uint64_t argument);
 
 static void transmit(struct node *from, struct datagram *datagram)
 {
@@ -134,22 +134,22 @@
 	}
 	if (jt_cluster_random(cluster, 1000000) <
 	    cluster->options.duplicate_per_million) {
-		struct datagram *twin = talloc_memdup(
+		struct datagram *copy = talloc_memdup(
 			cluster, datagram, talloc_get_size(datagram));
 
-		if (twin != NULL)
+		if (copy != NULL)
 			jt_scheduler_after(
 				cluster->scheduler,
-				travel_us(cluster, from->zone, to->zone),
-				datagram_arrives, twin, 0);
+				transit_us(cluster, from->zone, to->zone),
+				on_datagram, copy, 0);
 	}
 	jt_scheduler_after(cluster->scheduler,
-			   travel_us(cluster, from->zone, to->zone),
-			   datagram_arrives, datagram, 0);
+			   transit_us(cluster, from->zone, to->zone),
+			   on_datagram, datagram, 0);
 }
 
-static struct datagram *datagram_make(struct node *from, uint16_t to,
-				      size_t length)
+static struct datagram *datagram_create(struct node *from, uint16_t to,
+					size_t length)
 {
 	struct datagram *datagram =
 		talloc_zero_size(from->cluster, sizeof(*datagram) + length);
@@ -174,7 +174,7 @@
 	if (length == 0)
 		return;
 	node_spend(node, action->message->body.kind, length + UDP_OVERHEAD);
-	datagram = datagram_make(node, address_node(action->address), length);
+	datagram = datagram_create(node, node_index(action->address), length);
 	memcpy(datagram->frame, cluster->frame, length);
 	transmit(node, datagram);
 }
@@ -182,7 +182,7 @@
 static void relay(struct node *node, uint16_t to,
 		  const struct waiting_packet *packet, uint8_t hops)
 {
-	struct datagram *datagram = datagram_make(node, to, 0);
+	struct datagram *datagram = datagram_create(node, to, 0);
 
 	datagram->relay = true;
 	datagram->packet = *packet;
@@ -190,11 +190,12 @@
 	transmit(node, datagram);
 }
 
-/* Ask a peer's driver for a document; the answer takes a round trip. */
+/* Requests a configuration from a peer; the response arrives after the
+ * peer's one-way latency. */
 static void fetch_config(struct node *node, const struct jt_action *action)
 {
 	struct jt_cluster *cluster = node->cluster;
-	uint16_t index = address_node(action->address);
+	uint16_t index = node_index(action->address);
 	struct node *peer =
 		index < JT_CLUSTER_NODES ? cluster->nodes[index] : NULL;
 	const struct jt_config *config;
@@ -211,7 +212,7 @@
 		return;
 	node_spend(peer, JT_WIRE_CONFIG,
 		   platform_document_bytes(config) + UDP_OVERHEAD);
-	datagram = datagram_make(peer, node->index, 0);
+	datagram = datagram_create(peer, node->index, 0);
 	datagram->config = config;
 	transmit(peer, datagram);
 }
@@ -225,7 +226,8 @@
 	return link;
 }
 
-static void packet_action(struct node *node, const struct jt_action *action)
+static void handle_packet_action(struct node *node,
+				 const struct jt_action *action)
 {
 	struct waiting_packet **link = find_waiting(node, action->token);
 	struct waiting_packet *packet = *link;
@@ -234,10 +236,9 @@
 		return;
 	*link = packet->next;
 	if (action->kind == JT_ACTION_RELAY)
-		relay(node, address_node(action->address), packet,
-		      action->hops);
+		relay(node, node_index(action->address), packet, action->hops);
 	else
-		tell_verdict(node, packet, action);
+		report_verdict(node, packet, action);
 	talloc_free(packet);
 }
 
@@ -268,7 +269,7 @@
 	node->life = JT_NODE_STOPPED;
 }
 
-static void stop_left_node(void *object, uint64_t incarnation)
+static void stop_after_leave(void *object, uint64_t incarnation)
 {
 	struct node *node = object;
 
@@ -276,7 +277,7 @@
 		node_stop(node);
 }
 
-static void node_act(struct node *node, const struct jt_action *action)
+static void handle_action(struct node *node, const struct jt_action *action)
 {
 	switch (action->kind) {
 	case JT_ACTION_FORWARD:
@@ -284,7 +285,7 @@
 	case JT_ACTION_REFUSE:
 	case JT_ACTION_DROP:
 	case JT_ACTION_HOLD:
-		packet_action(node, action);
+		handle_packet_action(node, action);
 		break;
 	case JT_ACTION_SEND:
 		node_send(node, action);
@@ -298,9 +299,9 @@
 		platform_ask_witness(node, &action->witness);
 		break;
 	case JT_ACTION_LEFT:
-		/* What the fabric still sends is passed on for a while. */
+		/* Packets that the fabric still sends are relayed meanwhile. */
 		jt_scheduler_after(node->cluster->scheduler, 1000000,
-				   stop_left_node, node, node->incarnation);
+				   stop_after_leave, node, node->incarnation);
 		break;
 	}
 }
@@ -310,13 +311,14 @@
 	return node->clock_offset_ms + cluster_now_us(node->cluster) / 1000;
 }
 
-/* Give an event to a node and carry out the actions that come of it. */
+/* Passes an event to a node and executes the resulting actions. */
 static void node_event(struct node *node, struct jt_event *event)
 {
 	struct jt_cluster *cluster = node->cluster;
 	struct jt_actions *actions = cluster->actions;
 
-	/* A verdict may lead to a new packet before this event is done. */
+	/* The verdict callback may inject a packet while this event is still
+	 * being handled; a nested event needs an action list of its own. */
 	if (cluster->in_event)
 		actions = jt_actions_create(cluster);
 	else
@@ -324,7 +326,7 @@
 	event->now_ms = node_clock_ms(node);
 	jt_core_handle(node->core, event, actions);
 	for (size_t i = 0; i < actions->count; i++)
-		node_act(node, &actions->items[i]);
+		handle_action(node, &actions->items[i]);
 	if (actions != cluster->actions) {
 		talloc_free(actions);
 		return;
@@ -335,12 +337,12 @@
 
 /* Packets */
 
-static uint16_t cell_member(struct jt_cluster *cluster, unsigned cell)
+static uint16_t random_cell_member(struct jt_cluster *cluster, unsigned cell)
 {
 	uint16_t members[64];
 	size_t count = 0;
 
-	/* The machine list names the nodes of other cells. */
+	/* Nodes of other cells are known from the machine list. */
 	for (size_t i = 0; i < cluster->node_count && count < 64; i++) {
 		struct node *node = cluster->nodes[i];
 
@@ -352,8 +354,8 @@
 	return members[jt_cluster_random(cluster, (uint32_t)count)];
 }
 
-static bool other_cell(struct node *node, const struct jt_flow_key *key,
-		       unsigned *cell)
+static bool belongs_to_other_cell(struct node *node,
+				  const struct jt_flow_key *key, unsigned *cell)
 {
 	const struct jt_address_config *address;
 	const struct jt_config *config;
@@ -369,30 +371,30 @@
 	return *cell != node->cell;
 }
 
-static void packet_to_node(struct node *node, struct waiting_packet packet,
+static void deliver_packet(struct node *node, struct waiting_packet packet,
 			   enum jt_event_kind kind)
 {
 	struct jt_event event = {.kind = kind};
-	struct waiting_packet *kept;
+	struct waiting_packet *held;
 	unsigned cell;
 
-	if (other_cell(node, &packet.key, &cell)) {
-		uint16_t to = cell_member(node->cluster, cell);
+	if (belongs_to_other_cell(node, &packet.key, &cell)) {
+		uint16_t to = random_cell_member(node->cluster, cell);
 
 		if (to != JT_NO_NODE && packet.hops < 2)
 			relay(node, to, &packet, packet.hops + 1);
 		return;
 	}
-	kept = talloc_memdup(node, &packet, sizeof(packet));
-	if (kept == NULL)
+	held = talloc_memdup(node, &packet, sizeof(packet));
+	if (held == NULL)
 		abort();
-	kept->token = ++node->next_token;
-	kept->next = node->waiting;
-	node->waiting = kept;
+	held->token = ++node->next_token;
+	held->next = node->waiting;
+	node->waiting = held;
 	event.u.packet.key = packet.key;
 	event.u.packet.tcp_flags = packet.tcp_flags;
 	event.u.packet.hops = packet.hops;
-	event.u.packet.token = kept->token;
+	event.u.packet.token = held->token;
 	node_event(node, &event);
 }
 
@@ -401,23 +403,23 @@
 		       uint64_t packet)
 {
 	struct node *node = cluster->nodes[index];
-	struct waiting_packet fresh = {
+	struct waiting_packet new_packet = {
 		.packet = packet, .key = *key, .tcp_flags = tcp_flags};
 	struct datagram *datagram;
 
-	if (!alive(node))
+	if (!process_exists(node))
 		return;
 	if (node->life == JT_NODE_PAUSED) {
-		datagram = datagram_make(node, index, 0);
+		datagram = datagram_create(node, index, 0);
 		datagram->relay = true;
-		datagram->packet = fresh;
-		datagram_arrives(datagram, 0);
+		datagram->packet = new_packet;
+		on_datagram(datagram, 0);
 		return;
 	}
-	packet_to_node(node, fresh, JT_EVENT_PACKET);
+	deliver_packet(node, new_packet, JT_EVENT_PACKET);
 }
 
-static bool replay_ok(struct node *node, uint64_t sender, uint64_t sequence)
+static bool check_replay(struct node *node, uint64_t sender, uint64_t sequence)
 {
 	size_t i = 0;
 
@@ -435,7 +437,7 @@
 	return jt_replay_check(&node->replays[i], sequence);
 }
 
-static void message_to_node(struct node *node, const struct datagram *datagram)
+static void deliver_message(struct node *node, const struct datagram *datagram)
 {
 	struct jt_event event = {.kind = JT_EVENT_MESSAGE};
 	jt_wire_message message;
@@ -445,7 +447,7 @@
 			    datagram->frame, datagram->length, &sequence,
 			    &message) != JT_CODEC_OK)
 		return;
-	if (replay_ok(node, message.from, sequence)) {
+	if (check_replay(node, message.from, sequence)) {
 		event.u.message = &message;
 		node_event(node, &event);
 	}
@@ -457,27 +459,27 @@
 	struct jt_event event = {.kind = JT_EVENT_CONFIG};
 
 	if (datagram->relay) {
-		packet_to_node(node, datagram->packet,
+		deliver_packet(node, datagram->packet,
 			       datagram->packet.hops ? JT_EVENT_RELAYED
 						     : JT_EVENT_PACKET);
 	} else if (datagram->config != NULL) {
 		event.u.config = datagram->config;
 		node_event(node, &event);
 	} else {
-		message_to_node(node, datagram);
+		deliver_message(node, datagram);
 	}
 	talloc_free(datagram);
 }
 
-static void datagram_arrives(void *object, uint64_t argument)
+static void on_datagram(void *object, uint64_t argument)
 {
 	struct datagram *datagram = object;
 	struct node *node = datagram->cluster->nodes[datagram->to];
 	struct backlog_entry *entry;
 
 	(void)argument;
-	if (!alive(node) || (node->life == JT_NODE_PAUSED &&
-			     node->backlog_count >= PAUSE_BACKLOG)) {
+	if (!process_exists(node) || (node->life == JT_NODE_PAUSED &&
+				      node->backlog_count >= PAUSE_BACKLOG)) {
 		talloc_free(datagram);
 		return;
 	}
@@ -507,7 +509,7 @@
 	node_event(node, &event);
 }
 
-/* Life of nodes */
+/* Node lifecycle */
 
 void jt_cluster_start(struct jt_cluster *cluster, uint16_t index, unsigned zone)
 {
@@ -522,7 +524,7 @@
 		node->backlog_tail = &node->backlog;
 		if (index >= cluster->node_count)
 			cluster->node_count = index + 1u;
-	} else if (alive(node)) {
+	} else if (process_exists(node)) {
 		return;
 	}
 	node->cluster = cluster;
@@ -541,7 +543,7 @@
 	node->observed_us = 0;
 	jt_core_options_init(&options);
 	options.node_id = cluster_random64(cluster);
-	options.zone = zone + ZONE_ID;
+	options.zone = zone + FIRST_ZONE_ID;
 	options.address = node_address(index);
 	options.break_mechanism = cluster->options.break_mechanism;
 	node->core = jt_core_create(node, &options);
@@ -554,7 +556,7 @@
 
 void jt_cluster_crash(struct jt_cluster *cluster, uint16_t index)
 {
-	if (alive(cluster->nodes[index]))
+	if (process_exists(cluster->nodes[index]))
 		node_stop(cluster->nodes[index]);
 }
 
@@ -573,7 +575,7 @@
 		return;
 	incarnation = node->incarnation;
 	node->life = node->unready ? JT_NODE_LEAVING : JT_NODE_RUNNING;
-	/* The socket's backlog is read before any timer runs. */
+	/* Queued datagrams are processed before any timer. */
 	while (node->backlog != NULL && node->incarnation == incarnation) {
 		struct backlog_entry *entry = node->backlog;
 
@@ -586,16 +588,16 @@
 	}
 }
 
-static void leave_cell(void *object, uint64_t incarnation)
+static void on_leave_timer(void *object, uint64_t incarnation)
 {
 	struct node *node = object;
 	struct jt_event event = {.kind = JT_EVENT_LEAVE};
 
 	if (node->incarnation != incarnation)
 		return;
-	if (node->life == JT_NODE_PAUSED) /* its timer runs when it wakes */
+	if (node->life == JT_NODE_PAUSED) /* retry until it is resumed */
 		jt_scheduler_after(node->cluster->scheduler, TICK_US,
-				   leave_cell, node, incarnation);
+				   on_leave_timer, node, incarnation);
 	else
 		node_event(node, &event);
 }
@@ -609,7 +611,7 @@
 	node->unready = true;
 	node->life = JT_NODE_LEAVING;
 	jt_scheduler_after(cluster->scheduler, cluster->options.leave_delay_us,
-			   leave_cell, node, node->incarnation);
+			   on_leave_timer, node, node->incarnation);
 }
 
 void jt_cluster_cut(struct jt_cluster *cluster, unsigned a, unsigned b,
@@ -619,7 +621,7 @@
 	cluster->cut[b][a] = cut;
 }
 
-/* Views */
+/* Read access */
 
 size_t jt_cluster_node_count(const struct jt_cluster *cluster)
 {
@@ -658,5 +660,5 @@
 {
 	const struct node *node = cluster->nodes[index];
 
-	return alive(node) ? node->core : NULL;
+	return process_exists(node) ? node->core : NULL;
 }
--- a/src/cluster/jt_cluster.h
+++ b/src/cluster/jt_cluster.h
@@ -1,10 +1,11 @@
 /*
- * Hollow balancer nodes in one process and in virtual time: the real
- * decision library, the real message encoding, and a network with latency,
- * loss, reordering and cuts. The emulator, replay and the fuzzer drive this.
+ * Simulates a cluster of balancer nodes in one process and in virtual time.
+ * Nodes run the real decision library and message encoding; the network has
+ * latency, loss, reordering and partitions. Used by the emulator, the replay
+ * and the fuzzer.
  *
- * A node's clock starts at a different value from its neighbours', so that
- * nothing can lean on clocks that agree.
+ * Each node's clock starts at a random value, so that code which depends on
+ * synchronised clocks fails.
  */
 #ifndef JT_CLUSTER_H
 #define JT_CLUSTER_H
@@ -26,11 +27,11 @@
 	JT_VERDICT_DROP,
 };
 
-/* What became of one packet; it is told once for each packet. */
+/* Outcome of a packet, reported exactly once per packet. */
 struct jt_verdict {
 	enum jt_verdict_kind kind;
 	uint16_t node;
-	uint64_t packet; /* as given to jt_cluster_packet() */
+	uint64_t packet; /* as passed to jt_cluster_packet() */
 	struct jt_flow_key key;
 	struct jt_address endpoint;
 	enum jt_reason reason;
@@ -48,7 +49,7 @@
 struct jt_cluster_options {
 	uint64_t seed;
 	unsigned zone_count;
-	/* One way between zones and within one, microseconds. */
+	/* One-way latency between and within zones, microseconds. */
 	uint32_t zone_to_zone_us[JT_CLUSTER_ZONES][JT_CLUSTER_ZONES];
 	uint32_t loss_per_million;
 	uint32_t reorder_per_million;
@@ -56,13 +57,14 @@
 	uint32_t machine_list_lag_us;
 	uint32_t store_answer_us;
 	uint32_t store_operations_per_s;
-	unsigned cell_nodes; /* nodes of one cell; 0: all of them */
+	unsigned cell_nodes; /* nodes per cell; 0: a single cell */
 	unsigned break_mechanism;
 	unsigned probe_interval_us;
-	uint32_t leave_delay_us; /* SIGTERM to leaving the cell */
+	uint32_t leave_delay_us; /* from SIGTERM to leaving the cell */
 	void (*on_verdict)(void *private_data,
 			   const struct jt_verdict *verdict);
-	/* What the health page of an endpoint shows now to a prober. */
+	/* Reads an endpoint's health page; returns false if there is no
+	 * answer. */
 	bool (*read_health)(void *private_data, uint32_t endpoint_id,
 			    struct jt_health *health);
 	void *private_data;
@@ -72,10 +74,10 @@
 	enum jt_node_life life;
 	unsigned zone;
 	unsigned cell;
-	bool ready;		/* what the fabric is told */
-	uint64_t revision;	/* served */
-	uint64_t control_bytes; /* sent to peers, store, lists, pages */
-	/* The same by enum jt_wire_kind; 0 is store, lists and pages. */
+	bool ready;		/* as reported to the fabric */
+	uint64_t revision;	/* in force */
+	uint64_t control_bytes; /* to peers, store, machine list, health */
+	/* The same by enum jt_wire_kind; 0: store, machine list, health. */
 	uint64_t bytes_by_kind[JT_CLUSTER_KINDS];
 	uint64_t store_operations;
 	const struct jt_core_counters *counters;
@@ -84,52 +86,61 @@
 
 struct jt_cluster;
 
+/* Sets the default options. */
 void jt_cluster_options_init(struct jt_cluster_options *options);
+/* Creates a cluster without nodes; returns NULL if out of memory. */
 struct jt_cluster *jt_cluster_create(TALLOC_CTX *mem_ctx,
 				     struct jt_scheduler *scheduler,
 				     const struct jt_cluster_options *options);
 
-/* Start a process at place @node; it knows nothing. */
+/* Starts a process without any state at index @node. */
 void jt_cluster_start(struct jt_cluster *cluster, uint16_t node, unsigned zone);
 void jt_cluster_crash(struct jt_cluster *cluster, uint16_t node);
 void jt_cluster_pause(struct jt_cluster *cluster, uint16_t node);
 void jt_cluster_resume(struct jt_cluster *cluster, uint16_t node);
-/* SIGTERM: unready at once, out of the cell later, then stopped. */
+/* Shuts a node down as SIGTERM does: it becomes unready at once, leaves the
+ * cell after leave_delay_us and then stops. */
 void jt_cluster_leave(struct jt_cluster *cluster, uint16_t node);
-/* Cut or mend all messages between two zones. */
+/* Partitions two zones, or ends their partition. */
 void jt_cluster_cut(struct jt_cluster *cluster, unsigned zone_a,
 		    unsigned zone_b, bool cut);
 
+/* Makes the store unreachable or reachable. */
 void jt_cluster_store_down(struct jt_cluster *cluster, bool down);
 void jt_cluster_store_slow(struct jt_cluster *cluster, uint32_t answer_us);
+/* Drops the responses to the next @count writes that the store applies. */
 void jt_cluster_store_lose_answers(struct jt_cluster *cluster, uint32_t count);
 void jt_cluster_machine_list_lag(struct jt_cluster *cluster, uint32_t lag_us);
 /*
- * An operator's change through a node's API. @config must outlive the
- * cluster and get a higher revision than any before. @on_accepted runs when
- * the operator is told, which may be long after the store took it.
+ * Writes a configuration through a node's API. @config must outlive the
+ * cluster and have a higher revision than any before. @on_accepted runs when
+ * the API responds, which may be long after the store applied the write; it
+ * may be NULL.
  */
 void jt_cluster_configure(struct jt_cluster *cluster,
 			  const struct jt_config *config,
 			  void (*on_accepted)(void *object, uint64_t revision),
 			  void *object);
-/* Newest revision the store has taken, and when (microseconds). */
+/* Returns the newest revision in the store and the time of its write in
+ * microseconds. */
 uint64_t jt_cluster_stored(const struct jt_cluster *cluster, uint64_t *when_us);
 
-/* Hand a caller's packet to a node, as the fabric does. */
+/* Delivers a client's packet to a node, as the fabric does. */
 void jt_cluster_packet(struct jt_cluster *cluster, uint16_t node,
 		       const struct jt_flow_key *key, uint8_t tcp_flags,
 		       uint64_t packet);
 
+/* Returns the highest index of a started node plus one. */
 size_t jt_cluster_node_count(const struct jt_cluster *cluster);
 void jt_cluster_info(const struct jt_cluster *cluster, uint16_t node,
 		     struct jt_cluster_node_info *info);
-/* The decision library of a running node, NULL otherwise. */
+/* Returns the decision library of a node, NULL if it has no process. */
 const struct jt_core *jt_cluster_core(const struct jt_cluster *cluster,
 				      uint16_t node);
-/* Cell that places the flows of a service. */
+/* Returns the cell that handles the flows of a service. */
 unsigned jt_cluster_cell_of(const struct jt_cluster *cluster,
 			    uint32_t service_id);
+/* Returns a pseudo-random number less than @below, 0 if @below is 0. */
 uint32_t jt_cluster_random(struct jt_cluster *cluster, uint32_t below);
 
 #endif
--- a/src/cluster/jt_cluster_platform.c
+++ b/src/cluster/jt_cluster_platform.c
@@ -1,26 +1,26 @@
 /*
- * The platform of a hollow cluster: machine list, health pages and the
- * store with its rate limit, lost answers and outages.
+ * Platform of the simulated cluster: machine list, health pages, and a store
+ * with a rate limit, lost responses and outages.
  */
 #include "jt_cluster_private.h"
 
 #include <stdlib.h>
 
 enum {
-	HTTP_OVERHEAD = 260,  /* a health page's request and answer */
-	STORE_OVERHEAD = 420, /* a range or txn, without the document */
-	RESOURCE_BYTES = 110, /* one resource in a document */
+	HTTP_OVERHEAD = 260,  /* bytes of a health request and response */
+	STORE_OVERHEAD = 420, /* bytes of a store operation, no document */
+	RESOURCE_BYTES = 110, /* average per resource of a document */
 	WRITE_RETRY_US = 300000,
-	FOUND_AFTER_US = 1500000,
-	FOUNDER_SILENT_US = 60000000, /* unrenewed so long: the cell is dead */
-	FOUNDER_INTERVAL_US = 10000000,
-	CANDIDATES_US = 2000000,
-	READ_RETRY_US = 500000,
+	FOUND_DELAY_US = 1500000,
+	FOUNDER_TIMEOUT_US = 60000000, /* after the last renewal */
+	FOUNDER_RENEWAL_US = 10000000,
+	CANDIDATES_INTERVAL_US = 2000000,
+	STORE_RETRY_US = 500000,
 };
 
-/* Store: rate limit of all nodes together */
+/* Store: token bucket shared by all nodes */
 
-static bool store_allows(struct jt_cluster *cluster)
+static bool take_store_token(struct jt_cluster *cluster)
 {
 	double rate = cluster->options.store_operations_per_s;
 	uint64_t now = cluster_now_us(cluster);
@@ -43,13 +43,13 @@
 				 config->address_count + config->share_count);
 }
 
-/* The store's vote: a read and a compare-and-swap. */
+/* A witness request in progress. */
 struct witness_call {
 	struct node *node;
 	struct jt_witness_reply reply;
 };
 
-static void witness_replies(void *object, uint64_t incarnation)
+static void on_witness_reply(void *object, uint64_t incarnation)
 {
 	struct witness_call *call = object;
 	struct jt_event event = {.kind = JT_EVENT_WITNESS};
@@ -82,12 +82,12 @@
 	call->reply.record = *record;
 	jt_scheduler_after(cluster->scheduler,
 			   2 * cluster->options.store_answer_us,
-			   witness_replies, call, node->incarnation);
+			   on_witness_reply, call, node->incarnation);
 }
 
-/* What a node does on each tick */
+/* Periodic work of a node */
 
-static void give_candidates(struct node *node)
+static void report_candidates(struct node *node)
 {
 	struct jt_cluster *cluster = node->cluster;
 	struct jt_event event = {.kind = JT_EVENT_CANDIDATES};
@@ -96,14 +96,14 @@
 
 	if (cluster_now_us(cluster) < node->candidates_us)
 		return;
-	node->candidates_us = cluster_now_us(cluster) + CANDIDATES_US;
+	node->candidates_us = cluster_now_us(cluster) + CANDIDATES_INTERVAL_US;
 	node_spend(node, PLATFORM, HTTP_OVERHEAD);
 	for (size_t i = 0; i < cluster->node_count; i++) {
 		const struct node *other = cluster->nodes[i];
 
 		if (other == NULL || other->cell != node->cell ||
 		    other->started_us + lag >
-			    cluster_now_us(cluster) + FOUND_AFTER_US)
+			    cluster_now_us(cluster) + FOUND_DELAY_US)
 			continue;
 		cluster->listed[count++] = node_address((uint16_t)i);
 	}
@@ -117,7 +117,7 @@
 	return jt_core_reads_store(node->core);
 }
 
-static void read_arrives(void *object, uint64_t incarnation)
+static void on_store_read(void *object, uint64_t incarnation)
 {
 	struct node *node = object;
 	struct jt_cluster *cluster = node->cluster;
@@ -131,7 +131,7 @@
 	node_tell(node, &event);
 }
 
-/* A watch: the answer comes when there is something newer. */
+/* Simulates a watch: the store responds when it has a newer revision. */
 static void read_store(struct node *node)
 {
 	struct jt_cluster *cluster = node->cluster;
@@ -142,34 +142,34 @@
 		return;
 	if (known != NULL && known->revision >= cluster->stored->revision)
 		return;
-	node->read_us = cluster_now_us(cluster) + READ_RETRY_US;
-	if (known == NULL && !store_allows(cluster))
+	node->read_us = cluster_now_us(cluster) + STORE_RETRY_US;
+	if (known == NULL && !take_store_token(cluster))
 		return;
 	node->store_operations += known == NULL;
 	node_spend(node, PLATFORM, STORE_OVERHEAD);
 	jt_scheduler_after(cluster->scheduler, cluster->options.store_answer_us,
-			   read_arrives, node, node->incarnation);
+			   on_store_read, node, node->incarnation);
 }
 
-/* The coordinator renews the founder's mark in the store. */
-static void renew_mark(struct node *node, struct cell *cell)
+/* Renews the founder record in the store if this node is the coordinator. */
+static void renew_founder_record(struct node *node, struct cell *cell)
 {
 	uint64_t now = cluster_now_us(node->cluster);
 
 	if (!jt_core_coordinator(node->core) || now < node->founder_us)
 		return;
-	node->founder_us = now + FOUNDER_INTERVAL_US;
+	node->founder_us = now + FOUNDER_RENEWAL_US;
 	node->store_operations += 2;
 	node_spend(node, PLATFORM, 2 * STORE_OVERHEAD);
 	cell->renewed_us = now;
 }
 
 /*
- * A node may found the cell when there is no mark, or when it has watched
- * the mark stand still for long while the store answered all the time: a
- * mark that nobody could renew during an outage says nothing.
+ * Returns true if a node may found the cell: there is no founder record, or
+ * it was not renewed for FOUNDER_TIMEOUT_US while the store was reachable
+ * without interruption. Time in which nobody could renew it does not count.
  */
-static bool mark_is_dead(struct node *node, const struct cell *cell)
+static bool founder_record_expired(struct node *node, const struct cell *cell)
 {
 	uint64_t now = cluster_now_us(node->cluster);
 
@@ -179,10 +179,10 @@
 		node->observed_us = now;
 		node->mark_us = cell->renewed_us;
 	}
-	return now >= node->observed_us + FOUNDER_SILENT_US;
+	return now >= node->observed_us + FOUNDER_TIMEOUT_US;
 }
 
-static void found_cell(struct node *node)
+static void maintain_founder_record(struct node *node)
 {
 	struct jt_cluster *cluster = node->cluster;
 	struct cell *cell = &cluster->cells[node->cell];
@@ -194,18 +194,18 @@
 	if (cluster->store_down)
 		return;
 	if (jt_core_state(node->core) != NULL) {
-		renew_mark(node, cell);
+		renew_founder_record(node, cell);
 		return;
 	}
-	if (now < node->started_us + FOUND_AFTER_US || now < node->founder_us ||
+	if (now < node->started_us + FOUND_DELAY_US || now < node->founder_us ||
 	    jt_core_newest_config(node->core) == NULL)
 		return;
-	node->founder_us = now + READ_RETRY_US;
-	if (!store_allows(cluster))
+	node->founder_us = now + STORE_RETRY_US;
+	if (!take_store_token(cluster))
 		return;
 	node->store_operations++;
 	node_spend(node, PLATFORM, STORE_OVERHEAD);
-	if (!mark_is_dead(node, cell))
+	if (!founder_record_expired(node, cell))
 		return;
 	cell->id = cluster_random64(cluster) | 1;
 	cell->renewed_us = now;
@@ -251,13 +251,13 @@
 
 void platform_tick(struct node *node)
 {
-	give_candidates(node);
+	report_candidates(node);
 	read_store(node);
-	found_cell(node);
+	maintain_founder_record(node);
 	probe_endpoints(node);
 }
 
-/* Writes of operators, and faults */
+/* Configuration writes and fault injection */
 
 void jt_cluster_store_down(struct jt_cluster *cluster, bool down)
 {
@@ -285,25 +285,25 @@
 	return cluster->stored ? cluster->stored->revision : 0;
 }
 
-static uint16_t ready_node(struct jt_cluster *cluster)
+static uint16_t random_running_node(struct jt_cluster *cluster)
 {
-	uint16_t best = JT_NO_NODE;
-	uint32_t seen = 0;
+	uint16_t chosen = JT_NO_NODE;
+	uint32_t candidate_count = 0;
 
 	for (size_t i = 0; i < cluster->node_count; i++) {
 		const struct node *node = cluster->nodes[i];
 
 		if (node == NULL || node->life != JT_NODE_RUNNING)
 			continue;
-		if (jt_cluster_random(cluster, ++seen) == 0)
-			best = (uint16_t)i;
+		if (jt_cluster_random(cluster, ++candidate_count) == 0)
+			chosen = (uint16_t)i;
 	}
-	return best;
+	return chosen;
 }
 
-static void write_try(void *object, uint64_t argument);
+static void attempt_write(void *object, uint64_t argument);
 
-static void write_told(void *object, uint64_t argument)
+static void on_write_response(void *object, uint64_t argument)
 {
 	struct pending_write *write = object;
 	struct node *node = write->cluster->nodes[write->writer];
@@ -312,19 +312,19 @@
 
 	(void)argument;
 	if (!node_running(node)) {
-		/* The operator's connection broke; another node is asked. */
+		/* The connection broke: retry at another node. */
 		jt_scheduler_after(write->cluster->scheduler, WRITE_RETRY_US,
-				   write_try, write, 0);
+				   attempt_write, write, 0);
 		return;
 	}
 	event.u.config = write->config;
 	node_tell(node, &event);
-	/* Accepted means agreed on by the cell, not only stored. */
+	/* Accepted means committed by the cell, not only stored. */
 	state = jt_core_state(node->core);
 	if (state != NULL &&
 	    state->config->revision < write->config->revision) {
 		jt_scheduler_after(write->cluster->scheduler, TICK_US,
-				   write_told, write, 0);
+				   on_write_response, write, 0);
 		return;
 	}
 	if (write->on_accepted != NULL)
@@ -332,20 +332,21 @@
 	talloc_free(write);
 }
 
-/* Read, then compare and swap; a lost answer is found out by reading. */
-static void write_try(void *object, uint64_t argument)
+/* Writes with a read and a compare-and-swap. After a lost response, the read
+ * of the next attempt finds the write applied. */
+static void attempt_write(void *object, uint64_t argument)
 {
 	struct pending_write *write = object;
 	struct jt_cluster *cluster = write->cluster;
-	uint64_t answer = cluster->options.store_answer_us;
-	bool lost = false;
+	uint64_t response_us = cluster->options.store_answer_us;
+	bool response_lost = false;
 
 	(void)argument;
-	write->writer = ready_node(cluster);
+	write->writer = random_running_node(cluster);
 	if (cluster->store_down || write->writer == JT_NO_NODE ||
-	    !store_allows(cluster)) {
+	    !take_store_token(cluster)) {
 		jt_scheduler_after(cluster->scheduler, WRITE_RETRY_US,
-				   write_try, write, 0);
+				   attempt_write, write, 0);
 		return;
 	}
 	cluster->nodes[write->writer]->store_operations += 2;
@@ -354,22 +355,22 @@
 			   2 * platform_document_bytes(write->config));
 	if (!write->took_effect) {
 		write->took_effect = true;
-		/* A newer wish that came first includes this one: whoever
-		 * writes second starts from what it finds. */
+		/* A newer revision that was stored first includes this one,
+		 * since writers start from the stored document. */
 		if (cluster->stored == NULL ||
 		    cluster->stored->revision < write->config->revision) {
 			cluster->stored = write->config;
 			cluster->stored_us = cluster_now_us(cluster);
 		}
-		lost = cluster->lose_answers > 0;
-		cluster->lose_answers -= lost;
+		response_lost = cluster->lose_answers > 0;
+		cluster->lose_answers -= response_lost;
 	}
-	if (lost)
+	if (response_lost)
 		jt_scheduler_after(cluster->scheduler, WRITE_RETRY_US,
-				   write_try, write, 0);
+				   attempt_write, write, 0);
 	else
-		jt_scheduler_after(cluster->scheduler, 2 * answer, write_told,
-				   write, 0);
+		jt_scheduler_after(cluster->scheduler, 2 * response_us,
+				   on_write_response, write, 0);
 }
 
 void jt_cluster_configure(struct jt_cluster *cluster,
@@ -386,7 +387,7 @@
 	write->config = config;
 	write->on_accepted = on_accepted;
 	write->object = object;
-	/* Before any node runs, the platform puts the first one in place. */
+	/* The initial configuration is in the store before any node starts. */
 	if (cluster->stored == NULL && cluster->node_count == 0) {
 		cluster->stored = config;
 		cluster->stored_us = cluster_now_us(cluster);
@@ -394,5 +395,5 @@
 		return;
 	}
 	jt_scheduler_after(cluster->scheduler, cluster->options.store_answer_us,
-			   write_try, write, 0);
+			   attempt_write, write, 0);
 }
--- a/src/cluster/jt_cluster_private.h
+++ b/src/cluster/jt_cluster_private.h
@@ -1,6 +1,6 @@
 /*
- * What the parts of the hollow cluster share: its nodes and its platform.
- * One thread; everything is a child of struct jt_cluster.
+ * Types and helpers shared by the files of the simulated cluster. It is
+ * single-threaded, and all memory is owned by struct jt_cluster.
  */
 #ifndef JT_CLUSTER_PRIVATE_H
 #define JT_CLUSTER_PRIVATE_H
@@ -10,10 +10,11 @@
 enum {
 	TICK_US = 25000,
 	NODE_PORT = 6081,
-	PLATFORM = 0, /* kind of bytes to store, lists and pages */
+	/* Index in bytes_by_kind of store, machine list and health traffic. */
+	PLATFORM = 0,
 };
 
-/* A packet that waits inside a node; freed when its verdict is told. */
+/* A packet held by a node; freed when its verdict has been reported. */
 struct waiting_packet {
 	struct waiting_packet *next;
 	uint64_t token;
@@ -34,7 +35,9 @@
 	enum jt_node_life life;
 	unsigned zone;
 	unsigned cell;
-	uint32_t incarnation; /* stale callbacks are told by it */
+	/* Changes with each start and stop, so that callbacks scheduled for an
+	 * earlier process are ignored. */
+	uint32_t incarnation;
 	uint64_t clock_offset_ms;
 	uint64_t started_us;
 	bool unready;
@@ -48,26 +51,26 @@
 	struct backlog_entry *backlog;
 	struct backlog_entry **backlog_tail;
 	size_t backlog_count;
-	uint64_t candidates_us;
-	uint64_t read_us;
-	uint64_t founder_us;
-	uint64_t observed_us; /* watching the founder's mark since */
-	uint64_t mark_us;     /* its renewal as first observed */
+	uint64_t candidates_us; /* next read of the machine list */
+	uint64_t read_us;	/* next read of the store */
+	uint64_t founder_us;	/* next access to the founder record */
+	/* Since when the founder record has been unchanged; 0: unknown. */
+	uint64_t observed_us;
+	uint64_t mark_us; /* renewal time of the record observed then */
 	uint64_t bytes_by_kind[JT_CLUSTER_KINDS];
 	uint64_t store_operations;
-	uint64_t *probe_due_us; /* by position in the configuration */
+	uint64_t *probe_due_us; /* by endpoint index in the cell state */
 	size_t probe_count;
 };
 
-/* Something on its way between nodes. */
+/* A message, relayed packet or configuration in transit between nodes. */
 struct datagram {
 	struct jt_cluster *cluster;
 	uint16_t to;
 	uint16_t from;
 	bool relay;
-	/* A relayed packet, or a fetched configuration. */
-	struct waiting_packet packet;
-	const struct jt_config *config;
+	struct waiting_packet packet;	/* if relay is set */
+	const struct jt_config *config; /* NULL: not a configuration */
 	size_t length;
 	uint8_t frame[];
 };
@@ -82,8 +85,8 @@
 };
 
 struct cell {
-	struct jt_witness_record witness; /* proposal: child of the cluster */
-	uint64_t id;			  /* 0: nobody has founded it */
+	struct jt_witness_record witness; /* proposal owned by the cluster */
+	uint64_t id;			  /* 0: not founded yet */
 	uint64_t renewed_us;
 };
 
@@ -91,7 +94,7 @@
 	struct jt_cluster_options options;
 	struct jt_scheduler *scheduler;
 	uint64_t random_state;
-	/* What the platform has for a node: see node_tell(). */
+	/* Handles an event for a node; called through node_tell(). */
 	void (*handle_event)(struct node *node, struct jt_event *event);
 	struct node *nodes[JT_CLUSTER_NODES];
 	size_t node_count;
@@ -99,7 +102,7 @@
 	struct jt_keys keys;
 	struct jt_actions *actions;
 	bool in_event;
-	/* The store. */
+	/* The simulated store. */
 	bool store_down;
 	uint32_t lose_answers;
 	const struct jt_config *stored;
@@ -127,27 +130,28 @@
 	       (node->life == JT_NODE_RUNNING || node->life == JT_NODE_LEAVING);
 }
 
-/* Count control bytes by the kind of message. */
+/* Adds to the control traffic of a message kind. */
 static inline void node_spend(struct node *node, int kind, uint64_t bytes)
 {
 	node->bytes_by_kind[kind] += bytes;
 }
 
-/* The cluster's own random numbers, from its seed. */
+/* Returns the next pseudo-random number of the cluster's generator. */
 uint64_t cluster_random64(struct jt_cluster *cluster);
 
-/* Tell a node of an event, as jt_cluster.c handles it. */
+/* Delivers an event from the platform to a node. */
 static inline void node_tell(struct node *node, struct jt_event *event)
 {
 	node->cluster->handle_event(node, event);
 }
 
-/* Platform: store, machine list and health pages as one node sees them. */
+/* Runs the due reads of store, machine list and health pages for a node. */
 void platform_tick(struct node *node);
-/* The store's vote: a read and a compare-and-swap. */
+/* Sends a witness request of a node to the store: a read and a
+ * compare-and-swap. */
 void platform_ask_witness(struct node *node,
 			  const struct jt_witness_request *request);
-/* Bytes of a document in the store and on its way to a peer. */
+/* Returns the approximate encoded size of a configuration in bytes. */
 size_t platform_document_bytes(const struct jt_config *config);
 
 #endif
--- a/src/cluster/jt_cluster_random.c
+++ b/src/cluster/jt_cluster_random.c
@@ -1,7 +1,7 @@
-/* The cluster's random numbers: they repeat for a seed. */
+/* Deterministic random numbers of the simulated cluster. */
 #include "jt_cluster_private.h"
 
-/* SplitMix64 (Steele, Lea and Flood, 2014): one state for the cluster. */
+/* SplitMix64 (Steele, Lea and Flood, 2014). */
 uint64_t cluster_random64(struct jt_cluster *cluster)
 {
 	uint64_t z = cluster->random_state += 0x9e3779b97f4a7c15ull;
--- a/src/cluster/jt_scheduler.c
+++ b/src/cluster/jt_scheduler.c
@@ -4,13 +4,13 @@
 
 struct entry {
 	uint64_t time_us;
-	uint64_t order;
+	uint64_t order; /* of insertion; breaks ties */
 	jt_scheduled callback;
 	void *object;
 	uint64_t argument;
 };
 
-/* A binary heap by (time, order). */
+/* The heap is a binary heap ordered by (time_us, order). */
 struct jt_scheduler {
 	struct entry *heap;
 	size_t count;
@@ -29,21 +29,21 @@
 	return scheduler->now_us;
 }
 
-static bool before(const struct entry *a, const struct entry *b)
+static bool runs_before(const struct entry *a, const struct entry *b)
 {
 	if (a->time_us != b->time_us)
 		return a->time_us < b->time_us;
 	return a->order < b->order;
 }
 
-static void grow(struct jt_scheduler *scheduler)
+static void heap_grow(struct jt_scheduler *scheduler)
 {
 	size_t capacity = scheduler->capacity ? scheduler->capacity * 2 : 1024;
 	struct entry *heap = talloc_realloc(scheduler, scheduler->heap,
 					    struct entry, capacity);
 
 	if (heap == NULL)
-		abort(); /* an emulation can't go on without memory */
+		abort(); /* a simulation can't continue without memory */
 	scheduler->heap = heap;
 	scheduler->capacity = capacity;
 }
@@ -53,18 +53,19 @@
 {
 	struct entry entry = {time_us, scheduler->next_order++, callback,
 			      object, argument};
-	size_t at;
+	size_t index;
 
 	if (scheduler->count == scheduler->capacity)
-		grow(scheduler);
+		heap_grow(scheduler);
 	if (entry.time_us < scheduler->now_us)
 		entry.time_us = scheduler->now_us;
-	at = scheduler->count++;
-	while (at > 0 && before(&entry, &scheduler->heap[(at - 1) / 2])) {
-		scheduler->heap[at] = scheduler->heap[(at - 1) / 2];
-		at = (at - 1) / 2;
+	index = scheduler->count++;
+	while (index > 0 &&
+	       runs_before(&entry, &scheduler->heap[(index - 1) / 2])) {
+		scheduler->heap[index] = scheduler->heap[(index - 1) / 2];
+		index = (index - 1) / 2;
 	}
-	scheduler->heap[at] = entry;
+	scheduler->heap[index] = entry;
 }
 
 void jt_scheduler_after(struct jt_scheduler *scheduler, uint64_t delay_us,
@@ -74,35 +75,35 @@
 			object, argument);
 }
 
-static struct entry pop(struct jt_scheduler *scheduler)
+static struct entry heap_pop(struct jt_scheduler *scheduler)
 {
 	struct entry first = scheduler->heap[0];
 	struct entry last = scheduler->heap[--scheduler->count];
-	size_t at = 0;
+	size_t index = 0;
 
 	for (;;) {
-		size_t child = 2 * at + 1;
+		size_t child = 2 * index + 1;
 
 		if (child >= scheduler->count)
 			break;
 		if (child + 1 < scheduler->count &&
-		    before(&scheduler->heap[child + 1],
-			   &scheduler->heap[child]))
+		    runs_before(&scheduler->heap[child + 1],
+				&scheduler->heap[child]))
 			child++;
-		if (!before(&scheduler->heap[child], &last))
+		if (!runs_before(&scheduler->heap[child], &last))
 			break;
-		scheduler->heap[at] = scheduler->heap[child];
-		at = child;
+		scheduler->heap[index] = scheduler->heap[child];
+		index = child;
 	}
 	if (scheduler->count > 0)
-		scheduler->heap[at] = last;
+		scheduler->heap[index] = last;
 	return first;
 }
 
 void jt_scheduler_run(struct jt_scheduler *scheduler, uint64_t time_us)
 {
 	while (scheduler->count > 0 && scheduler->heap[0].time_us <= time_us) {
-		struct entry entry = pop(scheduler);
+		struct entry entry = heap_pop(scheduler);
 
 		scheduler->now_us = entry.time_us;
 		entry.callback(entry.object, entry.argument);
