--- a/src/resource/jt_change.c
+++ b/src/resource/jt_change.c
@@ -3,9 +3,9 @@
 #include <stdio.h>
 #include <string.h>
 
-static void explain(struct jt_resource_error *error,
-		    const struct jt_change *change, const char *field,
-		    const char *reason)
+static void set_error(struct jt_resource_error *error,
+		      const struct jt_change *change, const char *field,
+		      const char *reason)
 {
 	snprintf(error->resource, sizeof(error->resource), "%s/%.127s",
 		 jt_resource_kind_name(change->kind), change->name);
@@ -13,46 +13,46 @@
 	snprintf(error->reason, sizeof(error->reason), "%s", reason);
 }
 
-static uint64_t version_of(const json_t *resource)
+static uint64_t resource_version(const json_t *resource)
 {
 	return (uint64_t)json_integer_value(
 		json_object_get(resource, "version"));
 }
 
 static enum jt_change_result check_version(const struct jt_change *change,
-					   const json_t *present,
+					   const json_t *current,
 					   struct jt_resource_error *error)
 {
 	char reason[96];
 
 	if (!change->has_version)
 		return JT_CHANGE_OK;
-	if (change->version == version_of(present))
+	if (change->version == resource_version(current))
 		return JT_CHANGE_OK;
 	snprintf(reason, sizeof(reason),
 		 "is %llu now, the change was made from %llu",
-		 (unsigned long long)version_of(present),
+		 (unsigned long long)resource_version(current),
 		 (unsigned long long)change->version);
-	explain(error, change, "version", reason);
+	set_error(error, change, "version", reason);
 	return JT_CHANGE_CONFLICT;
 }
 
 static enum jt_change_result check_group(const struct jt_change *change,
-					 const json_t *present,
+					 const json_t *current,
 					 struct jt_resource_error *error)
 {
 	const char *group =
-		json_string_value(json_object_get(present, "group"));
+		json_string_value(json_object_get(current, "group"));
 
-	if (present == NULL || change->only_group == NULL ||
+	if (current == NULL || change->only_group == NULL ||
 	    (group != NULL && strcmp(group, change->only_group) == 0))
 		return JT_CHANGE_OK;
-	explain(error, change, "group",
-		"is another one, the token does not allow this change");
+	set_error(error, change, "group",
+		  "is not the group for which the token is valid");
 	return JT_CHANGE_FORBIDDEN;
 }
 
-static json_t *list_of(json_t *document, enum jt_resource_kind kind)
+static json_t *get_or_create_list(json_t *document, enum jt_resource_kind kind)
 {
 	const char *name = jt_resource_kind_name(kind);
 	json_t *list = json_object_get(document, name);
@@ -64,14 +64,14 @@
 	return list;
 }
 
-/* The same resource but for its version. */
-static bool unchanged(const json_t *present, const json_t *wanted)
+/* Returns true if the resources are equal except for their versions. */
+static bool unchanged(const json_t *current, const json_t *wanted)
 {
 	json_t *copy = json_deep_copy(wanted);
 	bool same;
 
-	json_object_set(copy, "version", json_object_get(present, "version"));
-	same = json_equal(copy, (json_t *)present);
+	json_object_set(copy, "version", json_object_get(current, "version"));
+	same = json_equal(copy, (json_t *)current);
 	json_decref(copy);
 	return same;
 }
@@ -80,37 +80,39 @@
 				       const struct jt_change *change,
 				       struct jt_resource_error *error)
 {
-	json_t *list = list_of(document, change->kind);
-	size_t at = jt_resource_find(document, change->kind, change->name);
-	json_t *present = at == SIZE_MAX ? NULL : json_array_get(list, at);
-	enum jt_change_result result = check_group(change, present, error);
+	json_t *list = get_or_create_list(document, change->kind);
+	size_t index = jt_resource_find(document, change->kind, change->name);
+	json_t *current =
+		index == SIZE_MAX ? NULL : json_array_get(list, index);
+	enum jt_change_result result = check_group(change, current, error);
 	json_t *copy;
 
 	if (result == JT_CHANGE_OK)
-		result = check_version(change, present, error);
+		result = check_version(change, current, error);
 	if (result != JT_CHANGE_OK)
 		return result;
 	if (change->resource == NULL) {
-		if (present == NULL) {
-			explain(error, change, "", "does not exist");
+		if (current == NULL) {
+			set_error(error, change, "", "does not exist");
 			return JT_CHANGE_ABSENT;
 		}
-		json_array_remove(list, at);
+		json_array_remove(list, index);
 		return JT_CHANGE_OK;
 	}
-	if (present != NULL && unchanged(present, change->resource))
+	if (current != NULL && unchanged(current, change->resource))
 		return JT_CHANGE_OK;
 	copy = json_deep_copy(change->resource);
-	json_object_set_new(copy, "version",
-			    json_integer((json_int_t)version_of(present) + 1));
-	if (present != NULL)
-		json_array_set_new(list, at, copy);
+	json_object_set_new(
+		copy, "version",
+		json_integer((json_int_t)resource_version(current) + 1));
+	if (current != NULL)
+		json_array_set_new(list, index, copy);
 	else
 		json_array_append_new(list, copy);
 	return JT_CHANGE_OK;
 }
 
-static void remember_write(json_t *document, const char *write_id)
+static void add_write_id(json_t *document, const char *write_id)
 {
 	json_t *ids = json_object_get(document, "write_ids");
 
@@ -123,7 +125,8 @@
 	json_array_append_new(ids, json_string(write_id));
 }
 
-/* 0 if the resources fit into a message to the peers. */
+/* Returns 0 if the resources are within JT_DOCUMENT_BYTES, otherwise -1 with
+ * @error set. */
 static int check_size(const json_t *document, struct jt_resource_error *error)
 {
 	const json_t *ids = json_object_get(document, "write_ids");
@@ -166,7 +169,7 @@
 		result = JT_CHANGE_INVALID;
 		goto fail;
 	}
-	remember_write(document, write_id);
+	add_write_id(document, write_id);
 	*after = document;
 	return JT_CHANGE_OK;
 fail:
--- a/src/resource/jt_resource.c
+++ b/src/resource/jt_resource.c
@@ -47,7 +47,7 @@
 	return kind;
 }
 
-static const char *text_of(const json_t *object, const char *field)
+static const char *string_field(const json_t *object, const char *field)
 {
 	const char *text = json_string_value(json_object_get(object, field));
 
@@ -59,9 +59,9 @@
 {
 	if (kind == JT_RESOURCE_SHARE)
 		return talloc_asprintf(mem_ctx, "%s/%s",
-				       text_of(resource, "service"),
-				       text_of(resource, "group"));
-	return talloc_strdup(mem_ctx, text_of(resource, "name"));
+				       string_field(resource, "service"),
+				       string_field(resource, "group"));
+	return talloc_strdup(mem_ctx, string_field(resource, "name"));
 }
 
 size_t jt_resource_find(const json_t *document, enum jt_resource_kind kind,
@@ -84,7 +84,7 @@
 	return found;
 }
 
-/* Where the builder stands, so that every error names it. */
+/* State of a build; kind and resource are the current ones, for errors. */
 struct builder {
 	struct jt_config *config;
 	struct jt_resource_error *error;
@@ -100,11 +100,11 @@
 
 	if (b->kind == JT_RESOURCE_SHARE)
 		snprintf(name, sizeof(name), "%.63s/%.63s",
-			 text_of(b->resource, "service"),
-			 text_of(b->resource, "group"));
+			 string_field(b->resource, "service"),
+			 string_field(b->resource, "group"));
 	else
 		snprintf(name, sizeof(name), "%.63s",
-			 text_of(b->resource, "name"));
+			 string_field(b->resource, "name"));
 	snprintf(b->error->resource, sizeof(b->error->resource), "%s/%s",
 		 kind_names[b->kind], name);
 	snprintf(b->error->field, sizeof(b->error->field), "%s", field);
@@ -142,7 +142,7 @@
 	       c == '.';
 }
 
-static int take_name(struct builder *b, char name[JT_NAME_SIZE])
+static int read_name(struct builder *b, char name[JT_NAME_SIZE])
 {
 	const json_t *value = json_object_get(b->resource, "name");
 	const char *text = json_string_value(value);
@@ -163,27 +163,28 @@
 	return 0;
 }
 
-static int take_number(struct builder *b, const char *field, uint32_t least,
-		       uint32_t most, int64_t fallback, uint32_t *number)
+static int read_number(struct builder *b, const char *field, uint32_t minimum,
+		       uint32_t maximum, int64_t default_value,
+		       uint32_t *number)
 {
 	const json_t *value = json_object_get(b->resource, field);
 	json_int_t found;
 
-	if (value == NULL && fallback >= 0) {
-		*number = (uint32_t)fallback;
+	if (value == NULL && default_value >= 0) {
+		*number = (uint32_t)default_value;
 		return 0;
 	}
 	if (!json_is_integer(value))
 		return fail(b, field, "missing, or not a whole number");
 	found = json_integer_value(value);
-	if (found < least || found > most)
+	if (found < minimum || found > maximum)
 		return fail(b, field, "is %lld, allowed are %u to %u",
-			    (long long)found, least, most);
+			    (long long)found, minimum, maximum);
 	*number = (uint32_t)found;
 	return 0;
 }
 
-static int take_address(struct builder *b, const char *field,
+static int read_address(struct builder *b, const char *field,
 			struct jt_address *address)
 {
 	const char *text =
@@ -196,7 +197,7 @@
 	return 0;
 }
 
-static int take_service(struct builder *b, uint32_t *service)
+static int read_service(struct builder *b, uint32_t *service)
 {
 	const char *name =
 		json_string_value(json_object_get(b->resource, "service"));
@@ -212,7 +213,7 @@
 	return fail(b, "service", "there is no service '%.63s'", name);
 }
 
-static int take_group(struct builder *b, uint32_t *group)
+static int read_group(struct builder *b, uint32_t *group)
 {
 	const char *name =
 		json_string_value(json_object_get(b->resource, "group"));
@@ -233,7 +234,7 @@
 	struct jt_config *config = b->config;
 	struct jt_group_config *group = &config->groups[config->group_count];
 
-	if (take_name(b, group->name) != 0)
+	if (read_name(b, group->name) != 0)
 		return -1;
 	group->id = jt_name_id(group->name);
 	for (size_t i = 0; i < config->group_count; i++) {
@@ -250,10 +251,10 @@
 	struct jt_config *config = b->config;
 	struct jt_service_config *service =
 		&config->services[config->service_count];
-	const char *kind = text_of(b->resource, "kind");
+	const char *kind = string_field(b->resource, "kind");
 
-	if (take_name(b, service->name) != 0 ||
-	    take_number(b, "free_permille", 0, 1000, DEFAULT_FREE_PERMILLE,
+	if (read_name(b, service->name) != 0 ||
+	    read_number(b, "free_permille", 0, 1000, DEFAULT_FREE_PERMILLE,
 			&service->free_permille) != 0)
 		return -1;
 	if (strcmp(kind, "stream") == 0)
@@ -301,12 +302,12 @@
 		&config->endpoints[config->endpoint_count];
 	const json_t *draining = json_object_get(b->resource, "draining");
 
-	if (take_name(b, endpoint->name) != 0 ||
-	    take_service(b, &endpoint->service) != 0 ||
-	    take_address(b, "address", &endpoint->address) != 0 ||
-	    take_address(b, "health", &endpoint->health) != 0 ||
-	    take_number(b, "slots", 1, MAX_SLOTS, -1, &endpoint->slots) != 0 ||
-	    take_number(b, "connections", 1, MAX_CONNECTIONS, -1,
+	if (read_name(b, endpoint->name) != 0 ||
+	    read_service(b, &endpoint->service) != 0 ||
+	    read_address(b, "address", &endpoint->address) != 0 ||
+	    read_address(b, "health", &endpoint->health) != 0 ||
+	    read_number(b, "slots", 1, MAX_SLOTS, -1, &endpoint->slots) != 0 ||
+	    read_number(b, "connections", 1, MAX_CONNECTIONS, -1,
 			&endpoint->connections) != 0)
 		return -1;
 	if (draining != NULL && !json_is_boolean(draining))
@@ -324,12 +325,12 @@
 	struct jt_config *config = b->config;
 	struct jt_address_config *address =
 		&config->addresses[config->address_count];
-	const char *protocol = text_of(b->resource, "protocol");
+	const char *protocol = string_field(b->resource, "protocol");
 
-	if (take_name(b, address->name) != 0 ||
-	    take_address(b, "address", &address->address) != 0 ||
-	    take_service(b, &address->service) != 0 ||
-	    take_group(b, &address->group) != 0)
+	if (read_name(b, address->name) != 0 ||
+	    read_address(b, "address", &address->address) != 0 ||
+	    read_service(b, &address->service) != 0 ||
+	    read_group(b, &address->group) != 0)
 		return -1;
 	if (strcmp(protocol, "tcp") != 0)
 		return fail(b, "protocol", "is '%.40s', allowed is 'tcp'",
@@ -339,7 +340,7 @@
 		const struct jt_address_config *other = &config->addresses[i];
 
 		if (strcmp(other->name, address->name) == 0)
-			return fail(b, "name", "stands twice");
+			return fail(b, "name", "is duplicate");
 		if (jt_address_same(other->address, address->address))
 			return fail(b, "address", "used by address '%s'",
 				    other->name);
@@ -353,9 +354,9 @@
 	struct jt_config *config = b->config;
 	struct jt_share_config *share = &config->shares[config->share_count];
 
-	if (take_service(b, &share->service) != 0 ||
-	    take_group(b, &share->group) != 0 ||
-	    take_number(b, "weight", 1, MAX_WEIGHT, -1, &share->weight) != 0)
+	if (read_service(b, &share->service) != 0 ||
+	    read_group(b, &share->group) != 0 ||
+	    read_number(b, "weight", 1, MAX_WEIGHT, -1, &share->weight) != 0)
 		return -1;
 	for (size_t i = 0; i < config->share_count; i++) {
 		if (config->shares[i].service == share->service &&
@@ -366,7 +367,8 @@
 	return 0;
 }
 
-/* An address whose group has no share could never let a caller in. */
+/* Checks that each address has a share; without one it would reject every
+ * client. */
 static int check_shares(struct builder *b, const json_t *addresses)
 {
 	const struct jt_config *config = b->config;
@@ -447,32 +449,33 @@
 	return 0;
 }
 
-static struct jt_config *config_room(TALLOC_CTX *mem_ctx,
-				     const json_t *document)
+static struct jt_config *allocate_config(TALLOC_CTX *mem_ctx,
+					 const json_t *document)
 {
-	struct jt_config *c = talloc_zero(mem_ctx, struct jt_config);
-	size_t room[JT_RESOURCE_KINDS];
+	struct jt_config *config = talloc_zero(mem_ctx, struct jt_config);
+	size_t capacity[JT_RESOURCE_KINDS];
 
-	if (c == NULL)
+	if (config == NULL)
 		return NULL;
 	for (int k = 0; k < JT_RESOURCE_KINDS; k++)
-		room[k] = json_array_size(
-				  json_object_get(document, kind_names[k])) +
-			  1;
-	c->groups = talloc_zero_array(c, struct jt_group_config,
-				      room[JT_RESOURCE_GROUP]);
-	c->services = talloc_zero_array(c, struct jt_service_config,
-					room[JT_RESOURCE_SERVICE]);
-	c->endpoints = talloc_zero_array(c, struct jt_endpoint_config,
-					 room[JT_RESOURCE_ENDPOINT]);
-	c->addresses = talloc_zero_array(c, struct jt_address_config,
-					 room[JT_RESOURCE_ADDRESS]);
-	c->shares = talloc_zero_array(c, struct jt_share_config,
-				      room[JT_RESOURCE_SHARE]);
-	if (c->groups == NULL || c->services == NULL || c->endpoints == NULL ||
-	    c->addresses == NULL || c->shares == NULL)
-		TALLOC_FREE(c);
-	return c;
+		capacity[k] = json_array_size(json_object_get(document,
+							      kind_names[k])) +
+			      1;
+	config->groups = talloc_zero_array(config, struct jt_group_config,
+					   capacity[JT_RESOURCE_GROUP]);
+	config->services = talloc_zero_array(config, struct jt_service_config,
+					     capacity[JT_RESOURCE_SERVICE]);
+	config->endpoints = talloc_zero_array(config, struct jt_endpoint_config,
+					      capacity[JT_RESOURCE_ENDPOINT]);
+	config->addresses = talloc_zero_array(config, struct jt_address_config,
+					      capacity[JT_RESOURCE_ADDRESS]);
+	config->shares = talloc_zero_array(config, struct jt_share_config,
+					   capacity[JT_RESOURCE_SHARE]);
+	if (config->groups == NULL || config->services == NULL ||
+	    config->endpoints == NULL || config->addresses == NULL ||
+	    config->shares == NULL)
+		TALLOC_FREE(config);
+	return config;
 }
 
 struct jt_config *jt_resource_build(TALLOC_CTX *mem_ctx, const json_t *document,
@@ -489,7 +492,7 @@
 	}
 	if (check_kinds(&b, document) != 0)
 		return NULL;
-	b.config = config_room(mem_ctx, document);
+	b.config = allocate_config(mem_ctx, document);
 	if (b.config == NULL) {
 		snprintf(error->reason, sizeof(error->reason), "out of memory");
 		return NULL;
--- a/src/resource/jt_resource.h
+++ b/src/resource/jt_resource.h
@@ -1,7 +1,7 @@
 /*
- * Resources that operators declare: groups, services, endpoints, addresses
- * and shares, kept as one JSON document so that a change is checked and
- * stored as a whole.
+ * Resources declared by operators: groups, services, endpoints, addresses
+ * and shares. They form one JSON document, which is validated and stored as a
+ * whole.
  *
  * {"groups":    [{"name"}],
  *  "services":  [{"name", "kind": "stream"|"request", "free_permille"}],
@@ -29,27 +29,31 @@
 	JT_RESOURCE_KINDS,
 };
 
-/* What is wrong: which resource, which field, and why. */
+/* A validation error: the resource, the field and the reason. */
 struct jt_resource_error {
 	char resource[2 * JT_NAME_SIZE + 32]; /* "endpoints/planilla-3" */
 	char field[JT_NAME_SIZE];
 	char reason[256];
 };
 
-/* "groups", "services", ...; JT_RESOURCE_KINDS for an unknown name. */
+/* Returns the document's key for a kind: "groups", "services", ... */
 const char *jt_resource_kind_name(enum jt_resource_kind kind);
+/* Returns the kind with that key, JT_RESOURCE_KINDS if it is unknown. */
 enum jt_resource_kind jt_resource_kind_parse(const char *name);
 
-/* Name of one resource: "name", or "service/group" for a share. */
+/* Returns the name of a resource, "service/group" for a share, allocated below
+ * @mem_ctx; NULL if out of memory. */
 const char *jt_resource_name(TALLOC_CTX *mem_ctx, enum jt_resource_kind kind,
 			     const json_t *resource);
-/* Index in the document's list of @kind, SIZE_MAX if there is none. */
+/* Returns the index in the document's list of @kind, SIZE_MAX if there is no
+ * such resource. */
 size_t jt_resource_find(const json_t *document, enum jt_resource_kind kind,
 			const char *name);
 
 /*
- * Check the whole document and build the configuration of @revision.
- * NULL with @error filled when anything in it is wrong.
+ * Validates the whole document and builds the configuration of @revision,
+ * allocated below @mem_ctx. Returns NULL with @error set if the document is
+ * invalid or memory runs out.
  */
 struct jt_config *jt_resource_build(TALLOC_CTX *mem_ctx, const json_t *document,
 				    uint64_t revision,
