--- a/src/http/jt_http_client.c
+++ b/src/http/jt_http_client.c
@@ -8,19 +8,19 @@
 #include <strings.h>
 
 enum {
-	ANSWER_LIMIT = 16 << 20,
+	BODY_LIMIT = 16 << 20,
 	SECOND_MS = 1000,
-	IDLE_MOST_S = 118, /* libcurl's own limit */
-	/* A stream that carries nothing is asked for a sign of life by TCP. */
+	MAX_IDLE_S = 118, /* libcurl's default limit */
+	/* TCP keepalive detects broken connections of idle streams. */
 	KEEPALIVE_IDLE_S = 5,
-	KEEPALIVE_PAUSE_S = 2,
+	KEEPALIVE_INTERVAL_S = 2,
 };
 
 struct jt_http_client {
 	CURLM *multi;
 	struct tevent_context *loop;
 	struct jt_timer *timer;
-	uint64_t silent_ms; /* a call got no answer in time then, 0: none */
+	uint64_t last_timeout_ms; /* time of the last timeout, 0: none */
 };
 
 struct http_state {
@@ -30,12 +30,12 @@
 	struct curl_slist *headers;
 	char *body;
 	size_t length;
-	size_t total;
+	size_t total_bytes; /* transferred in both directions */
 	long status;
 	void (*on_part)(const char *, size_t, void *);
 	void *part_data;
-	char *want; /* header's name */
-	char *wanted;
+	char *header_name; /* header to return, NULL: none */
+	char *header_value;
 };
 
 struct socket_watch {
@@ -44,16 +44,16 @@
 	curl_socket_t socket;
 };
 
-static void client_collect(struct jt_http_client *client)
+static void process_completions(struct jt_http_client *client)
 {
 	CURLMsg *message;
-	int left;
+	int remaining;
 
-	while ((message = curl_multi_info_read(client->multi, &left))) {
+	while ((message = curl_multi_info_read(client->multi, &remaining))) {
 		struct http_state *state = NULL;
 		struct tevent_req *req;
 		CURLcode result = message->data.result;
-		curl_off_t up = 0;
+		curl_off_t uploaded = 0;
 
 		if (message->msg != CURLMSG_DONE)
 			continue;
@@ -62,11 +62,11 @@
 		curl_easy_getinfo(message->easy_handle, CURLINFO_RESPONSE_CODE,
 				  &state->status);
 		curl_easy_getinfo(message->easy_handle, CURLINFO_SIZE_UPLOAD_T,
-				  &up);
-		state->total += (size_t)up;
+				  &uploaded);
+		state->total_bytes += (size_t)uploaded;
 		req = state->req;
 		if (result == CURLE_OPERATION_TIMEDOUT)
-			client->silent_ms = jt_clock_ms();
+			client->last_timeout_ms = jt_clock_ms();
 		if (result == CURLE_OK)
 			tevent_req_done(req);
 		else
@@ -87,13 +87,13 @@
 		action |= CURL_CSELECT_IN;
 	if (flags & TEVENT_FD_WRITE)
 		action |= CURL_CSELECT_OUT;
-	/* The watch may be gone after this call. */
+	/* This call may free the watch. */
 	curl_multi_socket_action(client->multi, watch->socket, action,
 				 &running);
-	client_collect(client);
+	process_completions(client);
 }
 
-static int on_socket(CURL *easy, curl_socket_t socket, int what, void *userp,
+static int on_socket(CURL *easy, curl_socket_t socket, int events, void *userp,
 		     void *socketp)
 {
 	struct jt_http_client *client = userp;
@@ -101,14 +101,14 @@
 	uint16_t flags = 0;
 
 	(void)easy;
-	if (what == CURL_POLL_REMOVE) {
+	if (events == CURL_POLL_REMOVE) {
 		talloc_free(watch);
 		curl_multi_assign(client->multi, socket, NULL);
 		return 0;
 	}
-	if (what & CURL_POLL_IN)
+	if (events & CURL_POLL_IN)
 		flags |= TEVENT_FD_READ;
-	if (what & CURL_POLL_OUT)
+	if (events & CURL_POLL_OUT)
 		flags |= TEVENT_FD_WRITE;
 	if (watch == NULL) {
 		watch = talloc_zero(client, struct socket_watch);
@@ -125,14 +125,14 @@
 	return 0;
 }
 
-static void timer_due(void *private_data)
+static void on_timeout(void *private_data)
 {
 	struct jt_http_client *client = private_data;
 	int running;
 
 	curl_multi_socket_action(client->multi, CURL_SOCKET_TIMEOUT, 0,
 				 &running);
-	client_collect(client);
+	process_completions(client);
 }
 
 static int on_timer(CURLM *multi, long wait_ms, void *userp)
@@ -162,7 +162,7 @@
 	if (client == NULL)
 		return NULL;
 	client->loop = loop;
-	client->timer = jt_timer_create(client, loop, timer_due, client);
+	client->timer = jt_timer_create(client, loop, on_timeout, client);
 	client->multi = curl_multi_init();
 	if (client->multi == NULL || client->timer == NULL) {
 		talloc_free(client);
@@ -181,12 +181,12 @@
 	struct http_state *state = userp;
 	size_t length = size * count;
 
-	state->total += length;
+	state->total_bytes += length;
 	if (state->on_part != NULL) {
 		state->on_part(data, length, state->part_data);
 		return length;
 	}
-	if (state->length + length > ANSWER_LIMIT)
+	if (state->length + length > BODY_LIMIT)
 		return 0;
 	state->body = talloc_realloc(state, state->body, char,
 				     state->length + length + 1);
@@ -201,9 +201,10 @@
 static size_t on_header(char *data, size_t size, size_t count, void *userp)
 {
 	struct http_state *state = userp;
-	size_t length = size * count, name = strlen(state->want);
+	size_t length = size * count, name = strlen(state->header_name);
 
-	if (length <= name || strncasecmp(data, state->want, name) != 0 ||
+	if (length <= name ||
+	    strncasecmp(data, state->header_name, name) != 0 ||
 	    data[name] != ':')
 		return length;
 	data += name + 1;
@@ -214,8 +215,8 @@
 	}
 	while (length > 0 && isspace((unsigned char)data[length - 1]))
 		length--;
-	TALLOC_FREE(state->wanted);
-	state->wanted = talloc_strndup(state, data, length);
+	TALLOC_FREE(state->header_value);
+	state->header_value = talloc_strndup(state, data, length);
 	return size * count;
 }
 
@@ -245,20 +246,22 @@
 	state->headers = curl_slist_append(state->headers, line);
 }
 
-/* Connections that rest since before the last silence may have fallen silent
- * with the one that showed it: no call takes them. */
-static void avoid_silent(const struct jt_http_client *client, CURL *easy)
+/* Keeps a request from reusing a connection that has been idle since before
+ * the last timeout: the fault behind the timeout may affect it too. */
+static void limit_connection_reuse(const struct jt_http_client *client,
+				   CURL *easy)
 {
 	long since_s, age_s;
 
 	curl_easy_setopt(easy, CURLOPT_TCP_KEEPALIVE, 1L);
 	curl_easy_setopt(easy, CURLOPT_TCP_KEEPIDLE, (long)KEEPALIVE_IDLE_S);
-	curl_easy_setopt(easy, CURLOPT_TCP_KEEPINTVL, (long)KEEPALIVE_PAUSE_S);
-	if (client->silent_ms == 0)
+	curl_easy_setopt(easy, CURLOPT_TCP_KEEPINTVL,
+			 (long)KEEPALIVE_INTERVAL_S);
+	if (client->last_timeout_ms == 0)
 		return;
-	since_s = (long)((jt_clock_ms() - client->silent_ms) / SECOND_MS);
-	/* Ages count in whole seconds: one less, to be sure. */
-	age_s = since_s < IDLE_MOST_S ? since_s - 1 : IDLE_MOST_S;
+	since_s = (long)((jt_clock_ms() - client->last_timeout_ms) / SECOND_MS);
+	/* libcurl counts ages in whole seconds: subtract one to be safe. */
+	age_s = since_s < MAX_IDLE_S ? since_s - 1 : MAX_IDLE_S;
 	if (age_s <= 0)
 		curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
 	else
@@ -271,7 +274,7 @@
 {
 	struct http_state *state;
 	struct tevent_req *req;
-	char *bearer, *id;
+	char *token_header, *id_header;
 
 	req = tevent_req_create(mem_ctx, &state, struct http_state);
 	if (req == NULL)
@@ -289,20 +292,20 @@
 	add_header(state, "Content-Type: application/json");
 	add_header(state, "Expect:");
 	if (call->token != NULL) {
-		bearer = talloc_asprintf(state, "Authorization: Bearer %s",
-					 call->token);
-		add_header(state, bearer);
+		token_header = talloc_asprintf(
+			state, "Authorization: Bearer %s", call->token);
+		add_header(state, token_header);
 	}
 	if (call->request_id != NULL) {
-		id = talloc_asprintf(state, "X-Request-Id: %s",
-				     call->request_id);
-		add_header(state, id);
+		id_header = talloc_asprintf(state, "X-Request-Id: %s",
+					    call->request_id);
+		add_header(state, id_header);
 	}
 	curl_easy_setopt(state->easy, CURLOPT_URL, call->url);
 	curl_easy_setopt(state->easy, CURLOPT_CUSTOMREQUEST, call->method);
 	curl_easy_setopt(state->easy, CURLOPT_HTTPHEADER, state->headers);
 	curl_easy_setopt(state->easy, CURLOPT_NOSIGNAL, 1L);
-	avoid_silent(client, state->easy);
+	limit_connection_reuse(client, state->easy);
 	curl_easy_setopt(state->easy, CURLOPT_NOPROXY, "*");
 	curl_easy_setopt(state->easy, CURLOPT_TIMEOUT_MS, call->timeout_ms);
 	curl_easy_setopt(state->easy, CURLOPT_CONNECTTIMEOUT_MS, 2000L);
@@ -310,7 +313,7 @@
 	curl_easy_setopt(state->easy, CURLOPT_WRITEDATA, state);
 	curl_easy_setopt(state->easy, CURLOPT_PRIVATE, state);
 	if (call->want != NULL) {
-		state->want = talloc_strdup(state, call->want);
+		state->header_name = talloc_strdup(state, call->want);
 		curl_easy_setopt(state->easy, CURLOPT_HEADERFUNCTION,
 				 on_header);
 		curl_easy_setopt(state->easy, CURLOPT_HEADERDATA, state);
@@ -336,7 +339,7 @@
 	bool failed = tevent_req_is_error(req, &req_state, &error);
 
 	if (bytes != NULL)
-		*bytes = state->total;
+		*bytes = state->total_bytes;
 	if (failed) {
 		tevent_req_received(req);
 		return -1;
@@ -352,7 +355,7 @@
 {
 	struct http_state *state = tevent_req_data(req, struct http_state);
 
-	return state->wanted;
+	return state->header_value;
 }
 
 int jt_http_recv_bytes(struct tevent_req *req, TALLOC_CTX *mem_ctx,
--- a/src/http/jt_http_server.c
+++ b/src/http/jt_http_server.c
@@ -164,7 +164,7 @@
 	unsigned flags = MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME;
 	const union MHD_DaemonInfo *info;
 	struct jt_http_server *server;
-	struct sockaddr_in name;
+	struct sockaddr_in socket_address;
 	unsigned limit = opts->connection_limit ? opts->connection_limit : 256;
 
 	server = talloc_zero(mem_ctx, struct jt_http_server);
@@ -176,20 +176,21 @@
 	server->timer = jt_timer_create(server, loop, server_timer, server);
 	if (server->timer == NULL)
 		goto fail;
-	jt_address_to_socket(opts->address, &name);
+	jt_address_to_socket(opts->address, &socket_address);
 	if (opts->certificate != NULL)
 		server->daemon = MHD_start_daemon(
 			flags | MHD_USE_TLS, opts->address.port, NULL, NULL,
-			on_request, server, MHD_OPTION_SOCK_ADDR, &name,
-			MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
-			MHD_OPTION_CONNECTION_LIMIT, limit,
-			MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_TIMEOUT_S,
-			MHD_OPTION_HTTPS_MEM_CERT, opts->certificate,
-			MHD_OPTION_HTTPS_MEM_KEY, opts->key, MHD_OPTION_END);
+			on_request, server, MHD_OPTION_SOCK_ADDR,
+			&socket_address, MHD_OPTION_NOTIFY_COMPLETED,
+			on_completed, server, MHD_OPTION_CONNECTION_LIMIT,
+			limit, MHD_OPTION_CONNECTION_TIMEOUT,
+			(unsigned)IDLE_TIMEOUT_S, MHD_OPTION_HTTPS_MEM_CERT,
+			opts->certificate, MHD_OPTION_HTTPS_MEM_KEY, opts->key,
+			MHD_OPTION_END);
 	else
 		server->daemon = MHD_start_daemon(
 			flags, opts->address.port, NULL, NULL, on_request,
-			server, MHD_OPTION_SOCK_ADDR, &name,
+			server, MHD_OPTION_SOCK_ADDR, &socket_address,
 			MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
 			MHD_OPTION_CONNECTION_LIMIT, limit,
 			MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_TIMEOUT_S,
--- a/src/http/jt_http_server.h
+++ b/src/http/jt_http_server.h
@@ -1,8 +1,10 @@
 /*
- * An HTTP server (libmicrohttpd) inside a tevent loop.
+ * HTTP server on a tevent loop.
  *
- * The handler gets each whole request once and must answer it with
- * jt_http_reply(), at once or later. Nothing blocks.
+ * The handler is called once per request, when its body is complete, and must
+ * respond with jt_http_reply() or a stream, immediately or later. Calls don't
+ * block. There are two implementations: http/ (libmicrohttpd), and http_plain/
+ * (libevent) without TLS and streams.
  */
 #ifndef JT_HTTP_SERVER_H
 #define JT_HTTP_SERVER_H
@@ -18,48 +20,50 @@
 struct jt_http_server;
 struct jt_http_request;
 
-/* Called once for each request; @request lives until it is answered or its
+/* Handles a request. @request is valid until the response is sent or the
  * connection breaks (see jt_http_on_close()). */
 typedef void (*jt_http_handler)(struct jt_http_request *request,
 				void *private_data);
 
 struct jt_http_options {
 	struct jt_address address;
-	const char *certificate; /* PEM text; NULL: no TLS */
-	const char *key;
-	unsigned connection_limit;
+	const char *certificate;   /* PEM text; NULL: no TLS */
+	const char *key;	   /* PEM text of the private key */
+	unsigned connection_limit; /* 0: default */
 };
 
-/* NULL with errno when the address can't be used. */
+/* Starts a server; returns NULL with errno if the address can't be used. */
 struct jt_http_server *jt_http_server_create(TALLOC_CTX *mem_ctx,
 					     struct tevent_context *loop,
 					     const struct jt_http_options *opts,
 					     jt_http_handler handler,
 					     void *private_data);
 
+/* Return parts of the request, valid as long as the request. */
 const char *jt_http_method(const struct jt_http_request *request);
 const char *jt_http_path(const struct jt_http_request *request);
-/* NUL-terminated; @length may be NULL. */
+/* Returns the NUL-terminated body; @length may be NULL. */
 const char *jt_http_body(const struct jt_http_request *request, size_t *length);
-/* Query argument or header, NULL if absent. */
+/* Return a query argument or header, NULL if absent. */
 const char *jt_http_query(const struct jt_http_request *request,
 			  const char *name);
 const char *jt_http_header(const struct jt_http_request *request,
 			   const char *name);
-/* Answer with any bytes and end the request. @body is copied. */
+/* Sends a response and ends the request. The binary @body is copied. */
 void jt_http_reply_bytes(struct jt_http_request *request, unsigned status,
 			 const char *type, const void *body, size_t length);
-/* The same for text. */
+/* Like jt_http_reply_bytes(), for a text. */
 static inline void jt_http_reply(struct jt_http_request *request,
 				 unsigned status, const char *type,
 				 const char *body)
 {
 	jt_http_reply_bytes(request, status, type, body, strlen(body));
 }
-/* Start an endless answer; send parts with jt_http_stream(). */
+/* Starts a streamed response; its parts are sent with jt_http_stream(). */
 void jt_http_stream_start(struct jt_http_request *request, const char *type);
+/* Queues a part of a streamed response. */
 void jt_http_stream(struct jt_http_request *request, const char *part);
-/* @callback runs when the request is gone, answered or not. */
+/* Sets a callback for the end of the request, with or without a response. */
 void jt_http_on_close(struct jt_http_request *request,
 		      void (*callback)(void *private_data), void *private_data);
 
--- a/src/http_plain/jt_event_loop.c
+++ b/src/http_plain/jt_event_loop.c
@@ -5,14 +5,14 @@
 #include <unistd.h>
 
 /*
- * One socket of the base. tevent watches a duplicate of its descriptor:
- * libevent closes sockets as it likes, and tevent would go on watching a
- * number that somebody else has got since.
+ * A socket of the base. tevent watches a duplicate of its descriptor, since
+ * libevent closes sockets without notice and the descriptor may then be reused
+ * for another file.
  */
 struct socket_watch {
 	struct jt_event_loop *events;
 	evutil_socket_t socket;
-	uint16_t wanted; /* tevent flags that the base waits for */
+	uint16_t flags; /* tevent flags that the base waits for */
 	struct tevent_fd *duplicate;
 	LIST_ENTRY(socket_watch) next;
 };
@@ -22,27 +22,27 @@
 	struct event_base *base;
 	struct jt_timer *timer;
 	LIST_HEAD(socket_watches, socket_watch) watches;
-	bool opened; /* a socket, since the watches were last set */
+	bool socket_opened; /* since the last update of the watches */
 };
 
-static void base_look(struct jt_event_loop *events);
+static void poll_base(struct jt_event_loop *events);
 
-static void on_socket(struct tevent_context *loop, struct tevent_fd *fd,
-		      uint16_t flags, void *private_data)
+static void on_socket_ready(struct tevent_context *loop, struct tevent_fd *fd,
+			    uint16_t flags, void *private_data)
 {
 	(void)loop;
 	(void)fd;
 	(void)flags;
-	base_look(private_data);
+	poll_base(private_data);
 }
 
 static void on_wake(void *private_data)
 {
-	base_look(private_data);
+	poll_base(private_data);
 }
 
-static struct socket_watch *watch_find(struct jt_event_loop *events,
-				       evutil_socket_t socket)
+static struct socket_watch *find_or_create_watch(struct jt_event_loop *events,
+						 evutil_socket_t socket)
 {
 	struct socket_watch *watch;
 
@@ -60,8 +60,8 @@
 	return watch;
 }
 
-static int on_event(const struct event_base *base, const struct event *event,
-		    void *private_data)
+static int add_event_flags(const struct event_base *base,
+			   const struct event *event, void *private_data)
 {
 	struct jt_event_loop *events = private_data;
 	evutil_socket_t socket = event_get_fd(event);
@@ -71,17 +71,17 @@
 	(void)base;
 	if (socket < 0 || pending == 0)
 		return 0;
-	watch = watch_find(events, socket);
+	watch = find_or_create_watch(events, socket);
 	if (watch == NULL)
 		return 0;
 	if (pending & EV_READ)
-		watch->wanted |= TEVENT_FD_READ;
+		watch->flags |= TEVENT_FD_READ;
 	if (pending & EV_WRITE)
-		watch->wanted |= TEVENT_FD_WRITE;
+		watch->flags |= TEVENT_FD_WRITE;
 	return 0;
 }
 
-static void watch_begin(struct socket_watch *watch)
+static void start_watch(struct socket_watch *watch)
 {
 	struct jt_event_loop *events = watch->events;
 	int duplicate = dup(watch->socket);
@@ -89,57 +89,57 @@
 	if (duplicate < 0)
 		return;
 	watch->duplicate = tevent_add_fd(events->loop, watch, duplicate,
-					 watch->wanted, on_socket, events);
+					 watch->flags, on_socket_ready, events);
 	if (watch->duplicate == NULL)
 		close(duplicate);
 	else
 		tevent_fd_set_auto_close(watch->duplicate);
 }
 
-static void watch_set(struct socket_watch *watch)
+static void update_watch(struct socket_watch *watch)
 {
-	/* The number may stand for another socket by now. */
-	if (watch->events->opened)
+	/* The descriptor may belong to another socket now. */
+	if (watch->events->socket_opened)
 		TALLOC_FREE(watch->duplicate);
 	if (watch->duplicate == NULL)
-		watch_begin(watch);
-	else if (tevent_fd_get_flags(watch->duplicate) != watch->wanted)
-		tevent_fd_set_flags(watch->duplicate, watch->wanted);
+		start_watch(watch);
+	else if (tevent_fd_get_flags(watch->duplicate) != watch->flags)
+		tevent_fd_set_flags(watch->duplicate, watch->flags);
 }
 
-static void watch_drop(struct socket_watch *watch)
+static void remove_watch(struct socket_watch *watch)
 {
 	LIST_REMOVE(watch, next);
 	talloc_free(watch);
 }
 
-/* Watch what the base waits for, and nothing else. */
-static void watches_set(struct jt_event_loop *events)
+/* Makes tevent watch exactly the sockets that the base waits for. */
+static void update_watches(struct jt_event_loop *events)
 {
 	struct socket_watch *watch, *next;
 
 	for (watch = LIST_FIRST(&events->watches); watch != NULL;
 	     watch = LIST_NEXT(watch, next))
-		watch->wanted = 0;
-	event_base_foreach_event(events->base, on_event, events);
+		watch->flags = 0;
+	event_base_foreach_event(events->base, add_event_flags, events);
 	for (watch = LIST_FIRST(&events->watches); watch != NULL;
 	     watch = next) {
 		next = LIST_NEXT(watch, next);
-		if (watch->wanted != 0)
-			watch_set(watch);
+		if (watch->flags != 0)
+			update_watch(watch);
 		else
-			watch_drop(watch);
+			remove_watch(watch);
 	}
-	events->opened = false;
+	events->socket_opened = false;
 }
 
-static void base_look(struct jt_event_loop *events)
+static void poll_base(struct jt_event_loop *events)
 {
 	do {
 		event_base_loop(events->base, EVLOOP_NONBLOCK);
 	} while (event_base_get_num_events(events->base,
 					   EVENT_BASE_COUNT_ACTIVE) > 0);
-	watches_set(events);
+	update_watches(events);
 }
 
 static int events_destructor(struct jt_event_loop *events)
@@ -149,15 +149,15 @@
 	return 0;
 }
 
-static struct event_base *base_create(void)
+static struct event_base *create_base(void)
 {
 	struct event_config *config = event_config_new();
 	struct event_base *base;
 
 	if (config == NULL)
 		return NULL;
-	/* It looks at a few sockets, and only when one of them is ready: there
-	 * is no use in one more set that the kernel keeps. */
+	/* The base polls a few sockets, and only when one is ready: an epoll
+	 * descriptor has no benefit. */
 	event_config_avoid_method(config, "epoll");
 	base = event_base_new_with_config(config);
 	event_config_free(config);
@@ -174,7 +174,7 @@
 		return NULL;
 	events->loop = loop;
 	LIST_INIT(&events->watches);
-	events->base = base_create();
+	events->base = create_base();
 	talloc_set_destructor(events, events_destructor);
 	events->timer = jt_timer_create(events, loop, on_wake, events);
 	if (events->base == NULL || events->timer == NULL)
@@ -194,5 +194,5 @@
 
 void jt_event_loop_socket_opened(struct jt_event_loop *events)
 {
-	events->opened = true;
+	events->socket_opened = true;
 }
--- a/src/http_plain/jt_event_loop.h
+++ b/src/http_plain/jt_event_loop.h
@@ -1,10 +1,9 @@
 /*
  * Runs a libevent base inside a tevent loop.
  *
- * libevent's HTTP needs an event base of its own. The base never waits: the
- * tevent loop lets it look whenever one of its sockets is ready. libevent's
- * timeouts are looked at on such occasions only; whoever needs an exact one
- * takes a jt_timer.
+ * libevent's HTTP code needs an event base. The tevent loop polls the base,
+ * without blocking, whenever one of its sockets is ready. libevent's timeouts
+ * are processed only then; use a jt_timer where a timeout must be exact.
  */
 #ifndef JT_EVENT_LOOP_H
 #define JT_EVENT_LOOP_H
@@ -15,12 +14,16 @@
 
 struct jt_event_loop;
 
+/* Creates a base on @loop; returns NULL on failure. */
 struct jt_event_loop *jt_event_loop_create(TALLOC_CTX *mem_ctx,
 					   struct tevent_context *loop);
+/* Returns the base, which @events owns. */
 struct event_base *jt_event_loop_base(const struct jt_event_loop *events);
-/* Something was asked of the base outside its callbacks: let it look soon. */
+/* Schedules a poll of the base; needed after calls to libevent from outside
+ * its callbacks. */
 void jt_event_loop_wake(struct jt_event_loop *events);
-/* A socket was opened, maybe under the number of one that was closed. */
+/* Must be called when libevent opens a socket, since it may have got the
+ * descriptor of a closed one. */
 void jt_event_loop_socket_opened(struct jt_event_loop *events);
 
 #endif
--- a/src/http_plain/jt_http_plain_client.c
+++ b/src/http_plain/jt_http_plain_client.c
@@ -1,7 +1,7 @@
 /*
- * jt_http_client.h without TLS and streams, on libevent's evhttp: a process
- * that uses it starts in a fraction of the time. Connections are kept and used
- * again.
+ * Implements jt_http_client.h with libevent's evhttp, without TLS and streams.
+ * A process that uses it starts faster than with libcurl. Idle connections are
+ * kept and reused.
  */
 #include "jt_event_loop.h"
 #include "jt_http_client.h"
@@ -15,8 +15,8 @@
 #include <sys/queue.h>
 
 enum {
-	ANSWER_LIMIT = 16 << 20,
-	KEPT_MOST = 8, /* connections at rest */
+	BODY_LIMIT = 16 << 20,
+	MAX_IDLE = 8, /* idle connections */
 };
 
 /* A connection to one address. */
@@ -33,24 +33,24 @@
 struct jt_http_client {
 	struct tevent_context *loop;
 	struct jt_event_loop *events;
-	struct connections kept; /* at rest, the one used last first */
-	unsigned kept_count;
-	struct connections retired; /* to be freed outside libevent */
-	struct jt_timer *retire_timer;
+	struct connections idle; /* most recently used first */
+	unsigned idle_count;
+	struct connections closing; /* freed by close_timer */
+	struct jt_timer *close_timer;
 };
 
 struct http_state {
 	struct tevent_req *req;
 	struct jt_http_client *client;
 	struct connection *connection;
-	struct evhttp_request *request; /* under way, NULL: not any more */
+	struct evhttp_request *request; /* NULL: not in progress */
 	struct jt_timer *timer;
 	bool starting; /* inside evhttp_make_request() */
 	long status;
 	char *body;
 	size_t length;
-	char *want; /* header's name */
-	char *wanted;
+	char *header_name; /* header to return, NULL: none */
+	char *header_value;
 };
 
 static int connection_destructor(struct connection *connection)
@@ -77,40 +77,40 @@
 		return NULL;
 	}
 	talloc_set_destructor(connection, connection_destructor);
-	evhttp_connection_set_max_body_size(connection->http, ANSWER_LIMIT);
+	evhttp_connection_set_max_body_size(connection->http, BODY_LIMIT);
 	return connection;
 }
 
-/* A connection at rest to the address, or a new one. */
-static struct connection *connection_take(struct jt_http_client *client,
-					  const char *host, uint16_t port)
+/* Returns an idle connection to the address, or a new one. */
+static struct connection *connection_acquire(struct jt_http_client *client,
+					     const char *host, uint16_t port)
 {
 	struct connection *connection;
 
-	for (connection = TAILQ_FIRST(&client->kept); connection != NULL;
+	for (connection = TAILQ_FIRST(&client->idle); connection != NULL;
 	     connection = TAILQ_NEXT(connection, next)) {
 		if (connection->port != port ||
 		    strcmp(connection->host, host) != 0)
 			continue;
-		TAILQ_REMOVE(&client->kept, connection, next);
-		client->kept_count--;
+		TAILQ_REMOVE(&client->idle, connection, next);
+		client->idle_count--;
 		return connection;
 	}
 	return connection_create(client, host, port);
 }
 
-static void connection_keep(struct connection *connection)
+static void connection_release(struct connection *connection)
 {
 	struct jt_http_client *client = connection->client;
 	struct connection *oldest;
 
-	TAILQ_INSERT_HEAD(&client->kept, connection, next);
-	client->kept_count++;
-	if (client->kept_count <= KEPT_MOST)
+	TAILQ_INSERT_HEAD(&client->idle, connection, next);
+	client->idle_count++;
+	if (client->idle_count <= MAX_IDLE)
 		return;
-	oldest = TAILQ_LAST(&client->kept, connections);
-	TAILQ_REMOVE(&client->kept, oldest, next);
-	client->kept_count--;
+	oldest = TAILQ_LAST(&client->idle, connections);
+	TAILQ_REMOVE(&client->idle, oldest, next);
+	client->idle_count--;
 	talloc_free(oldest);
 }
 
@@ -124,28 +124,28 @@
 	}
 }
 
-static void on_retire(void *private_data)
+static void on_close_timer(void *private_data)
 {
 	struct jt_http_client *client = private_data;
 
-	connections_free(&client->retired);
+	connections_free(&client->closing);
 	jt_event_loop_wake(client->events);
 }
 
-/* Free the connection soon: libevent may be in the middle of using it. */
-static void connection_retire(struct connection *connection)
+/* Frees the connection from a timer, since libevent may be using it. */
+static void connection_close(struct connection *connection)
 {
 	struct jt_http_client *client = connection->client;
 
-	TAILQ_INSERT_TAIL(&client->retired, connection, next);
-	jt_timer_set(client->retire_timer, 0);
+	TAILQ_INSERT_TAIL(&client->closing, connection, next);
+	jt_timer_set(client->close_timer, 0);
 }
 
-/* Connections go before the base that they use. */
+/* The connections must be freed before their event base. */
 static int client_destructor(struct jt_http_client *client)
 {
-	connections_free(&client->kept);
-	connections_free(&client->retired);
+	connections_free(&client->idle);
+	connections_free(&client->closing);
 	return 0;
 }
 
@@ -158,11 +158,12 @@
 	if (client == NULL)
 		return NULL;
 	client->loop = loop;
-	TAILQ_INIT(&client->kept);
-	TAILQ_INIT(&client->retired);
+	TAILQ_INIT(&client->idle);
+	TAILQ_INIT(&client->closing);
 	client->events = jt_event_loop_create(client, loop);
-	client->retire_timer = jt_timer_create(client, loop, on_retire, client);
-	if (client->events == NULL || client->retire_timer == NULL) {
+	client->close_timer =
+		jt_timer_create(client, loop, on_close_timer, client);
+	if (client->events == NULL || client->close_timer == NULL) {
 		talloc_free(client);
 		return NULL;
 	}
@@ -170,62 +171,63 @@
 	return client;
 }
 
-static void answer_take(struct http_state *state)
+static void read_response(struct http_state *state)
 {
 	struct evbuffer *input =
 		evhttp_request_get_input_buffer(state->request);
-	const char *wanted = NULL;
+	const char *header_value = NULL;
 
 	state->status = evhttp_request_get_response_code(state->request);
 	state->length = evbuffer_get_length(input);
 	state->body = talloc_zero_size(state, state->length + 1);
 	if (state->body != NULL)
 		evbuffer_remove(input, state->body, state->length);
-	if (state->want != NULL)
-		wanted = evhttp_find_header(
+	if (state->header_name != NULL)
+		header_value = evhttp_find_header(
 			evhttp_request_get_input_headers(state->request),
-			state->want);
-	if (wanted != NULL)
-		state->wanted = talloc_strdup(state, wanted);
+			state->header_name);
+	if (header_value != NULL)
+		state->header_value = talloc_strdup(state, header_value);
 }
 
-/* The request is over; libevent frees it afterwards. */
+/* Completes a request; libevent frees @request afterwards. */
 static void on_done(struct evhttp_request *request, void *private_data)
 {
 	struct http_state *state = private_data;
 	struct connection *connection = state->connection;
-	bool answered = request != NULL &&
-			evhttp_request_get_response_code(request) != 0;
+	bool responded = request != NULL &&
+			 evhttp_request_get_response_code(request) != 0;
 
-	if (answered)
-		answer_take(state);
+	if (responded)
+		read_response(state);
 	state->request = NULL;
-	/* Then jt_http_send() sees that it has failed. */
+	/* Inside evhttp_make_request(): jt_http_send() reports the error. */
 	if (state->starting)
 		return;
-	if (answered && state->body != NULL) {
+	if (responded && state->body != NULL) {
 		state->connection = NULL;
-		connection_keep(connection);
+		connection_release(connection);
 		tevent_req_done(state->req);
 	} else {
 		tevent_req_error(state->req, EIO);
 	}
 }
 
-/* Connections at rest to the same address may have fallen silent with it. */
-static void connections_drop(struct jt_http_client *client,
-			     const struct connection *silent)
+/* Closes the idle connections to the address of a connection that timed out:
+ * the same fault may affect them. */
+static void close_idle_connections(struct jt_http_client *client,
+				   const struct connection *timed_out)
 {
-	struct connection *connection = TAILQ_FIRST(&client->kept), *next;
+	struct connection *connection = TAILQ_FIRST(&client->idle), *next;
 
 	for (; connection != NULL; connection = next) {
 		next = TAILQ_NEXT(connection, next);
-		if (connection->port != silent->port ||
-		    strcmp(connection->host, silent->host) != 0)
+		if (connection->port != timed_out->port ||
+		    strcmp(connection->host, timed_out->host) != 0)
 			continue;
-		TAILQ_REMOVE(&client->kept, connection, next);
-		client->kept_count--;
-		connection_retire(connection);
+		TAILQ_REMOVE(&client->idle, connection, next);
+		client->idle_count--;
+		connection_close(connection);
 	}
 }
 
@@ -234,11 +236,11 @@
 	struct http_state *state = private_data;
 
 	if (state->connection != NULL)
-		connections_drop(state->client, state->connection);
+		close_idle_connections(state->client, state->connection);
 	tevent_req_error(state->req, ETIMEDOUT);
 }
 
-/* Whatever is under way ends with its connection. */
+/* Cancels a request that is in progress and closes its connection. */
 static void state_cleanup(struct tevent_req *req,
 			  enum tevent_req_state req_state)
 {
@@ -251,13 +253,13 @@
 	if (request != NULL)
 		evhttp_cancel_request(request);
 	if (state->connection != NULL)
-		connection_retire(state->connection);
+		connection_close(state->connection);
 	state->connection = NULL;
 }
 
-static bool request_headers(struct evhttp_request *request,
-			    const struct jt_http_call *call, const char *host,
-			    TALLOC_CTX *frame)
+static bool add_request_headers(struct evhttp_request *request,
+				const struct jt_http_call *call,
+				const char *host, TALLOC_CTX *frame)
 {
 	struct evkeyvalq *headers = evhttp_request_get_output_headers(request);
 	const char *bearer;
@@ -275,7 +277,7 @@
 	       evhttp_add_header(headers, "Authorization", bearer) == 0;
 }
 
-static bool method_of(const char *name, enum evhttp_cmd_type *method)
+static bool parse_method(const char *name, enum evhttp_cmd_type *method)
 {
 	static const struct {
 		const char *name;
@@ -296,9 +298,9 @@
 	return false;
 }
 
-/* The request to send; its connection is taken. NULL when something is missing
- * or memory runs out. */
-static struct evhttp_request *request_build(struct http_state *state,
+/* Builds the request and acquires its connection. Returns NULL if the URL lacks
+ * host or port, or on failure. */
+static struct evhttp_request *build_request(struct http_state *state,
 					    const struct jt_http_call *call,
 					    const struct evhttp_uri *uri)
 {
@@ -309,10 +311,10 @@
 	if (host == NULL || port <= 0 || port > UINT16_MAX)
 		return NULL;
 	state->connection =
-		connection_take(state->client, host, (uint16_t)port);
+		connection_acquire(state->client, host, (uint16_t)port);
 	request = evhttp_request_new(on_done, state);
 	if (state->connection == NULL || request == NULL ||
-	    !request_headers(request, call, host, state))
+	    !add_request_headers(request, call, host, state))
 		goto fail;
 	if (call->body != NULL &&
 	    evbuffer_add(evhttp_request_get_output_buffer(request), call->body,
@@ -325,16 +327,16 @@
 	return NULL;
 }
 
-/* What comes after the authority in the URL. */
-static const char *target_of(const char *url)
+/* Returns the request target: the part of the URL after the authority. */
+static const char *request_target(const char *url)
 {
-	const char *at = strstr(url, "://");
+	const char *path = strstr(url, "://");
 
-	at = at != NULL ? strchr(at + strlen("://"), '/') : NULL;
-	return at != NULL ? at : "/";
+	path = path != NULL ? strchr(path + strlen("://"), '/') : NULL;
+	return path != NULL ? path : "/";
 }
 
-static bool request_start(struct http_state *state,
+static bool start_request(struct http_state *state,
 			  const struct jt_http_call *call)
 {
 	struct evhttp_uri *uri = evhttp_uri_parse(call->url);
@@ -342,15 +344,15 @@
 
 	if (uri == NULL)
 		return false;
-	if (method_of(call->method, &method))
-		state->request = request_build(state, call, uri);
+	if (parse_method(call->method, &method))
+		state->request = build_request(state, call, uri);
 	evhttp_uri_free(uri);
 	if (state->request == NULL)
 		return false;
 	jt_event_loop_socket_opened(state->client->events);
 	state->starting = true;
 	if (evhttp_make_request(state->connection->http, state->request, method,
-				target_of(call->url)) != 0)
+				request_target(call->url)) != 0)
 		state->request = NULL;
 	state->starting = false;
 	jt_event_loop_wake(state->client->events);
@@ -371,10 +373,10 @@
 	state->client = client;
 	tevent_req_set_cleanup_fn(req, state_cleanup);
 	if (call->want != NULL)
-		state->want = talloc_strdup(state, call->want);
+		state->header_name = talloc_strdup(state, call->want);
 	state->timer = jt_timer_create(state, client->loop, on_timeout, state);
 	if (call->ca != NULL || call->on_part != NULL || state->timer == NULL ||
-	    !request_start(state, call)) {
+	    !start_request(state, call)) {
 		tevent_req_error(req, EIO);
 		return tevent_req_post(req, client->loop);
 	}
@@ -405,7 +407,7 @@
 {
 	struct http_state *state = tevent_req_data(req, struct http_state);
 
-	return state->wanted;
+	return state->header_value;
 }
 
 int jt_http_recv_bytes(struct tevent_req *req, TALLOC_CTX *mem_ctx,
--- a/src/http_plain/jt_http_plain_server.c
+++ b/src/http_plain/jt_http_plain_server.c
@@ -1,7 +1,7 @@
 /*
- * jt_http_server.h without TLS and endless answers, on libevent's evhttp: a
- * process that uses it starts in a fraction of the time. That a caller has gone
- * shows only when its answer is written.
+ * Implements jt_http_server.h with libevent's evhttp, without TLS and streams.
+ * A process that uses it starts faster than with libmicrohttpd. That a client
+ * has disconnected is detected only when the response is written.
  */
 #include "jt_event_loop.h"
 #include "jt_http_server.h"
@@ -55,7 +55,7 @@
 	talloc_free(private_data);
 }
 
-static void query_read(struct jt_http_request *request)
+static void read_query(struct jt_http_request *request)
 {
 	const char *query = evhttp_uri_get_query(
 		evhttp_request_get_evhttp_uri(request->request));
@@ -65,7 +65,7 @@
 		evhttp_parse_query_str(query, &request->query);
 }
 
-static void body_read(struct jt_http_request *request)
+static void read_body(struct jt_http_request *request)
 {
 	struct evbuffer *input =
 		evhttp_request_get_input_buffer(request->request);
@@ -78,23 +78,24 @@
 		evbuffer_remove(input, request->body, request->length);
 }
 
-static void on_request(struct evhttp_request *from, void *private_data)
+static void on_request(struct evhttp_request *http_request, void *private_data)
 {
 	struct jt_http_server *server = private_data;
 	struct jt_http_request *request =
 		talloc_zero(server, struct jt_http_request);
 
 	if (request == NULL) {
-		evhttp_send_error(from, HTTP_SERVUNAVAIL, NULL);
+		evhttp_send_error(http_request, HTTP_SERVUNAVAIL, NULL);
 		return;
 	}
 	request->server = server;
-	request->request = from;
-	query_read(request);
+	request->request = http_request;
+	read_query(request);
 	talloc_set_destructor(request, request_destructor);
-	body_read(request);
-	evhttp_connection_set_closecb(evhttp_request_get_connection(from),
-				      on_connection_closed, request);
+	read_body(request);
+	evhttp_connection_set_closecb(
+		evhttp_request_get_connection(http_request),
+		on_connection_closed, request);
 	server->handler(request, server->private_data);
 }
 
@@ -110,14 +111,15 @@
 static bool listen_at(struct jt_http_server *server, struct jt_address address)
 {
 	struct evconnlistener *listener;
-	struct sockaddr_in name;
+	struct sockaddr_in socket_address;
 
-	jt_address_to_socket(address, &name);
+	jt_address_to_socket(address, &socket_address);
 	listener = evconnlistener_new_bind(
 		jt_event_loop_base(server->events), NULL, NULL,
 		LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_FREE |
 			LEV_OPT_CLOSE_ON_EXEC,
-		BACKLOG, (const struct sockaddr *)&name, sizeof(name));
+		BACKLOG, (const struct sockaddr *)&socket_address,
+		sizeof(socket_address));
 	if (listener == NULL)
 		return false;
 	if (evhttp_bind_listener(server->http, listener) != NULL)
@@ -221,16 +223,17 @@
 void jt_http_reply_bytes(struct jt_http_request *request, unsigned status,
 			 const char *type, const void *body, size_t length)
 {
-	struct evhttp_request *to = request->request;
+	struct evhttp_request *http_request = request->request;
 	struct jt_event_loop *events = request->server->events;
-	struct evbuffer *output = evhttp_request_get_output_buffer(to);
+	struct evbuffer *output =
+		evhttp_request_get_output_buffer(http_request);
 
-	evhttp_connection_set_closecb(evhttp_request_get_connection(to), NULL,
-				      NULL);
-	evhttp_add_header(evhttp_request_get_output_headers(to), "Content-Type",
-			  type);
+	evhttp_connection_set_closecb(
+		evhttp_request_get_connection(http_request), NULL, NULL);
+	evhttp_add_header(evhttp_request_get_output_headers(http_request),
+			  "Content-Type", type);
 	evbuffer_add(output, body, length);
-	evhttp_send_reply(to, (int)status, NULL, NULL);
+	evhttp_send_reply(http_request, (int)status, NULL, NULL);
 	talloc_free(request);
 	jt_event_loop_wake(events);
 }
