--- a/src/proto/jt_codec.c
+++ b/src/proto/jt_codec.c
@@ -3,20 +3,20 @@
 #include <sodium.h>
 #include <string.h>
 
-static void write64(uint8_t *at, uint64_t value)
+static void write64(uint8_t *bytes, uint64_t value)
 {
 	for (int i = 7; i >= 0; i--) {
-		at[i] = (uint8_t)value;
+		bytes[i] = (uint8_t)value;
 		value >>= 8;
 	}
 }
 
-static uint64_t read64(const uint8_t *at)
+static uint64_t read64(const uint8_t *bytes)
 {
 	uint64_t value = 0;
 
 	for (int i = 0; i < 8; i++)
-		value = value << 8 | at[i];
+		value = value << 8 | bytes[i];
 	return value;
 }
 
@@ -36,24 +36,24 @@
 
 size_t jt_frame_seal(const struct jt_keys *keys, struct jt_address to,
 		     uint64_t sequence, xdrproc_t encode, const void *value,
-		     uint8_t *frame, size_t room)
+		     uint8_t *frame, size_t capacity)
 {
 	size_t length;
-	bool whole;
+	bool complete;
 	XDR xdr;
 
-	if (keys->count == 0 || room < JT_FRAME_HEADER + JT_TAG_BYTES)
+	if (keys->count == 0 || capacity < JT_FRAME_HEADER + JT_TAG_BYTES)
 		return 0;
 	memset(frame, 0, JT_FRAME_HEADER);
 	frame[0] = keys->keys[0].id;
 	write64(frame + 4, sequence);
 	xdrmem_create(&xdr, (char *)frame + JT_FRAME_HEADER,
-		      (u_int)(room - JT_FRAME_HEADER - JT_TAG_BYTES),
+		      (u_int)(capacity - JT_FRAME_HEADER - JT_TAG_BYTES),
 		      XDR_ENCODE);
-	whole = encode(&xdr, (void *)value);
+	complete = encode(&xdr, (void *)value);
 	length = JT_FRAME_HEADER + xdr_getpos(&xdr);
 	xdr_destroy(&xdr);
-	if (!whole)
+	if (!complete)
 		return 0;
 	frame_tag(&keys->keys[0], to, frame, length, frame + length);
 	return length + JT_TAG_BYTES;
@@ -84,7 +84,7 @@
 	uint8_t tag[JT_TAG_BYTES];
 	const struct jt_key *key;
 	size_t signed_length;
-	bool whole;
+	bool complete;
 	XDR xdr;
 
 	if (length < JT_FRAME_HEADER + JT_TAG_BYTES)
@@ -98,10 +98,10 @@
 		return JT_CODEC_TAG;
 	xdrmem_create(&xdr, (char *)frame + JT_FRAME_HEADER,
 		      (u_int)(signed_length - JT_FRAME_HEADER), XDR_DECODE);
-	whole = decode(&xdr, value) &&
-		xdr_getpos(&xdr) == signed_length - JT_FRAME_HEADER;
+	complete = decode(&xdr, value) &&
+		   xdr_getpos(&xdr) == signed_length - JT_FRAME_HEADER;
 	xdr_destroy(&xdr);
-	if (!whole) {
+	if (!complete) {
 		xdr_free(decode, value);
 		return JT_CODEC_BODY;
 	}
@@ -140,17 +140,17 @@
 
 bool jt_replay_check(struct jt_replay *replay, uint64_t sequence)
 {
-	uint64_t ahead;
+	uint64_t advance;
 	size_t bit = sequence % JT_REPLAY_WINDOW;
 
 	if (sequence > replay->highest) {
-		ahead = sequence - replay->highest;
-		if (ahead > JT_REPLAY_WINDOW)
-			ahead = JT_REPLAY_WINDOW;
-		for (uint64_t i = 0; i < ahead; i++) {
-			size_t clear = (sequence - i) % JT_REPLAY_WINDOW;
+		advance = sequence - replay->highest;
+		if (advance > JT_REPLAY_WINDOW)
+			advance = JT_REPLAY_WINDOW;
+		for (uint64_t i = 0; i < advance; i++) {
+			size_t slot = (sequence - i) % JT_REPLAY_WINDOW;
 
-			replay->seen[clear / 64] &= ~(1ull << (clear % 64));
+			replay->seen[slot / 64] &= ~(1ull << (slot % 64));
 		}
 		replay->highest = sequence;
 	} else if (replay->highest - sequence >= JT_REPLAY_WINDOW) {
--- a/src/proto/jt_director_proto.x
+++ b/src/proto/jt_director_proto.x
@@ -2,23 +2,23 @@
  * The protocol between director nodes (XDR, RFC 4506).
  *
  * Generated code is committed; regenerate with `make proto`. Addresses are
- * IPv4 in host order. Versions and revisions order everything: a message
- * that comes late, twice or out of order changes nothing.
+ * IPv4 in host order. Versions and revisions order all updates, so that
+ * delayed, duplicated and reordered messages are harmless.
  */
 
 const JT_DIRECTOR_MAX_PEERS = 16;
 const JT_DIRECTOR_MAX_ROUTES = 1048576;
 const JT_DIRECTOR_MAX_PARTS = 16;
 const JT_DIRECTOR_MAX_SERVICES = 65536;
-/* Endpoints are told in slices by a hash of their ids. A message holds whole
- * slices: a few hundred entries, or one slice where that has more. */
+/* Endpoints are divided into slices by a hash of their ids. A message holds
+ * complete slices: up to a few hundred entries, or one larger slice. */
 const JT_DIRECTOR_SLICES = 1024;
 const JT_DIRECTOR_MAX_ENTRIES = 8192;
 const JT_DIRECTOR_MAX_NAME = 63;
 const JT_DIRECTOR_MAX_LOADS = 96;
 const JT_DIRECTOR_MAX_FAILURES = 12;
 const JT_DIRECTOR_MAX_ZONES = 64;
-/* Entries and drains of zones that fit into one datagram. */
+/* Entries and zone drains of a gossip update; they fit into one datagram. */
 const JT_DIRECTOR_MAX_NEWS = 16;
 const JT_DIRECTOR_MAX_NEWS_ZONES = 2;
 
@@ -27,60 +27,60 @@
 	unsigned int address;
 	unsigned int port;
 	unsigned int zone;
-	unsigned int age_ms; /* since it was last heard, by the sender */
-	unsigned int weight; /* as a reader of the store; 0: not now */
+	unsigned int age_ms; /* since the sender last received from it */
+	unsigned int weight; /* as store reader; 0: not eligible */
 };
 
 /* Sent to a few peers several times a second. */
 struct jt_wire_digest {
 	unsigned int zone;
 	unsigned hyper routing_version; /* in force at the sender */
-	unsigned hyper revision;        /* of the newest change it knows */
+	unsigned hyper revision;        /* newest discovery revision known */
 	bool started;
 	bool leaving;
-	bool ready;                  /* routers were told that it is */
-	bool places;                 /* new flows: it knows some endpoints */
-	unsigned int weight;         /* as a reader of the store; 0: not now */
-	unsigned int store_age_ms;   /* all that the store had then is known */
-	unsigned hyper store_reader; /* the node that read it */
+	bool ready;                  /* announced to the routers as ready */
+	bool places;                 /* accepts new flows */
+	unsigned int weight;         /* as store reader; 0: not eligible */
+	unsigned int store_age_ms;   /* age of the newest store state known */
+	unsigned hyper store_reader; /* node that read that state */
 	jt_wire_peer peers<JT_DIRECTOR_MAX_PEERS>;
 };
 
 /*
- * Sent to every peer at once when the sender starts or stops taking flows. It
- * tells nothing of what the sender knows: all that lack the same would fetch
- * it from this one node in the same moment.
+ * Availability of the sender, sent to every peer as soon as the sender starts
+ * or stops accepting flows. It carries no versions or revisions: otherwise all
+ * peers that are behind would fetch the state from this node at once.
  */
 struct jt_wire_standing {
 	unsigned int zone;
 	bool started;
 	bool leaving;
-	bool ready;          /* routers were told that it is */
-	unsigned int weight; /* as a reader of the store; 0: not now */
+	bool ready;          /* announced to the routers as ready */
+	unsigned int weight; /* as store reader; 0: not eligible */
 };
 
-/* What speaks against an endpoint. */
+/* Kinds of failure reports about an endpoint. */
 enum jt_wire_suspicion_kind {
-	JT_WIRE_FOUND_DEAD = 1,
-	JT_WIRE_ANSWERS_OVERDUE = 2 /* it lives, but leaves requests waiting */
+	JT_WIRE_FOUND_DEAD = 1,     /* declared dead */
+	JT_WIRE_ANSWERS_OVERDUE = 2 /* alive, but responses are overdue */
 };
 
 struct jt_wire_suspicion {
 	jt_wire_suspicion_kind kind;
 	unsigned hyper endpoint_id;
-	unsigned hyper born_ms; /* of the incarnation it is about */
+	unsigned hyper born_ms; /* start time of the incarnation concerned */
 };
 
-/* What the sender saw of requests at an endpoint that fails some, since the
- * last such message, in thousandths of requests. */
+/* Request results observed by the sender at an endpoint with failures, since
+ * its last such message, in thousandths of requests. */
 struct jt_wire_failure {
 	unsigned int label; /* of the endpoint */
 	unsigned int failed_permille;
 	unsigned int served_permille;
-	unsigned int share_permille; /* of new flows, at the sender */
+	unsigned int share_permille; /* of the sender's new flows */
 };
 
-/* Sent soon after the first failure: to every peer, or to some of them where
+/* Sent shortly after the first failure: to every peer, or to some of them if
  * there are many failures. */
 struct jt_wire_failures {
 	jt_wire_failure failures<JT_DIRECTOR_MAX_FAILURES>;
@@ -89,17 +89,19 @@
 struct jt_wire_load {
 	unsigned int label; /* of the endpoint */
 	unsigned int flows; /* open through the sender */
-	unsigned int work_permille; /* its requests lately, in thousandths */
-	unsigned int speed; /* answers in hundredths << 16 | slowness, the
-			     * signed logarithm in thousandths */
+	unsigned int work_permille; /* recent load through the sender, in
+			             * thousandths of requests */
+	unsigned int speed; /* hundredths of responses << 16 | signed logarithm
+			     * of the relative response time in thousandths */
 };
 
-/* The sender's share of the endpoints' flows and work; endpoints without any
- * are left out. */
+/* Flows and recent load of endpoints through the sender. Endpoints without
+ * either are omitted. */
 struct jt_wire_loads {
 	jt_wire_load loads<JT_DIRECTOR_MAX_LOADS>;
 };
 
+/* A service that receives part of a route's flows, by weight. */
 struct jt_wire_part {
 	unsigned int service_id;
 	unsigned int weight;
@@ -110,7 +112,7 @@
 	unsigned int address;
 	unsigned int port;
 	unsigned int priority;
-	unsigned int target_ms; /* in which callers want answers, 0: not said */
+	unsigned int target_ms; /* target response time, 0: none */
 	jt_wire_part parts<JT_DIRECTOR_MAX_PARTS>;
 };
 
@@ -118,11 +120,12 @@
 	unsigned int id;
 	unsigned int connection_limit;
 	string health_path<JT_DIRECTOR_MAX_NAME>;
-	unsigned int cold_permille; /* new flows a second at a cold endpoint */
+	unsigned int cold_permille; /* thousandths of new flows per second to a
+	                             * cold endpoint */
 };
 
 struct jt_wire_routing {
-	unsigned hyper number; /* 0: none known */
+	unsigned hyper number; /* version; 0: none known */
 	unsigned int flow_idle_ms;
 	jt_wire_route routes<JT_DIRECTOR_MAX_ROUTES>;
 	jt_wire_service services<JT_DIRECTOR_MAX_SERVICES>;
@@ -130,11 +133,12 @@
 
 /* Flags of an entry. */
 const JT_WIRE_ENTRY_DRAINING = 1;
-const JT_WIRE_ENTRY_UNREADABLE = 2; /* since gone_revision, and still there */
+const JT_WIRE_ENTRY_UNREADABLE = 2; /* unreadable in the store since
+                                     * gone_revision, but not removed */
 
 struct jt_wire_entry {
 	unsigned hyper id;
-	unsigned hyper born_ms;       /* tells incarnations apart; 0: untold */
+	unsigned hyper born_ms;       /* start time of the incarnation; 0: unknown */
 	unsigned int service_id;
 	unsigned int zone_id;
 	unsigned int address;
@@ -142,8 +146,8 @@
 	unsigned int capacity;
 	unsigned int cold_left_ms;
 	unsigned hyper revision;
-	unsigned hyper created;       /* revision at which it came there */
-	unsigned hyper gone_revision; /* 0: it is in discovery */
+	unsigned hyper created;       /* revision that added it to discovery */
+	unsigned hyper gone_revision; /* that removed it; 0: still in discovery */
 	unsigned int flags;
 };
 
@@ -154,9 +158,10 @@
 };
 
 /*
- * Sent on by each node that learns of it: all entries and drains of zones
- * that changed after `since`, up to the digest's revision. Whoever knows less than `since`, or an
- * older routing, fetches what it lacks.
+ * Gossip update, forwarded by each node to which it is new: all entries and
+ * zone drains that changed after `since`, up to the digest's revision. A
+ * receiver with a revision before `since`, or an older routing, fetches the
+ * missing state.
  */
 struct jt_wire_news {
 	jt_wire_digest digest; /* without peers */
@@ -168,33 +173,35 @@
 };
 
 /*
- * What a peer that is behind fetches: of some slices the entries that changed
- * after `since` (0: all), all drains of zones, and the routing unless the peer
- * has it. It asks for one slice after the other, of any peer, until it has all.
+ * State snapshot for a peer that is behind: the entries of some slices that
+ * changed after `since` (0: all), all zone drains, and the routing unless the
+ * peer has it. The peer requests slice after slice, from any peer, until it
+ * has all of them.
  */
 struct jt_wire_knowledge {
-	unsigned int slice;      /* the first one in it */
-	/* The first one that is not. The same slice: the sender has not started
-	 * and tells some of the endpoints that it knows so far. */
+	unsigned int slice;      /* first slice contained */
+	/* First slice after those contained. If equal to `slice`, the sender is
+	 * not started and sends some of the endpoints known so far. */
 	unsigned int slice_next;
 	/* 0: all entries of the slices. */
 	unsigned hyper since;
 	unsigned hyper revision;
-	/* The sender took a whole list between these revisions after `since`,
-	 * and knows nothing of what came and went there; 0: it did not. */
+	/* Listing gap after `since`: the sender read a full listing and did not
+	 * observe the changes between these revisions; 0: no gap. */
 	unsigned hyper gap_from;
 	unsigned hyper gap_to;
-	unsigned hyper forgotten;    /* before it, it may lack changes */
-	bool complete;               /* no entry was left out for want of room */
-	unsigned int learning_ms;    /* entries may be missing so long yet */
-	unsigned int store_age_ms;   /* all that the store had then is in it */
-	unsigned hyper store_reader; /* the node that read it */
+	unsigned hyper forgotten;    /* changes before it may be missing */
+	bool complete;               /* no entry was omitted for its size */
+	unsigned int learning_ms;    /* left of the initial synchronisation;
+	                              * entries may be missing until then */
+	unsigned int store_age_ms;   /* age of the store state contained */
+	unsigned hyper store_reader; /* node that read that state */
 	jt_wire_routing routing;
 	jt_wire_entry entries<JT_DIRECTOR_MAX_ENTRIES>;
 	jt_wire_zone_drain zones<JT_DIRECTOR_MAX_ZONES>;
 };
 
-/* A caller's flow, and the sequence of its first packet. */
+/* A client's flow and the TCP sequence number of its first packet. */
 struct jt_wire_flow {
 	unsigned int source;
 	unsigned int destination;
@@ -205,17 +212,18 @@
 };
 
 /*
- * A copy of a first packet came to the sender, which saw none before: asks
- * where the flow is, of the nodes that routers may have moved it from.
+ * Sent after a retransmitted first packet of a flow that is unknown to the
+ * sender: asks the nodes from which routers may have moved the flow for its
+ * endpoint.
  */
 struct jt_wire_flow_question {
 	jt_wire_flow flow;
 };
 
-/* Sent back to the node that asked. */
+/* Response to a jt_wire_flow_question. */
 struct jt_wire_flow_answer {
 	jt_wire_flow flow;
-	unsigned int label; /* of its endpoint; 0: not known here either */
+	unsigned int label; /* of its endpoint; 0: unknown to the sender */
 };
 
 enum jt_wire_director_kind {
--- a/src/proto/jt_proto.x
+++ b/src/proto/jt_proto.x
@@ -29,13 +29,13 @@
 	unsigned int capacity;
 };
 
-/* One bucket that has lost every record and may become plain again. */
+/* A bucket without remaining flow records, whose sticky bit may be cleared. */
 struct jt_wire_bucket {
 	unsigned int service_id;
 	unsigned int bucket;
 };
 
-/* A change of the cell state, applied to the state of the epoch before. */
+/* A change of the cell state, applied to the state of the previous epoch. */
 struct jt_wire_proposal {
 	unsigned hyper epoch;
 	unsigned hyper config_revision;
@@ -50,24 +50,25 @@
 };
 
 /*
- * Sent to every peer several times a second, so it is kept small: the epochs
- * and revisions that usually are equal go as differences.
+ * Sent to every peer several times a second. To keep it small, epochs and
+ * revisions that are usually equal are sent as differences.
  */
 struct jt_wire_heartbeat {
 	unsigned int cell;              /* low half of the cell's id */
 	unsigned hyper epoch;
-	unsigned int accepted_ahead;    /* accepted epoch, less epoch */
-	bool transferred;               /* records of that epoch are over */
+	unsigned int accepted_ahead;    /* accepted epoch minus epoch */
+	bool transferred;               /* handover of the epoch's records is done */
 	unsigned hyper config_revision; /* newest known */
-	unsigned int everywhere_behind; /* newest known, less in force */
+	unsigned int everywhere_behind; /* config_revision minus the revision that
+	                                 * is in force at all members */
 	unsigned int sent_ms;           /* low half of the sender's clock */
-	unsigned int echo_ms;           /* the receiver's, as last seen */
+	unsigned int echo_ms;           /* last sent_ms received from the peer */
 	bool leaving;
-	bool activated;                 /* the epoch's barrier is passed */
+	bool activated;                 /* the epoch is active at the sender */
 	unsigned hyper suspects<JT_MAX_MEMBERS>;
 };
 
-/* A share is named by its position in the configuration of the epoch. */
+/* A health report of an endpoint, identified by its index in the cell state. */
 struct jt_wire_report {
 	unsigned int position_flags; /* endpoint << 16 | instance << 8 |
 	                                JT_REPORT_* */
@@ -75,8 +76,8 @@
 };
 
 /*
- * Counts and health reports of one node; soft state. Endpoints stand in the
- * order of the cell state of the epoch, shares in that of its configuration.
+ * Flow counts and health reports of a node; soft state. Endpoints are in the
+ * order of the epoch's cell state, shares in that of its configuration.
  */
 struct jt_wire_counts {
 	unsigned hyper epoch;
@@ -88,7 +89,8 @@
 
 struct jt_wire_join {
 	jt_wire_member member;
-	bool cut_off; /* a member that lost its lease; it asks for news only */
+	bool cut_off; /* from a member without a lease, which only asks for the
+	              * current state */
 };
 
 struct jt_wire_prepare {
@@ -124,7 +126,7 @@
 
 struct jt_wire_table {
 	unsigned int service_id;
-	opaque defaults<2048>; /* 16-bit positions, 0xffff: none */
+	opaque defaults<2048>; /* 16-bit endpoint indices, 0xffff: none */
 	opaque sticky<128>;
 };
 
@@ -172,7 +174,8 @@
 	opaque document<JT_MAX_CONFIG>;
 };
 
-/* A message for a member that the sender can't reach, through another. */
+/* A message relayed through a third member, since the sender can't reach the
+ * receiver directly. */
 struct jt_wire_detour {
 	unsigned hyper to;
 	struct jt_wire_message *message;
@@ -233,11 +236,11 @@
 };
 
 /*
- * A process that starts at the address of a dead one must not take what was
- * meant for that one, so messages name their receiver.
+ * Messages name their receiver, so that a process that reuses the address of a
+ * dead one ignores messages to its predecessor.
  */
 struct jt_wire_message {
 	unsigned hyper from;
-	unsigned int to; /* low half of the receiver's id; 0: whoever is there */
+	unsigned int to; /* low half of the receiver's id; 0: any receiver */
 	jt_wire_body body;
 };
