--- a/src/cluster/jt_cluster_private.h
+++ b/src/cluster/jt_cluster_private.h
@@ -81,7 +81,7 @@
 	void (*on_accepted)(void *object, uint64_t revision);
 	void *object;
 	uint16_t writer;
-	bool took_effect;
+	bool took_effect; /* the store has applied it */
 };
 
 struct cell {
@@ -104,14 +104,14 @@
 	bool in_event;
 	/* The simulated store. */
 	bool store_down;
-	uint32_t lose_answers;
+	uint32_t lose_answers; /* responses still to be dropped */
 	const struct jt_config *stored;
 	uint64_t stored_us;
 	double store_tokens;
 	uint64_t store_refilled_us;
 	struct cell cells[JT_CLUSTER_NODES];
-	struct jt_address *listed;
-	uint8_t *frame;
+	struct jt_address *listed; /* buffer for a node's machine list */
+	uint8_t *frame;		   /* buffer for an encoded message */
 };
 
 static inline uint64_t cluster_now_us(const struct jt_cluster *cluster)
--- a/src/http/jt_http_client.c
+++ b/src/http/jt_http_client.c
@@ -201,14 +201,14 @@
 static size_t on_header(char *data, size_t size, size_t count, void *userp)
 {
 	struct http_state *state = userp;
-	size_t length = size * count, name = strlen(state->header_name);
+	size_t length = size * count, name_length = strlen(state->header_name);
 
-	if (length <= name ||
-	    strncasecmp(data, state->header_name, name) != 0 ||
-	    data[name] != ':')
+	if (length <= name_length ||
+	    strncasecmp(data, state->header_name, name_length) != 0 ||
+	    data[name_length] != ':')
 		return length;
-	data += name + 1;
-	length -= name + 1;
+	data += name_length + 1;
+	length -= name_length + 1;
 	while (length > 0 && isspace((unsigned char)data[0])) {
 		data++;
 		length--;
--- a/src/proto/jt_director_proto.x
+++ b/src/proto/jt_director_proto.x
@@ -191,7 +191,7 @@
 	unsigned hyper gap_from;
 	unsigned hyper gap_to;
 	unsigned hyper forgotten;    /* changes before it may be missing */
-	bool complete;               /* no entry was omitted for its size */
+	bool complete;               /* the sender dropped no entry or drain */
 	unsigned int learning_ms;    /* left of the initial synchronisation;
 	                              * entries may be missing until then */
 	unsigned int store_age_ms;   /* age of the store state contained */
--- a/src/resource/jt_resource.c
+++ b/src/resource/jt_resource.c
@@ -168,7 +168,7 @@
 		       uint32_t *number)
 {
 	const json_t *value = json_object_get(b->resource, field);
-	json_int_t found;
+	json_int_t integer;
 
 	if (value == NULL && default_value >= 0) {
 		*number = (uint32_t)default_value;
@@ -176,11 +176,11 @@
 	}
 	if (!json_is_integer(value))
 		return fail(b, field, "missing, or not a whole number");
-	found = json_integer_value(value);
-	if (found < minimum || found > maximum)
+	integer = json_integer_value(value);
+	if (integer < minimum || integer > maximum)
 		return fail(b, field, "is %lld, allowed are %u to %u",
-			    (long long)found, minimum, maximum);
-	*number = (uint32_t)found;
+			    (long long)integer, minimum, maximum);
+	*number = (uint32_t)integer;
 	return 0;
 }
 
--- a/src/resource/jt_resource.h
+++ b/src/resource/jt_resource.h
@@ -10,7 +10,7 @@
  *  "addresses": [{"name", "address", "protocol", "service", "group"}],
  *  "shares":    [{"service", "group", "weight"}]}
  *
- * Each resource may carry "version", the revision that last changed it.
+ * Each resource may have a "version", which is incremented with each change.
  */
 #ifndef JT_RESOURCE_H
 #define JT_RESOURCE_H
