--- a/src/cluster/jt_cluster.h
+++ b/src/cluster/jt_cluster.h
@@ -64,7 +64,7 @@
 	void (*on_verdict)(void *private_data,
 			   const struct jt_verdict *verdict);
 	/* Reads an endpoint's health page; returns false if there is no
-	 * answer. */
+	 * response. */
 	bool (*read_health)(void *private_data, uint32_t endpoint_id,
 			    struct jt_health *health);
 	void *private_data;
