--- a/src/cli/log_lines.c
+++ b/src/cli/log_lines.c
@@ -4,10 +4,10 @@
 #include <string.h>
 #include <time.h>
 
-/* Programs whose lines are read, as they stand before the process id. */
-static const char *const programs[] = {"jaspertrackd[",
-				       "jaspertrack-director["};
-enum { PROGRAMS = sizeof(programs) / sizeof(programs[0]) };
+/* Prefixes of the process id in the lines that are read. */
+static const char *const program_prefixes[] = {"jaspertrackd[",
+					       "jaspertrack-director["};
+enum { PROGRAM_COUNT = sizeof(program_prefixes) / sizeof(program_prefixes[0]) };
 
 struct log_lines *log_lines_create(TALLOC_CTX *mem_ctx)
 {
@@ -32,7 +32,7 @@
 	return NULL;
 }
 
-bool log_line_is(const struct log_line *line, const char *event)
+bool log_line_has_event(const struct log_line *line, const char *event)
 {
 	size_t length = strlen(event);
 
@@ -42,15 +42,15 @@
 		line->text[6 + length] == '\0');
 }
 
-const char *log_line_node(const struct log_line *line)
+const char *log_line_node_name(const struct log_line *line)
 {
 	const struct log_process *process = line->process;
 
 	return process->node != NULL ? process->node : process->key;
 }
 
-static struct log_process *process_of(struct log_lines *lines, const char *file,
-				      int pid)
+static struct log_process *process_get(struct log_lines *lines,
+				       const char *file, int pid)
 {
 	char *key = talloc_asprintf(lines, "%s[%d]", file, pid);
 	struct log_process *process;
@@ -70,21 +70,22 @@
 	return process;
 }
 
-/* Milliseconds of "2026-12-02T09:46:16.272Z", -1 for anything else. */
-static int64_t read_stamp(const char *text)
+/* Converts "2026-12-02T09:46:16.272Z" to milliseconds since the epoch, or -1
+ * if @text has another format. */
+static int64_t parse_timestamp(const char *text)
 {
-	struct tm parts = {0};
-	const char *end = strptime(text, "%Y-%m-%dT%H:%M:%S", &parts);
+	struct tm fields = {0};
+	const char *end = strptime(text, "%Y-%m-%dT%H:%M:%S", &fields);
 	int64_t seconds;
 
 	if (end == NULL || *end != '.')
 		return -1;
-	seconds = timegm(&parts);
+	seconds = timegm(&fields);
 	return seconds * 1000 + strtol(end + 1, NULL, 10);
 }
 
-/* The stamp stands two words before the program. */
-static int64_t find_stamp(const char *text, const char *program)
+/* Returns the line's timestamp, two words before @program, or -1. */
+static int64_t find_timestamp(const char *text, const char *program)
 {
 	const char *at = program;
 
@@ -94,7 +95,7 @@
 		while (at > text && at[-1] != ' ')
 			at--;
 	}
-	return read_stamp(at);
+	return parse_timestamp(at);
 }
 
 static struct log_line *line_add(struct log_lines *lines)
@@ -108,41 +109,41 @@
 	return &lines->items[lines->count++];
 }
 
-/* Where the program's name stands in the line, and its process id, or NULL. */
+/* Returns the position of the program's name and sets *pid, or NULL. */
 static const char *find_program(const char *text, int *pid)
 {
-	for (size_t i = 0; i < PROGRAMS; i++) {
-		const char *at = strstr(text, programs[i]);
+	for (size_t i = 0; i < PROGRAM_COUNT; i++) {
+		const char *at = strstr(text, program_prefixes[i]);
 
 		if (at == NULL)
 			continue;
-		*pid = atoi(at + strlen(programs[i]));
+		*pid = atoi(at + strlen(program_prefixes[i]));
 		return at;
 	}
 	return NULL;
 }
 
-static void line_take(struct log_lines *lines, const char *text,
-		      const char *name)
+static void line_parse(struct log_lines *lines, const char *text,
+		       const char *name)
 {
 	int pid = 0;
 	const char *program = find_program(text, &pid);
 	const char *event = strstr(text, "event=");
 	struct log_line *line;
 	int64_t wall_ms;
-	char *up, *node;
+	char *uptime, *node;
 
 	if (program == NULL || event == NULL || event < program)
 		return;
-	wall_ms = find_stamp(text, program);
+	wall_ms = find_timestamp(text, program);
 	if (wall_ms < 0)
 		return;
 	line = line_add(lines);
 	line->wall_ms = wall_ms;
 	line->text = talloc_strndup(lines, event, strcspn(event, "\n"));
-	line->process = process_of(lines, name, pid);
-	up = log_line_field(lines, line, "up_ms");
-	line->up_ms = up != NULL ? strtoll(up, NULL, 10) : wall_ms;
+	line->process = process_get(lines, name, pid);
+	uptime = log_line_field(lines, line, "up_ms");
+	line->up_ms = uptime != NULL ? strtoll(uptime, NULL, 10) : wall_ms;
 	node = log_line_field(line->process, line, "node");
 	if (strncmp(line->text, "event=started", 13) == 0 && node != NULL)
 		line->process->node = node;
@@ -151,10 +152,10 @@
 void log_lines_read(struct log_lines *lines, FILE *file, const char *name)
 {
 	char *text = NULL;
-	size_t room = 0;
+	size_t buffer_size = 0;
 
-	while (getline(&text, &room, file) >= 0)
-		line_take(lines, text, name);
+	while (getline(&text, &buffer_size, file) >= 0)
+		line_parse(lines, text, name);
 	free(text);
 }
 
@@ -174,8 +175,8 @@
 	return (left->up_ms > right->up_ms) - (left->up_ms < right->up_ms);
 }
 
-static void process_correct(struct log_lines *lines,
-			    struct log_process *process)
+static void process_set_offset(struct log_lines *lines,
+			       struct log_process *process)
 {
 	int64_t *offsets = talloc_array(lines, int64_t, lines->count + 1);
 	size_t count = 0;
@@ -191,10 +192,10 @@
 	talloc_free(offsets);
 }
 
-void log_lines_order(struct log_lines *lines)
+void log_lines_sort(struct log_lines *lines)
 {
 	for (size_t i = 0; i < lines->process_count; i++)
-		process_correct(lines, lines->processes[i]);
+		process_set_offset(lines, lines->processes[i]);
 	for (size_t i = 0; i < lines->count; i++)
 		lines->items[i].time_ms = lines->items[i].up_ms +
 					  lines->items[i].process->offset_ms;
--- a/src/cli/log_lines.h
+++ b/src/cli/log_lines.h
@@ -1,9 +1,10 @@
 /*
- * Log lines read back: fields, and one order for the lines of all processes.
+ * Reads log lines of several processes, parses their fields and merges them
+ * into one timeline.
  *
- * A node's time of day may jump. Each line also carries the process's
- * monotonic clock (up_ms), so a line's time is taken as up_ms plus the median
- * of what the process's times of day differ from it.
+ * A node's wall clock may jump. Each line also carries the process's monotonic
+ * clock (up_ms), so the time of a line is up_ms plus the median difference
+ * between wall clock and up_ms over all lines of the process.
  */
 #ifndef LOG_LINES_H
 #define LOG_LINES_H
@@ -15,17 +16,17 @@
 #include <talloc.h>
 
 struct log_process {
-	char *key;  /* file and process id */
-	char *node; /* name, once its line event=started is read */
-	int64_t offset_ms;
+	char *key;	   /* FILE[PID] */
+	char *node;	   /* name from event=started, NULL if not seen */
+	int64_t offset_ms; /* wall clock minus up_ms */
 };
 
 struct log_line {
-	char *text; /* from "event=" on */
+	char *text; /* the line from "event=" on */
 	struct log_process *process;
 	int64_t wall_ms;
 	int64_t up_ms;
-	int64_t time_ms; /* corrected */
+	int64_t time_ms; /* corrected time, set by log_lines_sort() */
 };
 
 struct log_lines {
@@ -36,16 +37,19 @@
 	size_t process_count;
 };
 
+/* Creates an empty list of lines, owned by @mem_ctx. */
 struct log_lines *log_lines_create(TALLOC_CTX *mem_ctx);
-/* Add the lines of @file; others than this product's are passed over. */
+/* Adds the lines of @file, skipping lines of other programs. @name is the
+ * file's name, which tells processes of different files apart. */
 void log_lines_read(struct log_lines *lines, FILE *file, const char *name);
-/* Correct the times and sort by them. */
-void log_lines_order(struct log_lines *lines);
-/* The value of @field, NULL if the line has none; below @mem_ctx. */
+/* Computes the corrected times and sorts the lines by them. */
+void log_lines_sort(struct log_lines *lines);
+/* Returns the value of @field, owned by @mem_ctx, or NULL if absent. */
 char *log_line_field(TALLOC_CTX *mem_ctx, const struct log_line *line,
 		     const char *field);
-/* Whether the line is of that event. */
-bool log_line_is(const struct log_line *line, const char *event);
-const char *log_line_node(const struct log_line *line);
+/* Returns true if the line's event is @event. */
+bool log_line_has_event(const struct log_line *line, const char *event);
+/* Returns the name of the line's node, or FILE[PID] if it is unknown. */
+const char *log_line_node_name(const struct log_line *line);
 
 #endif
--- a/src/cli/why.c
+++ b/src/cli/why.c
@@ -10,44 +10,45 @@
 #include <time.h>
 
 enum {
-	EXIT_TOLD = 0,
-	EXIT_NOTHING = 1,
+	EXIT_FOUND = 0,
+	EXIT_NOT_FOUND = 1,
 	EXIT_UNREADABLE = 2,
-	NAMES = 32,
-	/* What else happened is told from so long before to so long after. */
-	AROUND_BEFORE_MS = 3000,
-	AROUND_AFTER_MS = 3000,
-	/* An endpoint's troubles bear on a request from so long before it to so
-	 * long after: callers wait a few seconds. */
-	TROUBLE_BEFORE_MS = 10000,
-	TROUBLE_AFTER_MS = 6000,
-	/* What was usual is looked up so long before the request. */
-	USUAL_BEFORE_MS = 5000,
+	NAME_LIMIT = 32,
+	/* Time window around the request in which context lines are printed. */
+	CONTEXT_BEFORE_MS = 3000,
+	CONTEXT_AFTER_MS = 3000,
+	/* Time window around the request in which failures of its endpoint are
+	 * considered; clients wait a few seconds for a response. */
+	FAILURE_BEFORE_MS = 10000,
+	FAILURE_AFTER_MS = 6000,
+	/* The load is compared with the load this long before the request. */
+	BASELINE_BEFORE_MS = 5000,
 };
 
-/* Names that the story is about. */
+/* A set of names; names beyond the limit are ignored. */
 struct names {
-	char *items[NAMES];
+	char *items[NAME_LIMIT];
 	size_t count;
 };
 
-struct story {
+struct report {
 	struct log_lines *lines;
 	const char *id;
 	struct names flows;
 	struct names endpoints;
 	struct names nodes;
-	struct names suspicions; /* that were printed, as "ENDPOINT CAUSE" */
-	unsigned suspicions_left_out;
+	struct names printed_suspicions; /* printed ones, as "ENDPOINT CAUSE" */
+	unsigned omitted_suspicions;
 	int64_t first_ms;
 	int64_t last_ms;
-	const struct log_line *request;	 /* the one meant; NULL: a flow is */
-	const struct log_line *decision; /* the last about one of the flows */
-	const struct log_line *death;	 /* of their endpoint, after that */
-	const struct log_line *failing;	 /* it left requests unanswered */
+	const struct log_line *request;	 /* NULL if @id is a flow or client */
+	const struct log_line *decision; /* last one for any of the flows */
+	const struct log_line *death; /* endpoint was declared dead, or NULL */
+	const struct log_line
+		*failure; /* endpoint left requests unanswered, or NULL */
 };
 
-static bool names_have(const struct names *names, const char *name)
+static bool names_contain(const struct names *names, const char *name)
 {
 	for (size_t i = 0; i < names->count; i++) {
 		if (name != NULL && strcmp(names->items[i], name) == 0)
@@ -58,7 +59,8 @@
 
 static void names_add(struct names *names, char *name)
 {
-	if (name != NULL && !names_have(names, name) && names->count < NAMES)
+	if (name != NULL && !names_contain(names, name) &&
+	    names->count < NAME_LIMIT)
 		names->items[names->count++] = name;
 }
 
@@ -77,16 +79,16 @@
 {
 	struct dirent *entry;
 	struct stat status;
-	DIR *folder;
+	DIR *directory;
 
 	if (stat(path, &status) != 0)
 		return false;
 	if (!S_ISDIR(status.st_mode))
 		return read_file(lines, path);
-	folder = opendir(path);
-	if (folder == NULL)
+	directory = opendir(path);
+	if (directory == NULL)
 		return false;
-	while ((entry = readdir(folder)) != NULL) {
+	while ((entry = readdir(directory)) != NULL) {
 		char *name =
 			talloc_asprintf(lines, "%s/%s", path, entry->d_name);
 
@@ -94,12 +96,12 @@
 			read_file(lines, name);
 		talloc_free(name);
 	}
-	closedir(folder);
+	closedir(directory);
 	return true;
 }
 
-/* Whether the flow is the one meant, or one of the caller (IP, IP:PORT). */
-static bool flow_is(const char *flow, const char *id)
+/* Returns true if @flow is @id or a flow of client @id (IP or IP:PORT). */
+static bool flow_matches(const char *flow, const char *id)
 {
 	size_t length = strlen(id);
 
@@ -109,48 +111,48 @@
 	       flow[length] == '>';
 }
 
-/* The flows that carried the request, or that are meant themselves. */
-static void find_flows(struct story *story)
+/* Collects the flows that carried the request, or that match the id. */
+static void find_flows(struct report *report)
 {
-	for (size_t i = 0; i < story->lines->count; i++) {
-		const struct log_line *line = &story->lines->items[i];
-		char *flow = log_line_field(story->lines, line, "flow");
-		char *request = log_line_field(story->lines, line, "request");
-
-		if (request != NULL && strcmp(request, story->id) == 0) {
-			names_add(&story->flows, flow);
-			story->request = line;
-		} else if (flow_is(flow, story->id)) {
-			names_add(&story->flows, flow);
+	for (size_t i = 0; i < report->lines->count; i++) {
+		const struct log_line *line = &report->lines->items[i];
+		char *flow = log_line_field(report->lines, line, "flow");
+		char *request = log_line_field(report->lines, line, "request");
+
+		if (request != NULL && strcmp(request, report->id) == 0) {
+			names_add(&report->flows, flow);
+			report->request = line;
+		} else if (flow_matches(flow, report->id)) {
+			names_add(&report->flows, flow);
 		}
 	}
 }
 
-/* The endpoints and nodes of those flows, and when that was. */
-static void find_involved(struct story *story)
+/* Collects the endpoints and nodes of those flows and the time range. */
+static void find_related(struct report *report)
 {
-	for (size_t i = 0; i < story->lines->count; i++) {
-		const struct log_line *line = &story->lines->items[i];
-		char *flow = log_line_field(story->lines, line, "flow");
+	for (size_t i = 0; i < report->lines->count; i++) {
+		const struct log_line *line = &report->lines->items[i];
+		char *flow = log_line_field(report->lines, line, "flow");
 
-		if (!names_have(&story->flows, flow))
+		if (!names_contain(&report->flows, flow))
 			continue;
-		names_add(&story->endpoints,
-			  log_line_field(story->lines, line, "endpoint"));
-		names_add(&story->nodes, (char *)log_line_node(line));
-		if (story->first_ms == 0)
-			story->first_ms = line->time_ms;
-		story->last_ms = line->time_ms;
-		if (log_line_is(line, "flow"))
-			story->decision = line;
+		names_add(&report->endpoints,
+			  log_line_field(report->lines, line, "endpoint"));
+		names_add(&report->nodes, (char *)log_line_node_name(line));
+		if (report->first_ms == 0)
+			report->first_ms = line->time_ms;
+		report->last_ms = line->time_ms;
+		if (log_line_has_event(line, "flow"))
+			report->decision = line;
 	}
-	/* A flow may carry other requests long before and after. */
-	if (story->request != NULL)
-		story->first_ms = story->last_ms = story->request->time_ms;
+	/* A flow may have carried other requests long before or after. */
+	if (report->request != NULL)
+		report->first_ms = report->last_ms = report->request->time_ms;
 }
 
-/* Events that tell of a node, not of an endpoint or flow. */
-static bool node_event(const struct log_line *line)
+/* Returns true if the event concerns a node, not an endpoint or flow. */
+static bool is_node_event(const struct log_line *line)
 {
 	static const char *const events[] = {
 		"started",
@@ -174,46 +176,50 @@
 	};
 
 	for (size_t i = 0; i < sizeof(events) / sizeof(events[0]); i++) {
-		if (log_line_is(line, events[i]))
+		if (log_line_has_event(line, events[i]))
 			return true;
 	}
 	return false;
 }
 
-/* Whether a line about no flow helps to understand this one. */
-static bool line_matters(const struct story *story, const struct log_line *line)
+/* Returns true if the line concerns one of the flows, or their endpoints or
+ * nodes at that time. */
+static bool line_is_relevant(const struct report *report,
+			     const struct log_line *line)
 {
-	char *endpoint = log_line_field(story->lines, line, "endpoint");
-	char *flow = log_line_field(story->lines, line, "flow");
+	char *endpoint = log_line_field(report->lines, line, "endpoint");
+	char *flow = log_line_field(report->lines, line, "flow");
 
-	if (names_have(&story->flows, flow) && !log_line_is(line, "request"))
+	if (names_contain(&report->flows, flow) &&
+	    !log_line_has_event(line, "request"))
 		return true;
-	if (flow != NULL && !names_have(&story->flows, flow))
+	if (flow != NULL && !names_contain(&report->flows, flow))
 		return false;
-	if (line->time_ms < story->first_ms - AROUND_BEFORE_MS ||
-	    line->time_ms > story->last_ms + AROUND_AFTER_MS)
+	if (line->time_ms < report->first_ms - CONTEXT_BEFORE_MS ||
+	    line->time_ms > report->last_ms + CONTEXT_AFTER_MS)
 		return false;
 	if (endpoint != NULL)
-		return names_have(&story->endpoints, endpoint);
-	return node_event(line) &&
-	       names_have(&story->nodes, log_line_node(line));
+		return names_contain(&report->endpoints, endpoint);
+	return is_node_event(line) &&
+	       names_contain(&report->nodes, log_line_node_name(line));
 }
 
-/* Every node that hears of a suspicion says so: the first is enough. */
-static bool suspicion_again(struct story *story, const struct log_line *line)
+/* Every node that receives a suspicion logs it; only the first is printed. */
+static bool suspicion_is_repeated(struct report *report,
+				  const struct log_line *line)
 {
 	char *name;
 
-	if (!log_line_is(line, "peer_suspects"))
+	if (!log_line_has_event(line, "peer_suspects"))
 		return false;
-	name = talloc_asprintf(story->lines, "%s %s",
-			       log_line_field(story->lines, line, "endpoint"),
-			       log_line_field(story->lines, line, "cause"));
-	if (!names_have(&story->suspicions, name)) {
-		names_add(&story->suspicions, name);
+	name = talloc_asprintf(report->lines, "%s %s",
+			       log_line_field(report->lines, line, "endpoint"),
+			       log_line_field(report->lines, line, "cause"));
+	if (!names_contain(&report->printed_suspicions, name)) {
+		names_add(&report->printed_suspicions, name);
 		return false;
 	}
-	story->suspicions_left_out++;
+	report->omitted_suspicions++;
 	return true;
 }
 
@@ -226,7 +232,7 @@
 	gmtime_r(&seconds, &parts);
 	strftime(stamp, sizeof(stamp), "%H:%M:%S", &parts);
 	printf("%s.%03d %-24s %s\n", stamp, (int)(line->time_ms % 1000),
-	       log_line_node(line), line->text);
+	       log_line_node_name(line), line->text);
 }
 
 struct explanation {
@@ -236,142 +242,147 @@
 
 static const struct explanation explanations[] = {
 	{"placed",
-	 "the flow was given to the endpoint; no node refused it "
-	 "afterwards. Look at the endpoint, and at whether the flow's "
-	 "node ended (no lines of it after that)"},
-	{"placed_again", "its first endpoint had died before the flow opened; "
-			 "it was given to another"},
-	{"remembered", "the caller sent its first packet again: the endpoint "
-		       "gave no answer, or the answer was lost"},
-	{"no_route", "no route had this address in the routing version named: "
-		     "a dropped route, a wrong address, or a configuration "
-		     "that this node got late (compare event=routing)"},
-	{"no_endpoint", "no endpoint of the route's services could take a flow "
-			"(draining, lapsed, dead or full): see endpoint_state"},
-	{"no_zone", "the zones of all endpoints that could take the flow are "
-		    "drained by operators: see zone_drained"},
-	{"learning", "endpoints were still coming back to the store after an "
-		     "outage, the ones known had as many new flows as they "
-		     "bear: the packet waited, or its caller gave up"},
-	{"cold", "every endpoint that could take the flow is cold and has got "
-		 "what it bears, or this node has just started"},
+	 "the flow was assigned to the endpoint and no node refused it "
+	 "afterwards. Check the endpoint, and whether the flow's node "
+	 "stopped (it has no later lines)"},
+	{"placed_again", "its first endpoint died before the flow was "
+			 "established; it was assigned to another one"},
+	{"remembered", "the client retransmitted its first packet: the "
+		       "endpoint did not answer, or the answer was lost"},
+	{"no_route",
+	 "no route had this address in the logged routing version: "
+	 "the route was removed, the address is wrong, or this "
+	 "node received the configuration late (see event=routing)"},
+	{"no_endpoint",
+	 "no endpoint of the route's services was eligible "
+	 "(draining, expired, dead or full): see endpoint_state"},
+	{"no_zone", "the zones of all eligible endpoints are drained by "
+		    "operators: see zone_drained"},
+	{"learning", "endpoints were still registering again after a store "
+		     "outage, and the known ones had reached their limit of "
+		     "new flows: the packet was held, or its client gave up"},
+	{"cold", "every eligible endpoint is cold and has reached its slow "
+		 "start limit, or this node has just started"},
 	{"overloaded",
 	 "its service had no room for another flow of the route's priority: "
-	 "in_flight of limit requests went through this node, and answers took "
-	 "delay_ms where allowed_ms leaves callers in time; nothing of it has "
-	 "run (see service_full)"},
-	{"endpoint_dead", "the flow's endpoint was found dead, so the flow was "
-			  "ended at once: see endpoint_dead for the proof"},
-	{"unknown_label", "no endpoint was known by the flow's label: the node "
-			  "started after the endpoint had left discovery"},
-	{"no_label", "a packet of a flow that never opened"},
-	{"forged", "a packet that only endpoints send"},
-	{"no_capacity",
-	 "every endpoint that could take the flow holds as many as "
-	 "its service allows"},
-	{"peers_asked", "a copy of the first packet came to this node, which "
-			"saw none before: it waited while peers were asked "
-			"whether one had placed the flow (see flow_told)"},
-	{"not_started", "the node did not know routing or endpoints yet; the "
-			"packet waited for that"},
+	 "in_flight of at most limit requests were open through this node, "
+	 "and responses took delay_ms where allowed_ms is acceptable; no part "
+	 "of the request was executed (see service_full)"},
+	{"endpoint_dead", "the flow's endpoint was declared dead, so the flow "
+			  "was reset: see endpoint_dead for the cause"},
+	{"unknown_label",
+	 "the flow's label matches no known endpoint: the node "
+	 "started after the endpoint left discovery"},
+	{"no_label", "a packet of a flow that was never established"},
+	{"forged", "a packet of a kind that only endpoints may send"},
+	{"no_capacity", "every eligible endpoint has reached its service's "
+			"connection limit"},
+	{"peers_asked", "this node received a retransmitted first packet of an "
+			"unknown flow: it held the packet while it asked its "
+			"peers for the flow's endpoint (see flow_told)"},
+	{"not_started", "the node had not loaded routing or endpoints yet; the "
+			"packet was held until then"},
 };
 
-/* Whether an endpoint's trouble then can bear on what is asked for. */
-static bool trouble_bears(const struct story *story, int64_t at_ms)
+/* Returns true if a failure of the endpoint at @at_ms can have affected the
+ * request or flow. */
+static bool time_is_relevant(const struct report *report, int64_t at_ms)
 {
-	if (story->request == NULL)
-		return at_ms >= story->decision->time_ms;
-	return at_ms >= story->request->time_ms - TROUBLE_BEFORE_MS &&
-	       at_ms <= story->request->time_ms + TROUBLE_AFTER_MS;
+	if (report->request == NULL)
+		return at_ms >= report->decision->time_ms;
+	return at_ms >= report->request->time_ms - FAILURE_BEFORE_MS &&
+	       at_ms <= report->request->time_ms + FAILURE_AFTER_MS;
 }
 
-/* The first @event of the last decision's endpoint that bears on it, or NULL.
- */
-static const struct log_line *endpoint_event(const struct story *story,
+/* Returns the first relevant @event of the endpoint last assigned, or NULL. */
+static const struct log_line *endpoint_event(const struct report *report,
 					     const char *event)
 {
 	const struct log_line *subject =
-		story->decision != NULL ? story->decision : story->request;
+		report->decision != NULL ? report->decision : report->request;
 	char *endpoint;
 
 	if (subject == NULL)
 		return NULL;
-	endpoint = log_line_field(story->lines, subject, "endpoint");
-	for (size_t i = 0; i < story->lines->count && endpoint != NULL; i++) {
-		const struct log_line *line = &story->lines->items[i];
-		char *of = log_line_field(story->lines, line, "endpoint");
-
-		if (log_line_is(line, event) && of != NULL &&
-		    strcmp(of, endpoint) == 0 &&
-		    trouble_bears(story, line->time_ms))
+	endpoint = log_line_field(report->lines, subject, "endpoint");
+	for (size_t i = 0; i < report->lines->count && endpoint != NULL; i++) {
+		const struct log_line *line = &report->lines->items[i];
+		char *line_endpoint =
+			log_line_field(report->lines, line, "endpoint");
+
+		if (log_line_has_event(line, event) && line_endpoint != NULL &&
+		    strcmp(line_endpoint, endpoint) == 0 &&
+		    time_is_relevant(report, line->time_ms))
 			return line;
 	}
 	return NULL;
 }
 
-/* How long before or after the request that was, as far as one is meant. */
-static const char *when_text(const struct story *story,
-			     const struct log_line *line)
+/* Returns the line's time relative to the request, "" if there is none. */
+static const char *relative_time(const struct report *report,
+				 const struct log_line *line)
 {
 	int64_t after_ms;
 
-	if (story->request == NULL)
+	if (report->request == NULL)
 		return "";
-	after_ms = line->time_ms - story->request->time_ms;
-	return talloc_asprintf(story->lines, " %lld ms %s the request came",
+	after_ms = line->time_ms - report->request->time_ms;
+	return talloc_asprintf(report->lines, " %lld ms %s the request arrived",
 			       (long long)llabs(after_ms),
 			       after_ms < 0 ? "before" : "after");
 }
 
-static void print_load_of(struct why_load load)
+static void print_load_counts(struct why_load load)
 {
 	printf("%u at its endpoint, %u at the service (%.1f for each of %u "
 	       "endpoints)",
-	       load.of_endpoint, load.of_service,
-	       load.endpoints > 0 ? (double)load.of_service / load.endpoints
-				  : 0.0,
-	       load.endpoints);
+	       load.endpoint_requests, load.service_requests,
+	       load.endpoint_count > 0
+		       ? (double)load.service_requests / load.endpoint_count
+		       : 0.0,
+	       load.endpoint_count);
 }
 
-/* What the endpoint and its service were asked, against what was usual. */
-static void print_load(const struct story *story)
+/* Prints the load of the endpoint and its service, and an earlier value. */
+static void print_load(const struct report *report)
 {
-	int64_t at_ms = story->request->time_ms;
+	int64_t at_ms = report->request->time_ms;
 	struct why_load now =
-		why_load_before(story->lines, story->request, at_ms);
-	struct why_load usual = why_load_before(story->lines, story->request,
-						at_ms - USUAL_BEFORE_MS);
-
-	printf("load: requests of the second before it: ");
-	print_load_of(now);
-	printf("; of the second %d s earlier: ", USUAL_BEFORE_MS / 1000);
-	print_load_of(usual);
+		why_load_before(report->lines, report->request, at_ms);
+	struct why_load baseline = why_load_before(
+		report->lines, report->request, at_ms - BASELINE_BEFORE_MS);
+
+	printf("load: requests in the second before it: ");
+	print_load_counts(now);
+	printf("; in the second %d s earlier: ", BASELINE_BEFORE_MS / 1000);
+	print_load_counts(baseline);
 	printf(".\n");
-	if (now.shortened)
+	if (now.lines_omitted)
 		printf("load: nodes left lines out in that second "
-		       "(event=log_shortened): there were more.\n");
+		       "(event=log_shortened): the real load was higher.\n");
 }
 
-/* No node can see answers, which go past it: what is known of the request. */
-static void print_request(const struct story *story)
+/* Prints what is known about the request; nodes do not see responses. */
+static void print_request(const struct report *report)
 {
-	if (story->death == NULL && story->failing == NULL)
+	if (report->death == NULL && report->failure == NULL)
 		printf("then: no node found its endpoint dead or silent: an "
-		       "error, a 503 or a reset that the caller got is the "
-		       "endpoint's own (answers go past the nodes).\n");
-	print_load(story);
+		       "error, a 503 or a reset that the client received is "
+		       "the endpoint's own (responses bypass the nodes).\n");
+	print_load(report);
 }
 
-static void print_decision(const struct story *story)
+static void print_decision(const struct report *report)
 {
 	char *reason;
 
-	if (story->decision == NULL) {
+	if (report->decision == NULL) {
 		printf("conclusion: only requests of this flow were logged; "
-		       "no decision on it (left out, or before these logs)\n");
+		       "no decision on it (omitted from the logs, or "
+		       "earlier than these logs)\n");
 		return;
 	}
-	reason = log_line_field(story->lines, story->decision, "reason");
+	reason = log_line_field(report->lines, report->decision, "reason");
 	for (size_t i = 0; i < sizeof(explanations) / sizeof(explanations[0]);
 	     i++) {
 		if (reason != NULL &&
@@ -381,62 +392,64 @@
 	}
 }
 
-static void print_conclusion(const struct story *story)
+static void print_conclusion(const struct report *report)
 {
-	print_decision(story);
-	if (story->death != NULL)
-		printf("then: its endpoint was found dead by %s (cause=%s)%s; "
-		       "a request that was running there ended with it.\n",
-		       log_line_node(story->death),
-		       log_line_field(story->lines, story->death, "cause"),
-		       when_text(story, story->death));
-	if (story->failing != NULL)
+	print_decision(report);
+	if (report->death != NULL)
+		printf("then: its endpoint was declared dead by %s "
+		       "(cause=%s)%s; a request running there was lost.\n",
+		       log_line_node_name(report->death),
+		       log_line_field(report->lines, report->death, "cause"),
+		       relative_time(report, report->death));
+	if (report->failure != NULL)
 		printf("then: %s found that its endpoint leaves requests "
 		       "unanswered%s: it hangs, is full, or resets its "
 		       "connections.\n",
-		       log_line_node(story->failing),
-		       when_text(story, story->failing));
-	if (story->request != NULL && log_line_is(story->request, "request"))
-		print_request(story);
+		       log_line_node_name(report->failure),
+		       relative_time(report, report->failure));
+	if (report->request != NULL &&
+	    log_line_has_event(report->request, "request"))
+		print_request(report);
 }
 
-/* Processes of the story that say nothing more soon after it. */
-static void print_ends(const struct story *story)
+/* Prints the involved processes whose log ends shortly after the flow. */
+static void print_log_ends(const struct report *report)
 {
-	for (size_t p = 0; p < story->lines->process_count; p++) {
+	for (size_t p = 0; p < report->lines->process_count; p++) {
 		const struct log_line *last = NULL;
 
-		for (size_t i = 0; i < story->lines->count; i++) {
-			if (story->lines->items[i].process ==
-			    story->lines->processes[p])
-				last = &story->lines->items[i];
+		for (size_t i = 0; i < report->lines->count; i++) {
+			if (report->lines->items[i].process ==
+			    report->lines->processes[p])
+				last = &report->lines->items[i];
 		}
-		if (last != NULL && last->time_ms >= story->first_ms &&
-		    last->time_ms <= story->last_ms + AROUND_AFTER_MS &&
-		    names_have(&story->nodes, log_line_node(last)))
-			printf("%s (%s) says no more after that: it ended, "
-			       "or these logs do\n",
-			       log_line_node(last), last->process->key);
+		if (last != NULL && last->time_ms >= report->first_ms &&
+		    last->time_ms <= report->last_ms + CONTEXT_AFTER_MS &&
+		    names_contain(&report->nodes, log_line_node_name(last)))
+			printf("%s (%s) logged nothing more: it stopped, "
+			       "or its log ends here\n",
+			       log_line_node_name(last), last->process->key);
 	}
 }
 
-static void print_story(struct story *story)
+static void print_report(struct report *report)
 {
-	for (size_t i = 0; i < story->lines->count; i++) {
-		const struct log_line *line = &story->lines->items[i];
+	for (size_t i = 0; i < report->lines->count; i++) {
+		const struct log_line *line = &report->lines->items[i];
 
-		if (line_matters(story, line) && !suspicion_again(story, line))
+		if (line_is_relevant(report, line) &&
+		    !suspicion_is_repeated(report, line))
 			print_line(line);
 	}
-	if (story->suspicions_left_out > 0)
-		printf("(%u more lines of event=peer_suspects say the same)\n",
-		       story->suspicions_left_out);
-	print_ends(story);
-	print_conclusion(story);
+	if (report->omitted_suspicions > 0)
+		printf("(%u more lines of event=peer_suspects omitted)\n",
+		       report->omitted_suspicions);
+	print_log_ends(report);
+	print_conclusion(report);
 }
 
-/* The lines that all nodes left out, by each process's last count. */
-static unsigned long long lines_left_out(struct log_lines *lines)
+/* Returns the number of lines that the nodes omitted from their logs. */
+static unsigned long long count_omitted_lines(struct log_lines *lines)
 {
 	static const char *const fields[] = {"ordinary", "unusual", "lost"};
 	unsigned long long sum = 0;
@@ -446,7 +459,8 @@
 
 		for (size_t i = 0; i < lines->count; i++) {
 			if (lines->items[i].process == lines->processes[p] &&
-			    log_line_is(&lines->items[i], "log_shortened"))
+			    log_line_has_event(&lines->items[i],
+					       "log_shortened"))
 				last = &lines->items[i];
 		}
 		for (size_t f = 0; last != NULL && f < 3; f++) {
@@ -458,44 +472,44 @@
 	return sum;
 }
 
-static void print_nothing(const struct story *story)
+static void print_not_found(const struct report *report)
 {
-	unsigned long long left_out = lines_left_out(story->lines);
+	unsigned long long omitted = count_omitted_lines(report->lines);
 
 	fprintf(stderr,
-		"jaspertrack: no line names '%s': left out "
-		"(event=log_shortened tells), lost with its node, or "
-		"it never reached one\n",
-		story->id);
-	if (left_out > 0)
+		"jaspertrack: no line names '%s': its lines were omitted "
+		"(see event=log_shortened) or lost with their node, or "
+		"it never reached a node\n",
+		report->id);
+	if (omitted > 0)
 		fprintf(stderr,
 			"jaspertrack: nodes left %llu lines out: ask by the "
 			"caller's address (IP or IP:PORT)\n",
-			left_out);
+			omitted);
 }
 
 int why_run(const char *id, const char *path)
 {
-	struct story story = {.id = id, .lines = log_lines_create(NULL)};
-	int result = EXIT_TOLD;
+	struct report report = {.id = id, .lines = log_lines_create(NULL)};
+	int result = EXIT_FOUND;
 
-	if (!read_path(story.lines, path)) {
-		fprintf(stderr, "jaspertrack: %s: can't be read\n", path);
+	if (!read_path(report.lines, path)) {
+		fprintf(stderr, "jaspertrack: cannot read %s\n", path);
 		result = EXIT_UNREADABLE;
 		goto out;
 	}
-	log_lines_order(story.lines);
-	find_flows(&story);
-	if (story.flows.count == 0) {
-		print_nothing(&story);
-		result = EXIT_NOTHING;
+	log_lines_sort(report.lines);
+	find_flows(&report);
+	if (report.flows.count == 0) {
+		print_not_found(&report);
+		result = EXIT_NOT_FOUND;
 		goto out;
 	}
-	find_involved(&story);
-	story.death = endpoint_event(&story, "endpoint_dead");
-	story.failing = endpoint_event(&story, "endpoint_failing");
-	print_story(&story);
+	find_related(&report);
+	report.death = endpoint_event(&report, "endpoint_dead");
+	report.failure = endpoint_event(&report, "endpoint_failing");
+	print_report(&report);
 out:
-	talloc_free(story.lines);
+	talloc_free(report.lines);
 	return result;
 }
--- a/src/cli/why.h
+++ b/src/cli/why.h
@@ -1,16 +1,16 @@
 /*
- * `jaspertrack why`: what became of a request or a flow, from the logs of all
- * nodes alone.
+ * `jaspertrack why`: reconstructs what happened to a request or a flow from
+ * the logs of the nodes.
  */
 #ifndef WHY_H
 #define WHY_H
 
 /*
- * @id is a request's id, a flow as logs write it (IP:PORT>IP:PORT), or a
- * caller (IP or IP:PORT): what was decided before a request's bytes came can
- * only be found by the caller. @path
- * is a log file or a folder of them. Prints the story and a conclusion.
- * Returns 0, 1 when no line speaks of it, 2 when logs can't be read.
+ * Prints the log lines that concern @id and a conclusion. @id is a request id,
+ * a flow as logged (IP:PORT>IP:PORT) or a client (IP or IP:PORT); a flow that
+ * ended before its request arrived can only be found by flow or client. @path
+ * is a log file or a directory of log files. Returns 0 on success, 1 if no
+ * line names @id, 2 if @path cannot be read.
  */
 int why_run(const char *id, const char *path);
 
--- a/src/cli/why_load.c
+++ b/src/cli/why_load.c
@@ -5,12 +5,12 @@
 
 enum { WINDOW_MS = 1000 };
 
-/* "198.18.0.1:443" of "100.64.0.4:1072>198.18.0.1:443". */
+/* Returns "198.18.0.1:443" for "100.64.0.4:1072>198.18.0.1:443". */
 static const char *destination_of(const char *flow)
 {
-	const char *mark = flow != NULL ? strchr(flow, '>') : NULL;
+	const char *separator = flow != NULL ? strchr(flow, '>') : NULL;
 
-	return mark != NULL ? mark + 1 : "";
+	return separator != NULL ? separator + 1 : "";
 }
 
 static int compare_ids(const void *a, const void *b)
@@ -20,16 +20,16 @@
 	return (left > right) - (left < right);
 }
 
-static unsigned count_different(uint64_t *ids, size_t count)
+static unsigned count_distinct(uint64_t *ids, size_t count)
 {
-	unsigned different = 0;
+	unsigned distinct = 0;
 
 	if (count == 0)
 		return 0;
 	qsort(ids, count, sizeof(*ids), compare_ids);
 	for (size_t i = 0; i < count; i++)
-		different += i == 0 || ids[i] != ids[i - 1];
-	return different;
+		distinct += i == 0 || ids[i] != ids[i - 1];
+	return distinct;
 }
 
 static uint64_t endpoint_of(TALLOC_CTX *mem_ctx, const struct log_line *line)
@@ -56,16 +56,17 @@
 		if (line->time_ms < until_ms - WINDOW_MS ||
 		    line->time_ms >= until_ms)
 			continue;
-		if (log_line_is(line, "log_shortened"))
-			load.shortened = true;
-		if (!log_line_is(line, "request") ||
+		if (log_line_has_event(line, "log_shortened"))
+			load.lines_omitted = true;
+		if (!log_line_has_event(line, "request") ||
 		    strcmp(destination_of(log_line_field(frame, line, "flow")),
 			   destination) != 0)
 			continue;
-		ids[load.of_service++] = endpoint_of(frame, line);
-		load.of_endpoint += ids[load.of_service - 1] == endpoint;
+		ids[load.service_requests++] = endpoint_of(frame, line);
+		load.endpoint_requests +=
+			ids[load.service_requests - 1] == endpoint;
 	}
-	load.endpoints = count_different(ids, load.of_service);
+	load.endpoint_count = count_distinct(ids, load.service_requests);
 	talloc_free(frame);
 	return load;
 }
--- a/src/cli/why_load.h
+++ b/src/cli/why_load.h
@@ -1,5 +1,5 @@
-/* How much a request's endpoint and service had to do when it came, by the
- * requests that nodes logged. */
+/* Load of a request's endpoint and service when the request arrived, counted
+ * from the requests that nodes logged. */
 #ifndef WHY_LOAD_H
 #define WHY_LOAD_H
 
@@ -8,15 +8,16 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Requests of one second. */
+/* Requests within one second. */
 struct why_load {
-	unsigned of_endpoint;
-	unsigned of_service; /* to the same address and port */
-	unsigned endpoints;  /* that got them */
-	bool shortened;	     /* nodes left lines out then */
+	unsigned endpoint_requests;
+	unsigned service_requests; /* same destination address and port */
+	unsigned endpoint_count;   /* endpoints that received them */
+	bool lines_omitted;	   /* nodes omitted log lines in that second */
 };
 
-/* The second before @until_ms; @request is a line of event=request. */
+/* Returns the load in the second before @until_ms, for the endpoint and
+ * destination of @request, a line with event=request. */
 struct why_load why_load_before(struct log_lines *lines,
 				const struct log_line *request,
 				int64_t until_ms);
