--- a/src/cli/why.c
+++ b/src/cli/why.c
@@ -43,9 +43,8 @@
 	int64_t last_ms;
 	const struct log_line *request;	 /* NULL if @id is a flow or client */
 	const struct log_line *decision; /* last one for any of the flows */
-	const struct log_line *death; /* endpoint was declared dead, or NULL */
-	const struct log_line
-		*failure; /* endpoint left requests unanswered, or NULL */
+	const struct log_line *death;	 /* of the endpoint, or NULL */
+	const struct log_line *failure;	 /* requests unanswered, or NULL */
 };
 
 static bool names_contain(const struct names *names, const char *name)
--- a/src/standin/caller.c
+++ b/src/standin/caller.c
@@ -1,9 +1,9 @@
 /*
- * Callers: open flows through the fabric and check by content that each
- * gets the whole answer to its own request.
+ * Clients: open flows through the fabric and verify that each request receives
+ * its own complete response.
  *
- * Ends with one JSON line. Request ids run on from --first-request, so that
- * the runs of all endpoints can be compared with what callers were told.
+ * Prints one JSON line at the end. --runs-file lists the ids of refused flows
+ * and answered requests, for comparison with the requests endpoints executed.
  */
 #include "content.h"
 #include "stack.h"
@@ -21,31 +21,32 @@
 	"Usage: jaspertrack-standin caller --listen IP:PORT --fabric IP:PORT\n"
 	"         --source IP --duration-s N [--runs-file FILE]\n"
 	"         --load SERVICE,IP:PORT,PER_S,FLOW_S,BYTES,WORK_MS ...\n"
-	"FLOW_S above 0 makes streams that stay open so long and ask now and\n"
-	"then; 0 makes one request a flow. New flows stop 8 s before the "
-	"end.\n";
+	"With FLOW_S above 0, flows stay open for FLOW_S seconds on average\n"
+	"and send a request every 2 s; with 0, each flow sends one request.\n"
+	"No flows are opened in the last 8 s.\n";
 
 enum {
 	LOAD_LIMIT = 32,
 	LINE_LIMIT = 128,
 	ENDPOINT_LIMIT = 256,
-	STOP_EARLY_MS = 8000,
-	ASK_INTERVAL_MS = 2000, /* of a stream */
-	UNANSWERED_MS = 20000,	/* then a flow counts as cut */
+	DRAIN_MS = 8000, /* no new flows in this time before the end */
+	REQUEST_INTERVAL_MS = 2000, /* between requests of a flow */
+	REQUEST_TIMEOUT_MS = 20000, /* then a flow counts as broken */
 	TICK_MS = 20,
-	SAMPLE_MS = 1000,
+	SAMPLE_INTERVAL_MS = 1000,
 };
 
 struct load {
 	char service[64];
 	struct jt_address address;
-	double per_s;
-	double flow_s;
+	double flows_per_s;
+	double mean_flow_s; /* mean duration of a flow; 0: one request */
 	unsigned bytes;
 	unsigned work_ms;
-	double due;
+	double next_flow_s; /* time of the next flow, seconds since the start */
 };
 
+/* Open flows of an endpoint. */
 struct occupancy {
 	char name[64];
 	char service[64];
@@ -61,25 +62,25 @@
 	struct flow *flows;
 	uint64_t started_ms;
 	uint64_t end_ms;
-	uint64_t sample_ms;
-	uint64_t next_id;
+	uint64_t next_sample_ms;
+	uint64_t last_id; /* of flows and requests */
 	struct occupancy endpoints[ENDPOINT_LIMIT];
 	size_t endpoint_count;
-	double worst_imbalance;
+	double max_imbalance;
 	double imbalance_sum;
 	unsigned imbalance_samples;
 	json_t *refused_ids;
 	json_t *answered_ids;
 	unsigned opened, broken, misdelivered, sent, answered, refused;
-	unsigned wrong, unresolved, lost_connect;
+	unsigned answered_wrong, unresolved, connect_timeouts;
 	bool done;
 };
 
-enum flow_step {
+enum flow_state {
 	FLOW_CONNECTING,
-	FLOW_GREETING,
+	FLOW_HANDSHAKE,
 	FLOW_IDLE,
-	FLOW_ASKING,
+	FLOW_WAITING,
 	FLOW_CLOSED
 };
 
@@ -88,25 +89,25 @@
 	struct caller *caller;
 	struct load *load;
 	struct tcp_pcb *pcb;
-	enum flow_step step;
+	enum flow_state state;
 	uint64_t id;
 	uint64_t request;
 	uint64_t close_ms;
-	uint64_t ask_ms;
+	uint64_t next_request_ms;
 	uint64_t waiting_since_ms;
-	uint16_t port; /* of the caller */
+	uint16_t port; /* source port */
 	char line[LINE_LIMIT];
 	size_t line_length;
-	size_t body_left;
-	size_t body_at;
-	bool body_right;
+	size_t body_remaining;
+	size_t body_offset;
+	bool body_valid;
 	struct occupancy *endpoint;
 };
 
 static struct occupancy *occupancy_get(struct caller *caller,
 				       const char *service, const char *name)
 {
-	struct occupancy *o;
+	struct occupancy *occupancy;
 
 	for (size_t i = 0; i < caller->endpoint_count; i++) {
 		if (strcmp(caller->endpoints[i].name, name) == 0)
@@ -114,18 +115,18 @@
 	}
 	if (caller->endpoint_count == ENDPOINT_LIMIT)
 		return NULL;
-	o = &caller->endpoints[caller->endpoint_count++];
-	snprintf(o->name, sizeof(o->name), "%s", name);
-	snprintf(o->service, sizeof(o->service), "%s", service);
-	return o;
+	occupancy = &caller->endpoints[caller->endpoint_count++];
+	snprintf(occupancy->name, sizeof(occupancy->name), "%s", name);
+	snprintf(occupancy->service, sizeof(occupancy->service), "%s", service);
+	return occupancy;
 }
 
-/* The flow's object lives until the tick sweeps it up. */
-static void flow_end(struct flow *flow)
+/* Closes the flow; the next tick frees it. */
+static void flow_close(struct flow *flow)
 {
-	if (flow->endpoint != NULL && flow->step != FLOW_CLOSED)
+	if (flow->endpoint != NULL && flow->state != FLOW_CLOSED)
 		flow->endpoint->open--;
-	flow->step = FLOW_CLOSED;
+	flow->state = FLOW_CLOSED;
 	if (flow->pcb == NULL)
 		return;
 	tcp_arg(flow->pcb, NULL);
@@ -143,12 +144,12 @@
 	flow->waiting_since_ms = jt_clock_ms();
 }
 
-static void flow_ask(struct flow *flow)
+static void flow_send_request(struct flow *flow)
 {
 	char line[LINE_LIMIT];
 
-	flow->request = ++flow->caller->next_id;
-	flow->step = FLOW_ASKING;
+	flow->request = ++flow->caller->last_id;
+	flow->state = FLOW_WAITING;
 	flow->caller->sent++;
 	snprintf(line, sizeof(line), "RUN %llu %u %u\n",
 		 (unsigned long long)flow->request, flow->load->bytes,
@@ -156,8 +157,8 @@
 	flow_write(flow, line);
 }
 
-static void flow_welcomed(struct flow *flow, const char *service,
-			  const char *name)
+static void flow_established(struct flow *flow, const char *service,
+			     const char *name)
 {
 	struct caller *caller = flow->caller;
 
@@ -168,25 +169,25 @@
 	if (strcmp(service, flow->load->service) != 0)
 		caller->misdelivered++;
 	flow->waiting_since_ms = 0;
-	flow_ask(flow);
+	flow_send_request(flow);
 }
 
-static void flow_answered(struct flow *flow)
+static void flow_response_received(struct flow *flow)
 {
 	struct caller *caller = flow->caller;
 
 	flow->waiting_since_ms = 0;
-	if (!flow->body_right) {
-		caller->wrong++;
+	if (!flow->body_valid) {
+		caller->answered_wrong++;
 	} else {
 		caller->answered++;
 		json_array_append_new(caller->answered_ids,
 				      json_integer((json_int_t)flow->request));
 	}
-	flow->step = FLOW_IDLE;
-	flow->ask_ms = jt_clock_ms() + ASK_INTERVAL_MS;
-	if (flow->load->flow_s <= 0)
-		flow->close_ms = 0; /* the next tick closes it */
+	flow->state = FLOW_IDLE;
+	flow->next_request_ms = jt_clock_ms() + REQUEST_INTERVAL_MS;
+	if (flow->load->mean_flow_s <= 0)
+		flow->close_ms = 0; /* closed by the next tick */
 }
 
 static void handle_line(struct flow *flow)
@@ -194,33 +195,33 @@
 	unsigned long long id, bytes;
 	char service[64], name[64];
 
-	if (flow->step == FLOW_GREETING &&
+	if (flow->state == FLOW_HANDSHAKE &&
 	    sscanf(flow->line, "WELCOME %llu %63s %63s", &id, service, name) ==
 		    3) {
 		if (id != flow->id)
 			flow->caller->misdelivered++;
-		flow_welcomed(flow, service, name);
-	} else if (flow->step == FLOW_ASKING &&
+		flow_established(flow, service, name);
+	} else if (flow->state == FLOW_WAITING &&
 		   sscanf(flow->line, "ANSWER %llu %llu", &id, &bytes) == 2) {
-		flow->body_left = (size_t)bytes;
-		flow->body_at = 0;
-		flow->body_right =
+		flow->body_remaining = (size_t)bytes;
+		flow->body_offset = 0;
+		flow->body_valid =
 			id == flow->request && bytes == flow->load->bytes;
 		if (bytes == 0)
-			flow_answered(flow);
+			flow_response_received(flow);
 	} else {
-		flow->caller->wrong++;
+		flow->caller->answered_wrong++;
 	}
 }
 
-static void take_byte(struct flow *flow, char byte)
+static void consume_byte(struct flow *flow, char byte)
 {
-	if (flow->body_left > 0) {
-		if (byte != content_byte(flow->request, flow->body_at))
-			flow->body_right = false;
-		flow->body_at++;
-		if (--flow->body_left == 0)
-			flow_answered(flow);
+	if (flow->body_remaining > 0) {
+		if (byte != content_byte(flow->request, flow->body_offset))
+			flow->body_valid = false;
+		flow->body_offset++;
+		if (--flow->body_remaining == 0)
+			flow_response_received(flow);
 		return;
 	}
 	if (byte != '\n') {
@@ -233,84 +234,85 @@
 	handle_line(flow);
 }
 
-/* One line for a flow that ended though nobody here closed it: what showed it,
- * when, and by which port its packets can be found. */
-static void end_tell(const struct flow *flow, const char *what,
-		     const char *reason)
+/* Logs a flow that was not closed by this client, with its source port to find
+ * its packets in captures. */
+static void log_flow_end(const struct flow *flow, const char *outcome,
+			 const char *reason)
 {
 	uint64_t now_ms = jt_clock_ms();
 
 	fprintf(stderr,
-		"caller: flow %llu of %s on %s is %s: %s port=%u up_ms=%llu "
+		"caller: flow %llu of %s on %s %s: %s port=%u up_ms=%llu "
 		"step=%d waiting_ms=%llu\n",
 		(unsigned long long)flow->id, flow->load->service,
-		flow->endpoint ? flow->endpoint->name : "?", what, reason,
-		flow->port, (unsigned long long)now_ms, (int)flow->step,
+		flow->endpoint ? flow->endpoint->name : "?", outcome, reason,
+		flow->port, (unsigned long long)now_ms, (int)flow->state,
 		(unsigned long long)(flow->waiting_since_ms != 0
 					     ? now_ms - flow->waiting_since_ms
 					     : 0));
 }
 
-/* An established flow ended though nobody here closed it. */
-static void flow_cut(struct flow *flow, const char *reason)
+/* Counts a flow that was refused or broken, and closes it. */
+static void flow_aborted(struct flow *flow, const char *reason)
 {
 	struct caller *caller = flow->caller;
 
-	if (flow->step == FLOW_CONNECTING) {
+	if (flow->state == FLOW_CONNECTING) {
 		caller->refused++;
-		end_tell(flow, "refused", reason);
+		log_flow_end(flow, "refused", reason);
 		json_array_append_new(caller->refused_ids,
 				      json_integer((json_int_t)flow->id));
 	} else {
 		caller->broken++;
-		end_tell(flow, "cut", reason);
-		if (flow->step == FLOW_ASKING)
+		log_flow_end(flow, "broken", reason);
+		if (flow->state == FLOW_WAITING)
 			caller->unresolved++;
 	}
-	flow_end(flow);
+	flow_close(flow);
 }
 
-static err_t on_data(void *argument, struct tcp_pcb *pcb, struct pbuf *p,
+static err_t on_data(void *private_data, struct tcp_pcb *pcb, struct pbuf *p,
 		     err_t error)
 {
-	struct flow *flow = argument;
+	struct flow *flow = private_data;
 
 	(void)error;
 	if (p == NULL) {
-		flow_cut(flow, "closed by the other end");
+		flow_aborted(flow, "closed by the endpoint");
 		return ERR_OK;
 	}
 	for (uint16_t i = 0; i < p->tot_len; i++)
-		take_byte(flow, (char)pbuf_get_at(p, i));
+		consume_byte(flow, (char)pbuf_get_at(p, i));
 	tcp_recved(pcb, p->tot_len);
 	pbuf_free(p);
 	return ERR_OK;
 }
 
-static void on_error(void *argument, err_t error)
+static void on_error(void *private_data, err_t error)
 {
-	struct flow *flow = argument;
+	struct flow *flow = private_data;
 
 	if (flow == NULL)
 		return;
 	flow->pcb = NULL; /* lwIP has freed it */
-	if (flow->step == FLOW_CONNECTING && error != ERR_RST) {
-		flow->caller->lost_connect++;
-		flow->step = FLOW_CLOSED;
+	if (flow->state == FLOW_CONNECTING && error != ERR_RST) {
+		flow->caller->connect_timeouts++;
+		flow->state = FLOW_CLOSED;
 		return;
 	}
-	flow_cut(flow, error == ERR_RST ? "reset" : "no answer to packets");
+	flow_aborted(flow,
+		     error == ERR_RST ? "reset" : "retransmissions timed out");
 }
 
-static err_t on_connected(void *argument, struct tcp_pcb *pcb, err_t error)
+static err_t on_connected(void *private_data, struct tcp_pcb *pcb, err_t error)
 {
-	struct flow *flow = argument;
+	struct flow *flow = private_data;
 	char line[LINE_LIMIT];
 
 	(void)pcb;
 	if (error != ERR_OK)
 		return error;
-	flow->step = FLOW_GREETING;
+	flow->state = FLOW_HANDSHAKE;
 	snprintf(line, sizeof(line), "HELLO %llu %s\n",
 		 (unsigned long long)flow->id, flow->load->service);
 	flow_write(flow, line);
@@ -321,15 +323,15 @@
 {
 	struct flow *flow = talloc_zero(caller, struct flow);
 	uint64_t now = jt_clock_ms();
-	ip_addr_t to = {0};
+	ip_addr_t destination = {0};
 
 	flow->caller = caller;
 	flow->load = load;
-	flow->id = ++caller->next_id;
-	flow->close_ms =
-		now + (uint64_t)(load->flow_s * 1000 * -log(1 - drand48()));
-	if (flow->close_ms > caller->end_ms - STOP_EARLY_MS / 2)
-		flow->close_ms = caller->end_ms - STOP_EARLY_MS / 2;
+	flow->id = ++caller->last_id;
+	flow->close_ms = now + (uint64_t)(load->mean_flow_s * 1000 *
+					  -log(1 - drand48()));
+	if (flow->close_ms > caller->end_ms - DRAIN_MS / 2)
+		flow->close_ms = caller->end_ms - DRAIN_MS / 2;
 	flow->pcb = tcp_new();
 	if (flow->pcb == NULL) {
 		talloc_free(flow);
@@ -340,61 +342,61 @@
 	tcp_arg(flow->pcb, flow);
 	tcp_recv(flow->pcb, on_data);
 	tcp_err(flow->pcb, on_error);
-	IP_SET_TYPE_VAL(to, IPADDR_TYPE_V4);
-	ip_2_ip4(&to)->addr = lwip_htonl(load->address.ip);
-	if (tcp_connect(flow->pcb, &to, load->address.port, on_connected) !=
-	    ERR_OK)
-		flow_end(flow);
+	IP_SET_TYPE_VAL(destination, IPADDR_TYPE_V4);
+	ip_2_ip4(&destination)->addr = lwip_htonl(load->address.ip);
+	if (tcp_connect(flow->pcb, &destination, load->address.port,
+			on_connected) != ERR_OK)
+		flow_close(flow);
 	else
 		flow->port = flow->pcb->local_port;
 }
 
-static void flow_tick(struct flow *flow, uint64_t now)
+static void flow_update(struct flow *flow, uint64_t now)
 {
-	if (flow->step == FLOW_IDLE && now >= flow->close_ms) {
-		flow_end(flow);
-	} else if (flow->step == FLOW_IDLE && now >= flow->ask_ms) {
-		flow_ask(flow);
-	} else if (flow->step != FLOW_CONNECTING && flow->step != FLOW_CLOSED &&
-		   flow->waiting_since_ms &&
-		   now > flow->waiting_since_ms + UNANSWERED_MS) {
-		flow_cut(flow, "no answer to a request");
+	if (flow->state == FLOW_IDLE && now >= flow->close_ms) {
+		flow_close(flow);
+	} else if (flow->state == FLOW_IDLE && now >= flow->next_request_ms) {
+		flow_send_request(flow);
+	} else if (flow->state != FLOW_CONNECTING &&
+		   flow->state != FLOW_CLOSED && flow->waiting_since_ms &&
+		   now > flow->waiting_since_ms + REQUEST_TIMEOUT_MS) {
+		flow_aborted(flow, "request timed out");
 	}
 }
 
 static void sample_service(struct caller *caller, const char *service)
 {
-	unsigned count = 0, sum = 0, most = 0;
+	unsigned count = 0, sum = 0, max = 0;
 	double imbalance;
 
 	for (size_t i = 0; i < caller->endpoint_count; i++) {
-		const struct occupancy *o = &caller->endpoints[i];
+		const struct occupancy *occupancy = &caller->endpoints[i];
 
-		if (strcmp(o->service, service) != 0)
+		if (strcmp(occupancy->service, service) != 0)
 			continue;
 		count++;
-		sum += o->open;
-		if (o->open > most)
-			most = o->open;
+		sum += occupancy->open;
+		if (occupancy->open > max)
+			max = occupancy->open;
 	}
 	if (count < 2 || sum < 20 * count)
-		return; /* too few flows to say anything */
-	imbalance = (double)most * count / sum;
+		return; /* too few flows for a meaningful value */
+	imbalance = (double)max * count / sum;
 	caller->imbalance_sum += imbalance;
 	caller->imbalance_samples++;
-	if (imbalance > caller->worst_imbalance)
-		caller->worst_imbalance = imbalance;
+	if (imbalance > caller->max_imbalance)
+		caller->max_imbalance = imbalance;
 }
 
-static void sweep(struct caller *caller, uint64_t now)
+static void update_flows(struct caller *caller, uint64_t now)
 {
 	struct flow **link = &caller->flows;
 
 	while (*link != NULL) {
 		struct flow *flow = *link;
 
-		flow_tick(flow, now);
-		if (flow->step != FLOW_CLOSED) {
+		flow_update(flow, now);
+		if (flow->state != FLOW_CLOSED) {
 			link = &flow->next;
 			continue;
 		}
@@ -406,9 +408,9 @@
 static void caller_finish(struct caller *caller)
 {
 	for (struct flow *flow = caller->flows; flow; flow = flow->next) {
-		if (flow->step == FLOW_ASKING)
+		if (flow->state == FLOW_WAITING)
 			caller->unresolved++;
-		flow_end(flow);
+		flow_close(flow);
 	}
 	caller->done = true;
 }
@@ -425,15 +427,16 @@
 	for (size_t i = 0; i < caller->load_count; i++) {
 		struct load *load = &caller->loads[i];
 
-		while (now + STOP_EARLY_MS < caller->end_ms &&
-		       load->due <= seconds) {
-			load->due += -log(1 - drand48()) / load->per_s;
+		while (now + DRAIN_MS < caller->end_ms &&
+		       load->next_flow_s <= seconds) {
+			load->next_flow_s +=
+				-log(1 - drand48()) / load->flows_per_s;
 			flow_open(caller, load);
 		}
 	}
-	sweep(caller, now);
-	if (now >= caller->sample_ms) {
-		caller->sample_ms = now + SAMPLE_MS;
+	update_flows(caller, now);
+	if (now >= caller->next_sample_ms) {
+		caller->next_sample_ms = now + SAMPLE_INTERVAL_MS;
 		for (size_t i = 0; i < caller->load_count; i++)
 			sample_service(caller, caller->loads[i].service);
 	}
@@ -455,11 +458,11 @@
 		return false;
 	load = &caller->loads[caller->load_count];
 	if (sscanf(text, "%63[^,],%31[^,],%lf,%lf,%u,%u", load->service,
-		   address, &load->per_s, &load->flow_s, &load->bytes,
-		   &load->work_ms) != 6 ||
+		   address, &load->flows_per_s, &load->mean_flow_s,
+		   &load->bytes, &load->work_ms) != 6 ||
 	    jt_address_parse(address, &load->address) != 0 ||
-	    load->per_s <= 0) {
-		fprintf(stderr, "caller: --load '%s' is wrong\n", text);
+	    load->flows_per_s <= 0) {
+		fprintf(stderr, "caller: --load '%s' is invalid\n", text);
 		return false;
 	}
 	caller->load_count++;
@@ -472,7 +475,7 @@
 				 "answered", caller->answered_ids);
 
 	if (json_dump_file(runs, name, JSON_COMPACT) != 0)
-		fprintf(stderr, "caller: %s can't be written\n", name);
+		fprintf(stderr, "caller: cannot write %s\n", name);
 	json_decref(runs);
 }
 
@@ -484,14 +487,14 @@
 		"packets_misdelivered", (int)caller->misdelivered,
 		"requests_sent", (int)caller->sent, "requests_answered_whole",
 		(int)caller->answered, "requests_answered_wrong",
-		(int)caller->wrong, "requests_refused", (int)caller->refused,
-		"requests_unresolved", (int)caller->unresolved,
-		"connects_timed_out", (int)caller->lost_connect,
-		"imbalance_mean",
+		(int)caller->answered_wrong, "requests_refused",
+		(int)caller->refused, "requests_unresolved",
+		(int)caller->unresolved, "connects_timed_out",
+		(int)caller->connect_timeouts, "imbalance_mean",
 		caller->imbalance_samples
 			? caller->imbalance_sum / caller->imbalance_samples
 			: 0.0,
-		"imbalance_max", caller->worst_imbalance);
+		"imbalance_max", caller->max_imbalance);
 	char *text = json_dumps(result, JSON_COMPACT | JSON_REAL_PRECISION(5));
 
 	puts(text);
@@ -508,7 +511,7 @@
 	}
 	if (caller->load_count > 0)
 		return true;
-	fprintf(stderr, "caller: at least one --load is needed\n");
+	fprintf(stderr, "caller: at least one --load is required\n");
 	return false;
 }
 
@@ -516,37 +519,38 @@
 {
 	const char *runs_file = standin_option(argc, argv, "--runs-file");
 	const char *source = standin_option(argc, argv, "--source");
-	struct jt_address listen, fabric, inner;
+	struct jt_address listen, fabric, source_address;
 	struct caller *caller;
 	char text[64];
 	bool finished, failed;
 
-	if (standin_help(argc, argv, usage))
-		return EXIT_DONE;
-	if (!standin_address(argc, argv, "--listen", &listen) ||
-	    !standin_address(argc, argv, "--fabric", &fabric))
+	if (standin_help_requested(argc, argv, usage))
+		return EXIT_OK;
+	if (!standin_address_option(argc, argv, "--listen", &listen) ||
+	    !standin_address_option(argc, argv, "--fabric", &fabric))
 		return EXIT_USAGE;
 	snprintf(text, sizeof(text), "%s:1", source ? source : "");
-	if (jt_address_parse(text, &inner) != 0) {
-		fprintf(stderr, "caller: --source IP is needed\n");
+	if (jt_address_parse(text, &source_address) != 0) {
+		fprintf(stderr, "caller: --source IP is required\n");
 		return EXIT_USAGE;
 	}
 	caller = talloc_zero(NULL, struct caller);
 	if (!caller_arguments(caller, argc, argv))
 		return EXIT_USAGE;
-	caller->loop = standin_loop(caller, &finished);
+	caller->loop = standin_loop_create(caller, &finished);
 	caller->stack = stack_create(caller, caller->loop, listen, fabric);
 	if (caller->stack == NULL ||
-	    stack_add_address(caller->stack, inner.ip) != 0) {
+	    stack_add_address(caller->stack, source_address.ip) != 0) {
 		perror("caller");
 		return EXIT_FAILED;
 	}
 	caller->refused_ids = json_array();
 	caller->answered_ids = json_array();
 	caller->started_ms = jt_clock_ms();
-	caller->end_ms = caller->started_ms +
-			 (uint64_t)(1000 * standin_number(argc, argv,
-							  "--duration-s", 30));
+	caller->end_ms =
+		caller->started_ms +
+		(uint64_t)(1000 * standin_number_option(argc, argv,
+							"--duration-s", 30));
 	tevent_add_timer(caller->loop, caller, tevent_timeval_current(),
 			 on_tick, caller);
 	while (!caller->done && !finished)
@@ -555,9 +559,9 @@
 		write_runs(caller, runs_file);
 	print_result(caller);
 	failed = caller->broken > 0 || caller->misdelivered > 0 ||
-		 caller->wrong > 0 || caller->unresolved > 0;
+		 caller->answered_wrong > 0 || caller->unresolved > 0;
 	json_decref(caller->refused_ids);
 	json_decref(caller->answered_ids);
 	talloc_free(caller);
-	return failed ? EXIT_FAILED : EXIT_DONE;
+	return failed ? EXIT_FAILED : EXIT_OK;
 }
--- a/src/standin/content.h
+++ b/src/standin/content.h
@@ -1,8 +1,8 @@
 /*
- * What callers and endpoints say to each other, and the content of answers,
- * which depends on the request alone so that any caller can check it.
+ * Protocol between the stand-in clients and endpoints, and the content of
+ * responses. It depends only on the request id, so that clients can verify it.
  *
- *   caller                              endpoint
+ *   client                              endpoint
  *   HELLO <flow> <service>\n            WELCOME <flow> <service> <endpoint>\n
  *   RUN <request> <bytes> <work ms>\n   ANSWER <request> <bytes>\n<bytes>
  */
@@ -12,12 +12,12 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Byte @at of the answer to @request. */
-static inline char content_byte(uint64_t request, size_t at)
+/* Returns the byte at @offset of the response to @request. */
+static inline char content_byte(uint64_t request, size_t offset)
 {
-	uint64_t mixed = (request + at / 8) * 0x9e3779b97f4a7c15ull;
+	uint64_t hash = (request + offset / 8) * 0x9e3779b97f4a7c15ull;
 
-	return (char)('a' + (mixed >> (8 * (at % 8))) % 26);
+	return (char)('a' + (hash >> (8 * (offset % 8))) % 26);
 }
 
 #endif
--- a/src/standin/endpoint.c
+++ b/src/standin/endpoint.c
@@ -1,6 +1,7 @@
 /*
- * A back end: slots, connections, a health and load page, draining, cold
- * start, shedding, and a list of the requests it ran.
+ * A backend that reports its state and load on a health page, lists the
+ * requests it has executed, and counts when its slot or connection limit is
+ * exceeded.
  *
  * GET /health, GET /runs, POST /control {"draining", "shedding", "cold",
  * "frozen": bool, "claimed_connections": N}.
@@ -22,23 +23,23 @@
 	"         --listen IP:PORT --health IP:PORT --gateway IP:PORT\n"
 	"         --address IP[,IP...] --port N --slots N --connections N\n";
 
-enum { LINE_LIMIT = 128, SEND_PART = 2048 };
+enum { LINE_LIMIT = 128, SEND_CHUNK = 2048 };
 
 struct endpoint {
 	struct tevent_context *loop;
 	struct stack *stack;
 	const char *name;
 	const char *service;
-	unsigned slots;
-	unsigned connections;
+	unsigned slot_limit;
+	unsigned connection_limit;
 	unsigned slots_used;
-	unsigned open;
-	unsigned overflow; /* connections or slots beyond the limit */
+	unsigned open_connections;
+	unsigned overflow; /* times a connection or slot limit was exceeded */
 	bool draining;
 	bool shedding;
 	bool cold;
-	long claimed_connections; /* what the load page says, -1: the truth */
-	uint64_t *runs;
+	long claimed_connections; /* reported by /health; -1: the real number */
+	uint64_t *runs;		  /* ids of executed requests */
 	size_t run_count;
 };
 
@@ -48,204 +49,212 @@
 	char line[LINE_LIMIT];
 	size_t line_length;
 	bool closing;
-	/* The answer that is being sent. */
+	/* The request being executed or answered. */
 	uint64_t request;
 	size_t bytes;
 	size_t sent;
-	bool working;
+	bool executing;
 	bool sending;
 };
 
-static void slot_free(struct connection *c)
+static void slot_release(struct connection *connection)
 {
-	if (c->working || c->sending)
-		c->endpoint->slots_used--;
-	c->working = false;
-	c->sending = false;
+	if (connection->executing || connection->sending)
+		connection->endpoint->slots_used--;
+	connection->executing = false;
+	connection->sending = false;
 }
 
-static void connection_free(struct connection *c)
+static void connection_close(struct connection *connection)
 {
-	slot_free(c);
-	c->endpoint->open--;
-	if (c->pcb != NULL) {
-		tcp_arg(c->pcb, NULL);
-		tcp_recv(c->pcb, NULL);
-		tcp_sent(c->pcb, NULL);
-		tcp_err(c->pcb, NULL);
-		if (tcp_close(c->pcb) != ERR_OK)
-			tcp_abort(c->pcb);
+	slot_release(connection);
+	connection->endpoint->open_connections--;
+	if (connection->pcb != NULL) {
+		tcp_arg(connection->pcb, NULL);
+		tcp_recv(connection->pcb, NULL);
+		tcp_sent(connection->pcb, NULL);
+		tcp_err(connection->pcb, NULL);
+		if (tcp_close(connection->pcb) != ERR_OK)
+			tcp_abort(connection->pcb);
 	}
-	talloc_free(c);
+	talloc_free(connection);
 }
 
-static void send_more(struct connection *c)
+static void send_body(struct connection *connection)
 {
-	char part[SEND_PART];
+	char chunk[SEND_CHUNK];
 
-	while (c->sending && c->sent < c->bytes) {
-		size_t count = c->bytes - c->sent;
+	while (connection->sending && connection->sent < connection->bytes) {
+		size_t count = connection->bytes - connection->sent;
 
-		if (count > sizeof(part))
-			count = sizeof(part);
-		if (count > tcp_sndbuf(c->pcb))
-			count = tcp_sndbuf(c->pcb);
+		if (count > sizeof(chunk))
+			count = sizeof(chunk);
+		if (count > tcp_sndbuf(connection->pcb))
+			count = tcp_sndbuf(connection->pcb);
 		if (count == 0)
 			break;
 		for (size_t i = 0; i < count; i++)
-			part[i] = content_byte(c->request, c->sent + i);
-		if (tcp_write(c->pcb, part, (uint16_t)count,
+			chunk[i] = content_byte(connection->request,
+						connection->sent + i);
+		if (tcp_write(connection->pcb, chunk, (uint16_t)count,
 			      TCP_WRITE_FLAG_COPY) != ERR_OK)
 			break;
-		c->sent += count;
+		connection->sent += count;
 	}
-	if (c->sending && c->sent == c->bytes)
-		slot_free(c);
-	tcp_output(c->pcb);
+	if (connection->sending && connection->sent == connection->bytes)
+		slot_release(connection);
+	tcp_output(connection->pcb);
 }
 
-static void send_line(struct connection *c, const char *line)
+static void send_line(struct connection *connection, const char *line)
 {
-	tcp_write(c->pcb, line, (uint16_t)strlen(line), TCP_WRITE_FLAG_COPY);
-	tcp_output(c->pcb);
+	tcp_write(connection->pcb, line, (uint16_t)strlen(line),
+		  TCP_WRITE_FLAG_COPY);
+	tcp_output(connection->pcb);
 }
 
-static void answer(struct connection *c)
+static void send_response(struct connection *connection)
 {
 	char line[LINE_LIMIT];
 
-	c->working = false;
-	c->sending = true;
-	c->sent = 0;
+	connection->executing = false;
+	connection->sending = true;
+	connection->sent = 0;
 	snprintf(line, sizeof(line), "ANSWER %llu %zu\n",
-		 (unsigned long long)c->request, c->bytes);
-	send_line(c, line);
-	send_more(c);
+		 (unsigned long long)connection->request, connection->bytes);
+	send_line(connection, line);
+	send_body(connection);
 }
 
-static void on_worked(struct tevent_context *loop, struct tevent_timer *timer,
-		      struct timeval now, void *private_data)
+static void on_work_done(struct tevent_context *loop,
+			 struct tevent_timer *timer, struct timeval now,
+			 void *private_data)
 {
 	(void)loop;
 	(void)timer;
 	(void)now;
-	answer(private_data);
+	send_response(private_data);
 }
 
-static void run(struct connection *c, uint64_t request, size_t bytes,
-		unsigned work_ms)
+static void start_request(struct connection *connection, uint64_t request,
+			  size_t bytes, unsigned work_ms)
 {
-	struct endpoint *endpoint = c->endpoint;
+	struct endpoint *endpoint = connection->endpoint;
 
 	endpoint->runs = talloc_realloc(endpoint, endpoint->runs, uint64_t,
 					endpoint->run_count + 1);
 	endpoint->runs[endpoint->run_count++] = request;
-	if (++endpoint->slots_used > endpoint->slots && work_ms > 0)
+	if (++endpoint->slots_used > endpoint->slot_limit && work_ms > 0)
 		endpoint->overflow++;
-	c->request = request;
-	c->bytes = bytes;
-	c->working = true;
-	tevent_add_timer(endpoint->loop, c,
+	connection->request = request;
+	connection->bytes = bytes;
+	connection->executing = true;
+	tevent_add_timer(endpoint->loop, connection,
 			 tevent_timeval_current_ofs(work_ms / 1000,
 						    work_ms % 1000 * 1000),
-			 on_worked, c);
+			 on_work_done, connection);
 }
 
-static void handle_line(struct connection *c)
+static void handle_line(struct connection *connection)
 {
 	unsigned long long flow, request, bytes;
 	char service[64], line[LINE_LIMIT];
 	unsigned work_ms;
 
-	if (sscanf(c->line, "HELLO %llu %63s", &flow, service) == 2) {
+	if (sscanf(connection->line, "HELLO %llu %63s", &flow, service) == 2) {
 		snprintf(line, sizeof(line), "WELCOME %llu %.40s %.40s\n", flow,
-			 c->endpoint->service, c->endpoint->name);
-		send_line(c, line);
-	} else if (sscanf(c->line, "RUN %llu %llu %u", &request, &bytes,
-			  &work_ms) == 3) {
-		run(c, request, (size_t)bytes, work_ms);
+			 connection->endpoint->service,
+			 connection->endpoint->name);
+		send_line(connection, line);
+	} else if (sscanf(connection->line, "RUN %llu %llu %u", &request,
+			  &bytes, &work_ms) == 3) {
+		start_request(connection, request, (size_t)bytes, work_ms);
 	}
 }
 
-static err_t on_data(void *argument, struct tcp_pcb *pcb, struct pbuf *p,
+static err_t on_data(void *private_data, struct tcp_pcb *pcb, struct pbuf *p,
 		     err_t error)
 {
-	struct connection *c = argument;
+	struct connection *connection = private_data;
 
 	(void)error;
 	if (p == NULL) {
-		connection_free(c);
+		connection_close(connection);
 		return ERR_OK;
 	}
 	for (uint16_t i = 0; i < p->tot_len; i++) {
 		char byte = (char)pbuf_get_at(p, i);
 
 		if (byte != '\n') {
-			if (c->line_length < LINE_LIMIT - 1)
-				c->line[c->line_length++] = byte;
+			if (connection->line_length < LINE_LIMIT - 1)
+				connection->line[connection->line_length++] =
+					byte;
 			continue;
 		}
-		c->line[c->line_length] = '\0';
-		c->line_length = 0;
-		handle_line(c);
+		connection->line[connection->line_length] = '\0';
+		connection->line_length = 0;
+		handle_line(connection);
 	}
 	tcp_recved(pcb, p->tot_len);
 	pbuf_free(p);
 	return ERR_OK;
 }
 
-static err_t on_sent(void *argument, struct tcp_pcb *pcb, uint16_t length)
+static err_t on_sent(void *private_data, struct tcp_pcb *pcb, uint16_t length)
 {
-	struct connection *c = argument;
+	struct connection *connection = private_data;
 
 	(void)pcb;
 	(void)length;
-	if (c->sending)
-		send_more(c);
+	if (connection->sending)
+		send_body(connection);
 	return ERR_OK;
 }
 
-static void on_error(void *argument, err_t error)
+static void on_error(void *private_data, err_t error)
 {
-	struct connection *c = argument;
+	struct connection *connection = private_data;
 
 	(void)error;
-	if (c == NULL)
+	if (connection == NULL)
 		return;
-	c->pcb = NULL; /* lwIP has freed it */
-	connection_free(c);
+	connection->pcb = NULL; /* lwIP has freed it */
+	connection_close(connection);
 }
 
-static err_t on_accept(void *argument, struct tcp_pcb *pcb, err_t error)
+static err_t on_accept(void *private_data, struct tcp_pcb *pcb, err_t error)
 {
-	struct endpoint *endpoint = argument;
-	struct connection *c;
+	struct endpoint *endpoint = private_data;
+	struct connection *connection;
 
 	if (error != ERR_OK || pcb == NULL)
 		return ERR_VAL;
-	c = talloc_zero(endpoint, struct connection);
-	c->endpoint = endpoint;
-	c->pcb = pcb;
-	if (++endpoint->open > endpoint->connections)
+	connection = talloc_zero(endpoint, struct connection);
+	connection->endpoint = endpoint;
+	connection->pcb = pcb;
+	if (++endpoint->open_connections > endpoint->connection_limit)
 		endpoint->overflow++;
-	tcp_arg(pcb, c);
+	tcp_arg(pcb, connection);
 	tcp_recv(pcb, on_data);
 	tcp_sent(pcb, on_sent);
 	tcp_err(pcb, on_error);
 	return ERR_OK;
 }
 
-static void handle_health(struct endpoint *e, struct jt_http_request *request)
+static void handle_health(struct endpoint *endpoint,
+			  struct jt_http_request *request)
 {
-	long connections = e->claimed_connections >= 0 ? e->claimed_connections
-						       : (long)e->open;
+	long connections = endpoint->claimed_connections >= 0
+				   ? endpoint->claimed_connections
+				   : (long)endpoint->open_connections;
 	json_t *page = json_pack(
 		"{s:b,s:i,s:b,s:b,s:b,s:I,s:I,s:I,s:I}", "ok", 1, "instance",
-		(int)getpid(), "draining", (int)e->draining, "shedding",
-		(int)e->shedding, "cold", (int)e->cold, "connections",
-		(json_int_t)connections, "slots_used",
-		(json_int_t)e->slots_used, "overflow", (json_int_t)e->overflow,
-		"open", (json_int_t)e->open);
+		(int)getpid(), "draining", (int)endpoint->draining, "shedding",
+		(int)endpoint->shedding, "cold", (int)endpoint->cold,
+		"connections", (json_int_t)connections, "slots_used",
+		(json_int_t)endpoint->slots_used, "overflow",
+		(json_int_t)endpoint->overflow, "open",
+		(json_int_t)endpoint->open_connections);
 	char *text = json_dumps(page, JSON_COMPACT);
 
 	jt_http_reply(request, 200, "application/json", text);
@@ -253,21 +262,22 @@
 	json_decref(page);
 }
 
-static void handle_runs(struct endpoint *e, struct jt_http_request *request)
+static void handle_runs(struct endpoint *endpoint,
+			struct jt_http_request *request)
 {
 	json_t *list = json_array();
 	char *text;
 
-	for (size_t i = 0; i < e->run_count; i++)
-		json_array_append_new(list,
-				      json_integer((json_int_t)e->runs[i]));
+	for (size_t i = 0; i < endpoint->run_count; i++)
+		json_array_append_new(
+			list, json_integer((json_int_t)endpoint->runs[i]));
 	text = json_dumps(list, JSON_COMPACT);
 	jt_http_reply(request, 200, "application/json", text);
 	free(text);
 	json_decref(list);
 }
 
-static void take_flag(const json_t *body, const char *name, bool *flag)
+static void update_flag(const json_t *body, const char *name, bool *flag)
 {
 	const json_t *value = json_object_get(body, name);
 
@@ -275,19 +285,21 @@
 		*flag = json_is_true(value);
 }
 
-static void handle_control(struct endpoint *e, struct jt_http_request *request)
+static void handle_control(struct endpoint *endpoint,
+			   struct jt_http_request *request)
 {
 	json_t *body = json_loads(jt_http_body(request, NULL), 0, NULL);
 	const json_t *claimed = json_object_get(body, "claimed_connections");
 	bool frozen = false;
 
-	take_flag(body, "draining", &e->draining);
-	take_flag(body, "shedding", &e->shedding);
-	take_flag(body, "cold", &e->cold);
-	take_flag(body, "frozen", &frozen);
-	stack_freeze(e->stack, frozen);
+	update_flag(body, "draining", &endpoint->draining);
+	update_flag(body, "shedding", &endpoint->shedding);
+	update_flag(body, "cold", &endpoint->cold);
+	update_flag(body, "frozen", &frozen);
+	stack_set_frozen(endpoint->stack, frozen);
 	if (json_is_integer(claimed))
-		e->claimed_connections = (long)json_integer_value(claimed);
+		endpoint->claimed_connections =
+			(long)json_integer_value(claimed);
 	json_decref(body);
 	jt_http_reply(request, 200, "text/plain", "ok\n");
 }
@@ -309,23 +321,23 @@
 static bool add_addresses(struct endpoint *endpoint, const char *list)
 {
 	char *copy = talloc_strdup(endpoint, list ? list : "");
-	char *rest = copy, *one;
+	char *remaining = copy, *item;
 	char text[64];
 	struct jt_address address;
 
-	while ((one = strsep(&rest, ",")) != NULL) {
-		snprintf(text, sizeof(text), "%s:1", one);
+	while ((item = strsep(&remaining, ",")) != NULL) {
+		snprintf(text, sizeof(text), "%s:1", item);
 		if (jt_address_parse(text, &address) != 0 ||
 		    stack_add_address(endpoint->stack, address.ip) != 0) {
-			fprintf(stderr, "endpoint: --address '%s' is wrong\n",
-				one);
+			fprintf(stderr, "endpoint: --address '%s' is invalid\n",
+				item);
 			return false;
 		}
 	}
 	return true;
 }
 
-static bool listen_on(struct endpoint *endpoint, uint16_t port)
+static bool start_listening(struct endpoint *endpoint, uint16_t port)
 {
 	struct tcp_pcb *pcb = tcp_new();
 
@@ -346,24 +358,26 @@
 	struct endpoint *endpoint;
 	bool finished;
 
-	if (standin_help(argc, argv, usage))
-		return EXIT_DONE;
-	if (!standin_address(argc, argv, "--listen", &listen) ||
-	    !standin_address(argc, argv, "--gateway", &gateway) ||
-	    !standin_address(argc, argv, "--health", &options.address))
+	if (standin_help_requested(argc, argv, usage))
+		return EXIT_OK;
+	if (!standin_address_option(argc, argv, "--listen", &listen) ||
+	    !standin_address_option(argc, argv, "--gateway", &gateway) ||
+	    !standin_address_option(argc, argv, "--health", &options.address))
 		return EXIT_USAGE;
 	endpoint = talloc_zero(NULL, struct endpoint);
 	endpoint->name = standin_option(argc, argv, "--name");
 	endpoint->service = standin_option(argc, argv, "--service");
 	if (endpoint->name == NULL || endpoint->service == NULL) {
-		fprintf(stderr, "endpoint: --name and --service are needed\n");
+		fprintf(stderr,
+			"endpoint: --name and --service are required\n");
 		return EXIT_USAGE;
 	}
 	endpoint->claimed_connections = -1;
-	endpoint->slots = (unsigned)standin_number(argc, argv, "--slots", 2);
-	endpoint->connections =
-		(unsigned)standin_number(argc, argv, "--connections", 2000);
-	endpoint->loop = standin_loop(endpoint, &finished);
+	endpoint->slot_limit =
+		(unsigned)standin_number_option(argc, argv, "--slots", 2);
+	endpoint->connection_limit = (unsigned)standin_number_option(
+		argc, argv, "--connections", 2000);
+	endpoint->loop = standin_loop_create(endpoint, &finished);
 	endpoint->stack =
 		stack_create(endpoint, endpoint->loop, listen, gateway);
 	if (endpoint->stack == NULL ||
@@ -373,11 +387,11 @@
 		return EXIT_FAILED;
 	}
 	if (!add_addresses(endpoint, standin_option(argc, argv, "--address")) ||
-	    !listen_on(endpoint,
-		       (uint16_t)standin_number(argc, argv, "--port", 80)))
+	    !start_listening(endpoint, (uint16_t)standin_number_option(
+					       argc, argv, "--port", 80)))
 		return EXIT_FAILED;
 	while (!finished)
 		tevent_loop_once(endpoint->loop);
 	talloc_free(endpoint);
-	return EXIT_DONE;
+	return EXIT_OK;
 }
--- a/src/standin/fabric.c
+++ b/src/standin/fabric.c
@@ -1,9 +1,9 @@
 /*
- * The network fabric: every caller packet goes to a balancer picked at
- * random, wrapped as it came; answers go straight back to the caller.
+ * The network fabric: forwards each client packet unchanged to a live balancer
+ * picked at random, and returns the packets of endpoints to the client.
  *
- * A balancer is live while the machine list names it and its /ready page
- * says so; a crashed one keeps getting its part until the page fails.
+ * A balancer is live while the machine list contains it and its /ready page
+ * returns 200; a crashed one receives packets until that check fails.
  */
 #include "standin.h"
 
@@ -21,15 +21,16 @@
 
 static const char usage[] =
 	"Usage: jaspertrack-standin fabric --listen IP:PORT\n"
-	"         --return IP:PORT --machines URL [--loss PART]\n"
-	"Packets of callers come to --listen, answers to --return.\n";
+	"         --return IP:PORT --machines URL [--loss FRACTION]\n"
+	"Client packets are received on --listen, those of endpoints on "
+	"--return.\n";
 
 enum {
 	NODE_LIMIT = 256,
 	CALLER_LIMIT = 64,
 	READY_INTERVAL_MS = 200,
 	LIST_INTERVAL_MS = 1000,
-	BATCH = 64,
+	PACKET_BATCH = 64,
 };
 
 struct balancer {
@@ -38,60 +39,63 @@
 	char api[64];
 	bool listed;
 	bool ready;
-	bool asking;
+	bool ready_pending;
 };
 
 struct caller {
-	uint32_t inner;
-	struct sockaddr_in outer;
+	uint32_t inner_ip;
+	struct sockaddr_in outer_address;
 };
 
 struct fabric {
 	struct tevent_context *loop;
 	struct jt_http_client *http;
 	const char *machines_url;
-	int in_fd;
+	int listen_fd;
 	int return_fd;
 	struct balancer *balancers[NODE_LIMIT];
 	size_t balancer_count;
 	struct caller callers[CALLER_LIMIT];
 	size_t caller_count;
 	uint32_t loss_per_million;
-	uint64_t list_due_ms;
-	uint64_t ready_due_ms;
-	bool listing;
+	uint64_t next_list_ms;
+	uint64_t next_ready_ms;
+	bool list_pending;
 };
 
-struct ready_call {
+struct ready_request {
 	struct fabric *fabric;
 	struct balancer *balancer;
 };
 
-static uint32_t inner_address(const uint8_t *packet, size_t at)
+static uint32_t packet_address(const uint8_t *packet, size_t offset)
 {
-	return (uint32_t)packet[at] << 24 | (uint32_t)packet[at + 1] << 16 |
-	       (uint32_t)packet[at + 2] << 8 | packet[at + 3];
+	return (uint32_t)packet[offset] << 24 |
+	       (uint32_t)packet[offset + 1] << 16 |
+	       (uint32_t)packet[offset + 2] << 8 | packet[offset + 3];
 }
 
-static void learn_caller(struct fabric *fabric, uint32_t inner,
-			 const struct sockaddr_in *outer)
+static void caller_record(struct fabric *fabric, uint32_t inner_ip,
+			  const struct sockaddr_in *outer_address)
 {
 	size_t i = 0;
 
-	while (i < fabric->caller_count && fabric->callers[i].inner != inner)
+	while (i < fabric->caller_count &&
+	       fabric->callers[i].inner_ip != inner_ip)
 		i++;
 	if (i == CALLER_LIMIT)
 		return;
 	if (i == fabric->caller_count)
 		fabric->caller_count++;
-	fabric->callers[i].inner = inner;
-	fabric->callers[i].outer = *outer;
+	fabric->callers[i].inner_ip = inner_ip;
+	fabric->callers[i].outer_address = *outer_address;
 }
 
-static void spray(struct fabric *fabric, const uint8_t *packet, size_t length)
+static void forward_to_balancer(struct fabric *fabric, const uint8_t *packet,
+				size_t length)
 {
 	struct balancer *live[NODE_LIMIT];
-	struct sockaddr_in to;
+	struct sockaddr_in destination;
 	size_t count = 0;
 
 	for (size_t i = 0; i < fabric->balancer_count; i++) {
@@ -103,13 +107,13 @@
 	     randombytes_uniform(1000000) < fabric->loss_per_million))
 		return;
 	jt_address_to_socket(live[randombytes_uniform((uint32_t)count)]->data,
-			     &to);
-	(void)sendto(fabric->in_fd, packet, length, MSG_DONTWAIT,
-		     (struct sockaddr *)&to, sizeof(to));
+			     &destination);
+	(void)sendto(fabric->listen_fd, packet, length, MSG_DONTWAIT,
+		     (struct sockaddr *)&destination, sizeof(destination));
 }
 
-static void on_caller(struct tevent_context *loop, struct tevent_fd *fd,
-		      uint16_t flags, void *private_data)
+static void on_caller_packet(struct tevent_context *loop, struct tevent_fd *fd,
+			     uint16_t flags, void *private_data)
 {
 	struct fabric *fabric = private_data;
 	uint8_t packet[JT_PACKET_MAX];
@@ -117,24 +121,24 @@
 	(void)loop;
 	(void)fd;
 	(void)flags;
-	for (int i = 0; i < BATCH; i++) {
+	for (int i = 0; i < PACKET_BATCH; i++) {
 		struct sockaddr_in from;
 		socklen_t size = sizeof(from);
 		ssize_t length =
-			recvfrom(fabric->in_fd, packet, sizeof(packet),
+			recvfrom(fabric->listen_fd, packet, sizeof(packet),
 				 MSG_DONTWAIT, (struct sockaddr *)&from, &size);
 
 		if (length < 0)
 			return;
 		if (length < 20)
 			continue;
-		learn_caller(fabric, inner_address(packet, 12), &from);
-		spray(fabric, packet, (size_t)length);
+		caller_record(fabric, packet_address(packet, 12), &from);
+		forward_to_balancer(fabric, packet, (size_t)length);
 	}
 }
 
-static void on_return(struct tevent_context *loop, struct tevent_fd *fd,
-		      uint16_t flags, void *private_data)
+static void on_return_packet(struct tevent_context *loop, struct tevent_fd *fd,
+			     uint16_t flags, void *private_data)
 {
 	struct fabric *fabric = private_data;
 	uint8_t packet[JT_PACKET_MAX];
@@ -142,7 +146,7 @@
 	(void)loop;
 	(void)fd;
 	(void)flags;
-	for (int i = 0; i < BATCH; i++) {
+	for (int i = 0; i < PACKET_BATCH; i++) {
 		ssize_t length = recv(fabric->return_fd, packet, sizeof(packet),
 				      MSG_DONTWAIT);
 
@@ -150,14 +154,14 @@
 			return;
 		for (size_t c = 0; length >= 20 && c < fabric->caller_count;
 		     c++) {
-			if (fabric->callers[c].inner !=
-			    inner_address(packet, 16))
+			if (fabric->callers[c].inner_ip !=
+			    packet_address(packet, 16))
 				continue;
-			(void)sendto(
-				fabric->in_fd, packet, (size_t)length,
-				MSG_DONTWAIT,
-				(struct sockaddr *)&fabric->callers[c].outer,
-				sizeof(struct sockaddr_in));
+			(void)sendto(fabric->listen_fd, packet, (size_t)length,
+				     MSG_DONTWAIT,
+				     (struct sockaddr *)&fabric->callers[c]
+					     .outer_address,
+				     sizeof(struct sockaddr_in));
 			break;
 		}
 	}
@@ -182,7 +186,7 @@
 	return balancer;
 }
 
-static void take_list(struct fabric *fabric, const json_t *list)
+static void apply_machine_list(struct fabric *fabric, const json_t *list)
 {
 	for (size_t i = 0; i < fabric->balancer_count; i++)
 		fabric->balancers[i]->listed = false;
@@ -207,39 +211,39 @@
 	}
 }
 
-static void on_list(struct tevent_req *req)
+static void on_machine_list(struct tevent_req *req)
 {
 	struct fabric *fabric = tevent_req_callback_data(req, struct fabric);
 	TALLOC_CTX *frame = talloc_new(fabric);
 	char *body = NULL;
 	long status = 0;
-	int lost = jt_http_recv(req, frame, &status, &body, NULL);
+	int error = jt_http_recv(req, frame, &status, &body, NULL);
 	json_t *list =
-		!lost && status == 200 ? json_loads(body, 0, NULL) : NULL;
+		!error && status == 200 ? json_loads(body, 0, NULL) : NULL;
 
 	talloc_free(req);
-	fabric->listing = false;
+	fabric->list_pending = false;
 	if (list != NULL)
-		take_list(fabric, list);
+		apply_machine_list(fabric, list);
 	json_decref(list);
 	talloc_free(frame);
 }
 
 static void on_ready(struct tevent_req *req)
 {
-	struct ready_call *call =
-		tevent_req_callback_data(req, struct ready_call);
+	struct ready_request *call =
+		tevent_req_callback_data(req, struct ready_request);
 	char *body = NULL;
 	long status = 0;
-	int lost = jt_http_recv(req, call, &status, &body, NULL);
+	int error = jt_http_recv(req, call, &status, &body, NULL);
 
 	talloc_free(req);
-	call->balancer->asking = false;
-	call->balancer->ready = !lost && status == 200;
+	call->balancer->ready_pending = false;
+	call->balancer->ready = !error && status == 200;
 	talloc_free(call);
 }
 
-static void ask_list(struct fabric *fabric)
+static void request_machine_list(struct fabric *fabric)
 {
 	struct jt_http_call call = {.method = "GET", .timeout_ms = 800};
 	struct tevent_req *req;
@@ -251,14 +255,14 @@
 	talloc_free(url);
 	if (req == NULL)
 		return;
-	fabric->listing = true;
-	tevent_req_set_callback(req, on_list, fabric);
+	fabric->list_pending = true;
+	tevent_req_set_callback(req, on_machine_list, fabric);
 }
 
-static void ask_ready(struct fabric *fabric, struct balancer *balancer)
+static void request_ready(struct fabric *fabric, struct balancer *balancer)
 {
 	struct jt_http_call call = {.method = "GET", .timeout_ms = 600};
-	struct ready_call *ready = talloc_zero(fabric, struct ready_call);
+	struct ready_request *ready = talloc_zero(fabric, struct ready_request);
 	struct tevent_req *req;
 
 	ready->fabric = fabric;
@@ -269,7 +273,7 @@
 		talloc_free(ready);
 		return;
 	}
-	balancer->asking = true;
+	balancer->ready_pending = true;
 	tevent_req_set_callback(req, on_ready, ready);
 }
 
@@ -281,16 +285,16 @@
 
 	(void)timer;
 	(void)when;
-	if (now >= fabric->list_due_ms && !fabric->listing) {
-		fabric->list_due_ms = now + LIST_INTERVAL_MS;
-		ask_list(fabric);
+	if (now >= fabric->next_list_ms && !fabric->list_pending) {
+		fabric->next_list_ms = now + LIST_INTERVAL_MS;
+		request_machine_list(fabric);
 	}
-	if (now >= fabric->ready_due_ms) {
-		fabric->ready_due_ms = now + READY_INTERVAL_MS;
+	if (now >= fabric->next_ready_ms) {
+		fabric->next_ready_ms = now + READY_INTERVAL_MS;
 		for (size_t i = 0; i < fabric->balancer_count; i++) {
 			if (fabric->balancers[i]->listed &&
-			    !fabric->balancers[i]->asking)
-				ask_ready(fabric, fabric->balancers[i]);
+			    !fabric->balancers[i]->ready_pending)
+				request_ready(fabric, fabric->balancers[i]);
 		}
 	}
 	tevent_add_timer(loop, fabric, tevent_timeval_current_ofs(0, 50000),
@@ -299,41 +303,42 @@
 
 int fabric_main(int argc, char **argv)
 {
-	struct jt_address listen, back;
+	struct jt_address listen, return_address;
 	struct fabric *fabric;
 	bool finished;
 
-	if (standin_help(argc, argv, usage))
-		return EXIT_DONE;
-	if (!standin_address(argc, argv, "--listen", &listen) ||
-	    !standin_address(argc, argv, "--return", &back))
+	if (standin_help_requested(argc, argv, usage))
+		return EXIT_OK;
+	if (!standin_address_option(argc, argv, "--listen", &listen) ||
+	    !standin_address_option(argc, argv, "--return", &return_address))
 		return EXIT_USAGE;
 	fabric = talloc_zero(NULL, struct fabric);
 	fabric->machines_url = standin_option(argc, argv, "--machines");
 	if (fabric->machines_url == NULL) {
-		fprintf(stderr, "fabric: --machines URL is needed\n");
+		fprintf(stderr, "fabric: --machines URL is required\n");
 		return EXIT_USAGE;
 	}
-	fabric->loop = standin_loop(fabric, &finished);
+	fabric->loop = standin_loop_create(fabric, &finished);
 	fabric->http = jt_http_client_create(fabric, fabric->loop);
 	fabric->loss_per_million =
-		(uint32_t)(standin_number(argc, argv, "--loss", 0) * 1e6);
-	fabric->in_fd = jt_udp_open(listen, false);
-	fabric->return_fd = jt_udp_open(back, false);
-	if (fabric->in_fd < 0 || fabric->return_fd < 0) {
+		(uint32_t)(standin_number_option(argc, argv, "--loss", 0) *
+			   1e6);
+	fabric->listen_fd = jt_udp_open(listen, false);
+	fabric->return_fd = jt_udp_open(return_address, false);
+	if (fabric->listen_fd < 0 || fabric->return_fd < 0) {
 		perror("fabric");
 		return EXIT_FAILED;
 	}
-	tevent_add_fd(fabric->loop, fabric, fabric->in_fd, TEVENT_FD_READ,
-		      on_caller, fabric);
+	tevent_add_fd(fabric->loop, fabric, fabric->listen_fd, TEVENT_FD_READ,
+		      on_caller_packet, fabric);
 	tevent_add_fd(fabric->loop, fabric, fabric->return_fd, TEVENT_FD_READ,
-		      on_return, fabric);
+		      on_return_packet, fabric);
 	tevent_add_timer(fabric->loop, fabric, tevent_timeval_current(),
 			 on_tick, fabric);
 	while (!finished)
 		tevent_loop_once(fabric->loop);
-	close(fabric->in_fd);
+	close(fabric->listen_fd);
 	close(fabric->return_fd);
 	talloc_free(fabric);
-	return EXIT_DONE;
+	return EXIT_OK;
 }
--- a/src/standin/machines.c
+++ b/src/standin/machines.c
@@ -1,8 +1,8 @@
 /*
- * The platform's list of live and leaving machines, as late as --lag-s says.
+ * The platform's list of live and leaving machines, served with a delay.
  *
  * PUT /machines/NAME {"peer", "data", "api", "state"} and DELETE change it;
- * GET /machines shows it as it was lag seconds ago.
+ * GET /machines returns the list as it was --lag-s seconds ago.
  */
 #include "standin.h"
 
@@ -16,39 +16,40 @@
 static const char usage[] =
 	"Usage: jaspertrack-standin machines --listen IP:PORT [--lag-s N]\n";
 
-struct version {
-	uint64_t since_ms;
-	json_t *list; /* object by name */
+struct list_version {
+	uint64_t created_ms;
+	json_t *list; /* object: machine by name */
 };
 
 struct machines {
-	struct version *versions;
-	size_t count;
+	struct list_version *versions;
+	size_t version_count;
 	uint64_t lag_ms;
 };
 
-static json_t *newest(const struct machines *machines)
+static json_t *latest_list(const struct machines *machines)
 {
-	return machines->versions[machines->count - 1].list;
+	return machines->versions[machines->version_count - 1].list;
 }
 
-static json_t *visible(const struct machines *machines)
+static json_t *visible_list(const struct machines *machines)
 {
 	uint64_t now = jt_clock_ms();
-	size_t i = machines->count - 1;
+	size_t i = machines->version_count - 1;
 
-	while (i > 0 && machines->versions[i].since_ms + machines->lag_ms > now)
+	while (i > 0 &&
+	       machines->versions[i].created_ms + machines->lag_ms > now)
 		i--;
 	return machines->versions[i].list;
 }
 
 static void add_version(struct machines *machines, json_t *list)
 {
-	machines->versions =
-		talloc_realloc(machines, machines->versions, struct version,
-			       machines->count + 1);
-	machines->versions[machines->count].since_ms = jt_clock_ms();
-	machines->versions[machines->count++].list = list;
+	machines->versions = talloc_realloc(machines, machines->versions,
+					    struct list_version,
+					    machines->version_count + 1);
+	machines->versions[machines->version_count].created_ms = jt_clock_ms();
+	machines->versions[machines->version_count++].list = list;
 }
 
 static void handle_list(struct machines *machines,
@@ -59,7 +60,7 @@
 	json_t *entry;
 	char *text;
 
-	json_object_foreach (visible(machines), name, entry) {
+	json_object_foreach (visible_list(machines), name, entry) {
 		json_t *copy = json_copy(entry);
 
 		json_object_set_new(copy, "name", json_string(name));
@@ -87,7 +88,7 @@
 		jt_http_reply(request, 404, "text/plain", "no such page\n");
 		return;
 	}
-	list = json_copy(newest(machines));
+	list = json_copy(latest_list(machines));
 	if (strcmp(method, "DELETE") == 0) {
 		json_object_del(list, path + strlen(prefix));
 	} else {
@@ -106,14 +107,15 @@
 	struct machines *machines;
 	bool finished;
 
-	if (standin_help(argc, argv, usage))
-		return EXIT_DONE;
-	if (!standin_address(argc, argv, "--listen", &options.address))
+	if (standin_help_requested(argc, argv, usage))
+		return EXIT_OK;
+	if (!standin_address_option(argc, argv, "--listen", &options.address))
 		return EXIT_USAGE;
 	machines = talloc_zero(NULL, struct machines);
-	loop = standin_loop(machines, &finished);
+	loop = standin_loop_create(machines, &finished);
 	machines->lag_ms =
-		(uint64_t)(standin_number(argc, argv, "--lag-s", 2) * 1000);
+		(uint64_t)(standin_number_option(argc, argv, "--lag-s", 2) *
+			   1000);
 	add_version(machines, json_object());
 	if (jt_http_server_create(machines, loop, &options, on_request,
 				  machines) == NULL) {
@@ -124,5 +126,5 @@
 	while (!finished)
 		tevent_loop_once(loop);
 	talloc_free(machines);
-	return EXIT_DONE;
+	return EXIT_OK;
 }
--- a/src/standin/main.c
+++ b/src/standin/main.c
@@ -1,4 +1,4 @@
-/* jaspertrack-standin: the platform and its edges. */
+/* jaspertrack-standin: simulated environment of the balancers for tests. */
 #include "standin.h"
 
 #include "jt_version.h"
@@ -12,12 +12,13 @@
 	"Usage: jaspertrack-standin COMMAND [OPTIONS]\n"
 	"\n"
 	"  store      key-value service (part of the etcd v3 JSON API)\n"
-	"  machines   lagging list of machines\n"
-	"  fabric     sprays callers' packets over the live balancers\n"
-	"  endpoint   back end with slots, connections and a health page\n"
-	"  caller     opens flows and checks every answer\n"
+	"  machines   list of machines, served with a delay\n"
+	"  fabric     spreads client packets at random over the live "
+	"balancers\n"
+	"  endpoint   backend with slots, connections and a health page\n"
+	"  caller     client: opens flows and checks every response\n"
 	"\n"
-	"Each command explains itself with --help.\n";
+	"COMMAND --help lists the options of a command.\n";
 
 int main(int argc, char **argv)
 {
@@ -32,11 +33,11 @@
 
 	if (argc >= 2 && strcmp(argv[1], "--help") == 0) {
 		fputs(usage, stdout);
-		return EXIT_DONE;
+		return EXIT_OK;
 	}
 	if (argc >= 2 && strcmp(argv[1], "--version") == 0) {
 		printf("jaspertrack-standin %s\n", JT_VERSION);
-		return EXIT_DONE;
+		return EXIT_OK;
 	}
 	if (sodium_init() < 0 || curl_global_init(CURL_GLOBAL_DEFAULT) != 0)
 		return EXIT_FAILED;
--- a/src/standin/stack.c
+++ b/src/standin/stack.c
@@ -9,18 +9,18 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-enum { TICK_MS = 10, BATCH = 64, INNER_MTU = 1500 };
+enum { TICK_MS = 10, PACKET_BATCH = 64, INNER_MTU = 1500 };
 
 struct stack {
 	struct tevent_context *loop;
 	int fd;
 	struct sockaddr_in peer;
-	struct netif *first;
+	struct netif *default_netif;
 	bool frozen;
 };
 
-static err_t output(struct netif *netif, struct pbuf *p,
-		    const ip4_addr_t *next_hop)
+static err_t send_packet(struct netif *netif, struct pbuf *p,
+			 const ip4_addr_t *next_hop)
 {
 	struct stack *stack = netif->state;
 	uint8_t packet[JT_PACKET_MAX];
@@ -34,12 +34,12 @@
 	return ERR_OK;
 }
 
-static err_t netif_start(struct netif *netif)
+static err_t configure_netif(struct netif *netif)
 {
 	netif->name[0] = 'g';
 	netif->name[1] = 'u';
 	netif->mtu = INNER_MTU;
-	netif->output = output;
+	netif->output = send_packet;
 	return ERR_OK;
 }
 
@@ -52,20 +52,21 @@
 	(void)loop;
 	(void)fd;
 	(void)flags;
-	for (int i = 0; i < BATCH; i++) {
+	for (int i = 0; i < PACKET_BATCH; i++) {
 		ssize_t length =
 			recv(stack->fd, packet, sizeof(packet), MSG_DONTWAIT);
 		struct pbuf *p;
 
 		if (length < 0)
 			return;
-		if (stack->frozen || stack->first == NULL)
+		if (stack->frozen || stack->default_netif == NULL)
 			continue;
 		p = pbuf_alloc(PBUF_RAW, (uint16_t)length, PBUF_RAM);
 		if (p == NULL)
 			continue;
 		pbuf_take(p, packet, (uint16_t)length);
-		if (stack->first->input(p, stack->first) != ERR_OK)
+		if (stack->default_netif->input(p, stack->default_netif) !=
+		    ERR_OK)
 			pbuf_free(p);
 	}
 }
@@ -118,19 +119,19 @@
 	address.addr = lwip_htonl(ip);
 	mask.addr = lwip_htonl(0xff000000);
 	gateway.addr = 0;
-	if (netif_add(netif, &address, &mask, &gateway, stack, netif_start,
+	if (netif_add(netif, &address, &mask, &gateway, stack, configure_netif,
 		      ip_input) == NULL)
 		return -1;
 	netif_set_up(netif);
 	netif_set_link_up(netif);
-	if (stack->first == NULL) {
-		stack->first = netif;
+	if (stack->default_netif == NULL) {
+		stack->default_netif = netif;
 		netif_set_default(netif);
 	}
 	return 0;
 }
 
-void stack_freeze(struct stack *stack, bool frozen)
+void stack_set_frozen(struct stack *stack, bool frozen)
 {
 	stack->frozen = frozen;
 }
