--- a/src/cli/why.c
+++ b/src/cli/why.c
@@ -37,14 +37,14 @@
 	struct names flows;
 	struct names endpoints;
 	struct names nodes;
-	struct names printed_suspicions; /* printed ones, as "ENDPOINT CAUSE" */
+	struct names printed_suspicions; /* as "ENDPOINT CAUSE" */
 	unsigned omitted_suspicions;
 	int64_t first_ms;
 	int64_t last_ms;
 	const struct log_line *request;	 /* NULL if @id is a flow or client */
 	const struct log_line *decision; /* last one for any of the flows */
-	const struct log_line *death;	 /* of the endpoint, or NULL */
-	const struct log_line *failure;	 /* requests unanswered, or NULL */
+	const struct log_line *death;	 /* of its endpoint, or NULL */
+	const struct log_line *failure; /* of its endpoint to answer, or NULL */
 };
 
 static bool names_contain(const struct names *names, const char *name)
--- a/src/standin/caller.c
+++ b/src/standin/caller.c
@@ -235,7 +235,7 @@
 }
 
 /* Logs a flow that was not closed by this client, with its source port to find
- * its packets in captures. */
+ * its packets in a packet capture. */
 static void log_flow_end(const struct flow *flow, const char *outcome,
 			 const char *reason)
 {
