--- a/fuzz/driver.c
+++ b/fuzz/driver.c
@@ -1,9 +1,9 @@
 /*
- * Runs a fuzz target without libFuzzer: over files, and over inputs made
- * from fixed seeds, so that a verdict is the same every time.
+ * Runs a fuzz target without libFuzzer, over files and over inputs generated
+ * from fixed seeds, so that every run gives the same result.
  *
  * Usage: TARGET [--verbose] [--break FLAGS] [--seeds FIRST COUNT LENGTH]
- *        [FILE...]
+ * [FILE...]
  */
 #include <signal.h>
 #include <stdio.h>
@@ -14,8 +14,8 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* Only the cluster target looks at it. */
-__attribute__((weak)) unsigned fuzz_break_mechanism;
+/* Overridden by the targets that support them. */
+__attribute__((weak)) unsigned fuzz_disabled_features;
 __attribute__((weak)) int fuzz_verbose;
 
 enum { INPUT_LIMIT = 1 << 16 };
@@ -53,7 +53,8 @@
 	return 0;
 }
 
-/* xorshift64* (Vigna, 2016): the same bytes on every machine. */
+/* Generates the input with xorshift64* (Vigna, 2016), which gives the same
+ * bytes on every machine. */
 static void run_seed(unsigned long seed, size_t length)
 {
 	static uint8_t data[INPUT_LIMIT];
@@ -78,7 +79,7 @@
 		if (strcmp(argv[i], "--verbose") == 0) {
 			fuzz_verbose = 1;
 		} else if (strcmp(argv[i], "--break") == 0 && i + 1 < argc) {
-			fuzz_break_mechanism =
+			fuzz_disabled_features =
 				(unsigned)strtoul(argv[++i], NULL, 0);
 		} else if (strcmp(argv[i], "--seeds") == 0 && i + 3 < argc) {
 			unsigned long first = strtoul(argv[++i], NULL, 10);
@@ -95,6 +96,6 @@
 			runs++;
 		}
 	}
-	printf("%lu inputs held\n", runs);
+	printf("%lu inputs passed\n", runs);
 	return 0;
 }
--- a/fuzz/fuzz_cluster.c
+++ b/fuzz/fuzz_cluster.c
@@ -1,12 +1,12 @@
 /*
  * Stateful fuzzing of several nodes against a simple oracle.
  *
- * Bytes become operations: flows open, talk and close through any node;
- * nodes crash, pause, leave and join; zones are cut; endpoints drain, die,
- * come back, are removed, and their health pages lie; the store fails. The
- * oracle knows the flows and the endpoints and nothing of the mechanism.
+ * Bytes become operations: flows open, send and close through any node; nodes
+ * crash, pause, leave and join; zones are partitioned; endpoints drain, crash,
+ * return, are removed and stop reporting their health; the store fails. The
+ * oracle tracks only flows and endpoints, not the state of nodes.
  *
- * Nodes fail as the promise says: one node or one zone at a time, and the
+ * Failures stay within the guarantee: one node or one zone at a time, and the
  * cell gets time to recover before the next.
  */
 #include "jt_cluster.h"
@@ -23,13 +23,13 @@
 	ZONES = 3,
 	FLOWS = 96,
 	STREAM_ENDPOINTS = 4,
-	ENDPOINTS = 7, /* the last three serve requests */
+	ENDPOINTS = 7, /* the last three belong to the request service */
 	SLOTS = 2,
 	CONNECTIONS = 40,
-	SETTLE_US = 12 * SECOND,
-	LEAVE_LIMIT_US = 3 * SECOND,
+	RECOVERY_US = 12 * SECOND,
+	DRAIN_LIMIT_US = 3 * SECOND,
 	CONFIGS = 64,
-	PROBE_TRIES = 12,
+	PACKET_TRIES = 12,
 	READY_TRIES = 4,
 };
 
@@ -46,11 +46,11 @@
 struct fuzz_flow {
 	struct jt_flow_key key;
 	unsigned service;
-	bool used, talked, closed, refused;
-	bool placed;  /* its first packet was sent to some endpoint */
-	int endpoint; /* -1: reached none */
+	bool used, data_sent, closed, refused;
+	bool placed;  /* its first packet was forwarded to some endpoint */
+	int endpoint; /* -1: not assigned */
 	uint32_t incarnation;
-	bool answered; /* the last packet reached its endpoint */
+	bool delivered; /* the last packet reached its endpoint */
 };
 
 struct fuzz {
@@ -61,22 +61,22 @@
 	unsigned flow_count;
 	uint64_t revision;
 	unsigned shares[2];
-	uint64_t disturbed_us; /* last failure of a node */
-	unsigned disturbed_zone;
-	bool cut;
+	uint64_t last_failure_us; /* last failure of a node or zone */
+	unsigned last_failure_zone;
+	bool partitioned;
 	uint64_t node_revision[NODES];
 	enum jt_node_life node_life[NODES];
-	/* Revision that began each endpoint's drain, until it is accepted. */
+	/* Revision that began each endpoint's drain; 0 once it is accepted. */
 	uint64_t drain_revision[ENDPOINTS];
 };
 
-/* Set by the driver: which mechanism is off (proofs must fail then), and
- * whether to tell each step on stderr. */
-unsigned fuzz_break_mechanism;
+/* Set by the driver: the features to disable, without which runs must fail,
+ * and whether to log each step to stderr. */
+unsigned fuzz_disabled_features;
 int fuzz_verbose;
 
-__attribute__((format(printf, 2, 3))) static void tell(const struct fuzz *fuzz,
-						       const char *format, ...)
+__attribute__((format(printf, 2, 3))) static void trace(const struct fuzz *fuzz,
+							const char *format, ...)
 {
 	va_list arguments;
 
@@ -104,29 +104,32 @@
 	abort();
 }
 
-/* Oracle: what callers and endpoints see */
+/* Oracle */
 
-static int endpoint_of(struct jt_address address)
+static int endpoint_index(struct jt_address address)
 {
 	return (int)(address.ip - 0x0a200000u);
 }
 
-static bool lives_on(const struct fuzz *fuzz, const struct fuzz_flow *flow)
+static bool endpoint_alive(const struct fuzz *fuzz,
+			   const struct fuzz_flow *flow)
 {
 	const struct fuzz_endpoint *e = &fuzz->endpoints[flow->endpoint];
 
 	return e->alive && e->incarnation == flow->incarnation;
 }
 
-static void oracle_first(struct fuzz *fuzz, struct fuzz_flow *flow, int to)
+static void check_first_packet(struct fuzz *fuzz, struct fuzz_flow *flow,
+			       int to)
 {
 	struct fuzz_endpoint *e = &fuzz->endpoints[to];
 	uint64_t now = jt_scheduler_now(fuzz->scheduler);
 
-	/* A first packet that is sent again stays with its endpoint. */
+	/* A retransmitted first packet stays with its endpoint. */
 	if (!flow->placed && e->drain_us != 0 &&
-	    now > e->drain_us + LEAVE_LIMIT_US)
-		fail(fuzz, "flow %ld placed on endpoint %d, leaving for %.3f s",
+	    now > e->drain_us + DRAIN_LIMIT_US)
+		fail(fuzz,
+		     "flow %ld assigned to endpoint %d, draining for %.3f s",
 		     flow - fuzz->flows, to,
 		     (double)(now - e->drain_us) / SECOND);
 	flow->placed = true;
@@ -139,10 +142,10 @@
 		fail(fuzz, "endpoint %d holds %u flows", to, e->open);
 }
 
-static void oracle_forward(struct fuzz *fuzz, struct fuzz_flow *flow,
-			   struct jt_address address)
+static void check_forward(struct fuzz *fuzz, struct fuzz_flow *flow,
+			  struct jt_address address)
 {
-	int to = endpoint_of(address);
+	int to = endpoint_index(address);
 
 	if (to < 0 || to >= ENDPOINTS ||
 	    fuzz->endpoints[to].service != flow->service)
@@ -152,12 +155,12 @@
 		fail(fuzz, "flow %ld was refused and reached endpoint %d",
 		     flow - fuzz->flows, to);
 	if (flow->endpoint < 0) {
-		oracle_first(fuzz, flow, to);
-	} else if (flow->endpoint != to && lives_on(fuzz, flow)) {
+		check_first_packet(fuzz, flow, to);
+	} else if (flow->endpoint != to && endpoint_alive(fuzz, flow)) {
 		fail(fuzz, "flow %ld moved from endpoint %d to %d",
 		     flow - fuzz->flows, flow->endpoint, to);
 	}
-	flow->answered = flow->endpoint == to;
+	flow->delivered = flow->endpoint == to;
 }
 
 static void on_verdict(void *private_data, const struct jt_verdict *verdict)
@@ -165,21 +168,22 @@
 	struct fuzz *fuzz = private_data;
 	struct fuzz_flow *flow = &fuzz->flows[verdict->packet];
 
-	tell(fuzz, "flow %ld at node %u: verdict %d endpoint %d reason %d",
-	     flow - fuzz->flows, verdict->node, verdict->kind,
-	     verdict->kind ? -1 : endpoint_of(verdict->endpoint),
-	     verdict->reason);
+	trace(fuzz, "flow %ld at node %u: verdict %d endpoint %d reason %d",
+	      flow - fuzz->flows, verdict->node, verdict->kind,
+	      verdict->kind ? -1 : endpoint_index(verdict->endpoint),
+	      verdict->reason);
 	if (verdict->kind == JT_VERDICT_FORWARD)
-		oracle_forward(fuzz, flow, verdict->endpoint);
+		check_forward(fuzz, flow, verdict->endpoint);
 	if (verdict->kind == JT_VERDICT_REFUSE) {
 		if (flow->endpoint >= 0)
-			fail(fuzz, "flow %ld refused after endpoint %d had it",
+			fail(fuzz,
+			     "flow %ld refused after endpoint %d accepted it",
 			     flow - fuzz->flows, flow->endpoint);
 		flow->refused = true;
 	}
 }
 
-static void oracle_revisions(struct fuzz *fuzz)
+static void check_revisions(struct fuzz *fuzz)
 {
 	for (uint16_t n = 0; n < NODES; n++) {
 		struct jt_cluster_node_info info;
@@ -188,14 +192,15 @@
 		if (!info.ready)
 			continue;
 		if (info.revision < fuzz->node_revision[n])
-			fail(fuzz, "node %u went back from revision %lu to %lu",
-			     n, (unsigned long)fuzz->node_revision[n],
+			fail(fuzz,
+			     "revision of node %u decreased from %lu to %lu", n,
+			     (unsigned long)fuzz->node_revision[n],
 			     (unsigned long)info.revision);
 		fuzz->node_revision[n] = info.revision;
 	}
 }
 
-/* The platform */
+/* Environment */
 
 static bool read_health(void *private_data, uint32_t endpoint_id,
 			struct jt_health *health)
@@ -218,7 +223,7 @@
 	return false;
 }
 
-/* A drain counts from when an operator is told that it is accepted. */
+/* The drain begins when the store has accepted its revision. */
 static void on_accepted(void *object, uint64_t revision)
 {
 	struct fuzz *fuzz = object;
@@ -236,7 +241,7 @@
 	}
 }
 
-static struct jt_config *make_config(struct fuzz *fuzz)
+static struct jt_config *create_config(struct fuzz *fuzz)
 {
 	static const char *const services[2] = {"roster", "export"};
 	static const char *const groups[2] = {"clinics", "bakeries"};
@@ -288,7 +293,7 @@
 {
 	if (fuzz->revision >= CONFIGS)
 		return;
-	jt_cluster_configure(fuzz->cluster, make_config(fuzz), on_accepted,
+	jt_cluster_configure(fuzz->cluster, create_config(fuzz), on_accepted,
 			     fuzz);
 }
 
@@ -299,27 +304,27 @@
 
 		jt_scheduler_run(fuzz->scheduler,
 				 jt_scheduler_now(fuzz->scheduler) + step);
-		oracle_revisions(fuzz);
+		check_revisions(fuzz);
 		us -= step;
 	}
 }
 
 /* Operations */
 
-static void packet(struct fuzz *fuzz, struct fuzz_flow *flow, uint8_t node,
-		   uint8_t tcp_flags)
+static void send_packet(struct fuzz *fuzz, struct fuzz_flow *flow, uint8_t node,
+			uint8_t tcp_flags)
 {
 	struct jt_cluster_node_info info;
 	uint16_t index = node % NODES;
 
 	jt_cluster_info(fuzz->cluster, index, &info);
-	flow->answered = false;
+	flow->delivered = false;
 	if (info.life == JT_NODE_RUNNING || info.life == JT_NODE_LEAVING)
 		jt_cluster_packet(fuzz->cluster, index, &flow->key, tcp_flags,
 				  (uint64_t)(flow - fuzz->flows));
 }
 
-static void open_flow(struct fuzz *fuzz, uint8_t node, uint8_t which)
+static void open_flow(struct fuzz *fuzz, uint8_t node, uint8_t choice)
 {
 	struct fuzz_flow *flow;
 
@@ -328,53 +333,54 @@
 	flow = &fuzz->flows[fuzz->flow_count];
 	flow->used = true;
 	flow->endpoint = -1;
-	flow->service = (which >> 1) % 4 == 3;
-	flow->key.source = 0x0b000000u + which * 77u;
+	flow->service = (choice >> 1) % 4 == 3;
+	flow->key.source = 0x0b000000u + choice * 77u;
 	flow->key.source_port = (uint16_t)(1024 + fuzz->flow_count);
-	flow->key.destination = 0x0a140000u + 2 * flow->service + (which & 1u);
+	flow->key.destination = 0x0a140000u + 2 * flow->service + (choice & 1u);
 	flow->key.destination_port = 80;
 	flow->key.protocol = JT_PROTOCOL_TCP;
 	fuzz->flow_count++;
-	tell(fuzz, "flow %ld of service %u opens", flow - fuzz->flows,
-	     flow->service);
-	packet(fuzz, flow, node, JT_TCP_SYN);
+	trace(fuzz, "flow %ld of service %u opens", flow - fuzz->flows,
+	      flow->service);
+	send_packet(fuzz, flow, node, JT_TCP_SYN);
 }
 
-static struct fuzz_flow *pick(struct fuzz *fuzz, uint8_t which)
+static struct fuzz_flow *flow_pick(struct fuzz *fuzz, uint8_t choice)
 {
-	return fuzz->flow_count ? &fuzz->flows[which % fuzz->flow_count] : NULL;
+	return fuzz->flow_count ? &fuzz->flows[choice % fuzz->flow_count]
+				: NULL;
 }
 
-static void talk(struct fuzz *fuzz, uint8_t node, uint8_t which)
+static void send_data(struct fuzz *fuzz, uint8_t node, uint8_t choice)
 {
-	struct fuzz_flow *flow = pick(fuzz, which);
+	struct fuzz_flow *flow = flow_pick(fuzz, choice);
 
 	if (flow == NULL || flow->closed || flow->refused)
 		return;
-	if (flow->endpoint < 0) { /* not answered yet: the same SYN again */
-		packet(fuzz, flow, node, JT_TCP_SYN);
+	if (flow->endpoint < 0) { /* not answered yet: retransmit the SYN */
+		send_packet(fuzz, flow, node, JT_TCP_SYN);
 		return;
 	}
-	flow->talked = true;
-	packet(fuzz, flow, node, JT_TCP_ACK);
+	flow->data_sent = true;
+	send_packet(fuzz, flow, node, JT_TCP_ACK);
 }
 
-/* The close counts when its packet reaches the endpoint. */
-static void close_flow(struct fuzz *fuzz, uint8_t node, uint8_t which)
+/* Closes a flow, which has effect once a packet reaches the endpoint. */
+static void close_flow(struct fuzz *fuzz, uint8_t node, uint8_t choice)
 {
-	struct fuzz_flow *flow = pick(fuzz, which);
+	struct fuzz_flow *flow = flow_pick(fuzz, choice);
 
 	if (flow == NULL || flow->closed || flow->endpoint < 0)
 		return;
-	for (int i = 0; i < PROBE_TRIES && !flow->answered; i++) {
-		packet(fuzz, flow, (uint8_t)(node + i),
-		       JT_TCP_FIN | JT_TCP_ACK);
+	for (int i = 0; i < PACKET_TRIES && !flow->delivered; i++) {
+		send_packet(fuzz, flow, (uint8_t)(node + i),
+			    JT_TCP_FIN | JT_TCP_ACK);
 		run(fuzz, SECOND / 20);
 	}
-	if (!flow->answered)
+	if (!flow->delivered)
 		return;
 	flow->closed = true;
-	if (lives_on(fuzz, flow))
+	if (endpoint_alive(fuzz, flow))
 		fuzz->endpoints[flow->endpoint].open--;
 }
 
@@ -383,15 +389,16 @@
 	return node % NODES % ZONES;
 }
 
-/* One node or one zone may fail; then the cell must get time. */
-static bool may_fail(struct fuzz *fuzz, unsigned zone)
+/* Returns true if the zone may fail now, and records that failure: one node
+ * or one zone at a time, with time to recover in between. */
+static bool failure_allowed(struct fuzz *fuzz, unsigned zone)
 {
 	uint64_t now = jt_scheduler_now(fuzz->scheduler);
 
-	if (fuzz->cut)
+	if (fuzz->partitioned)
 		return false;
-	if (now < fuzz->disturbed_us + SETTLE_US &&
-	    (zone != fuzz->disturbed_zone || now != fuzz->disturbed_us))
+	if (now < fuzz->last_failure_us + RECOVERY_US &&
+	    (zone != fuzz->last_failure_zone || now != fuzz->last_failure_us))
 		return false;
 	for (uint16_t n = 0; n < NODES; n++) {
 		struct jt_cluster_node_info info;
@@ -400,8 +407,8 @@
 		if (info.life != JT_NODE_RUNNING && zone_of((uint8_t)n) != zone)
 			return false;
 	}
-	fuzz->disturbed_us = now;
-	fuzz->disturbed_zone = zone;
+	fuzz->last_failure_us = now;
+	fuzz->last_failure_zone = zone;
 	return true;
 }
 
@@ -414,39 +421,41 @@
 	if (info.life == JT_NODE_RUNNING || info.life == JT_NODE_LEAVING ||
 	    info.life == JT_NODE_PAUSED)
 		return;
-	/* A new process may start from an older revision unless a peer or
-	 * the store tells it more, before it serves. */
+	/* A new process may begin at an older revision until a peer or the
+	 * store sends it a newer one, before it is ready. */
 	jt_cluster_start(fuzz->cluster, index, zone_of(node));
-	fuzz->disturbed_us = jt_scheduler_now(fuzz->scheduler);
-	fuzz->disturbed_zone = ZONES; /* no zone may fail with it */
+	fuzz->last_failure_us = jt_scheduler_now(fuzz->scheduler);
+	fuzz->last_failure_zone = ZONES; /* no zone may fail at this time */
 }
 
-static void node_operation(struct fuzz *fuzz, uint8_t op, uint8_t node)
+static void node_operation(struct fuzz *fuzz, uint8_t operation_code,
+			   uint8_t node)
 {
 	uint16_t index = node % NODES;
 	unsigned zone = zone_of(node);
 
-	tell(fuzz, "node operation %d on %u", op % 6, index);
-	switch (op % 6) {
+	trace(fuzz, "node operation %d on %u", operation_code % 6, index);
+	switch (operation_code % 6) {
 	case 0:
-		if (may_fail(fuzz, zone))
+		if (failure_allowed(fuzz, zone))
 			jt_cluster_crash(fuzz->cluster, index);
 		break;
 	case 1:
-		for (uint8_t n = 0; may_fail(fuzz, zone) && n < NODES; n++) {
+		for (uint8_t n = 0; failure_allowed(fuzz, zone) && n < NODES;
+		     n++) {
 			if (zone_of(n) == zone)
 				jt_cluster_crash(fuzz->cluster, n);
 		}
 		break;
 	case 2:
-		if (may_fail(fuzz, zone))
+		if (failure_allowed(fuzz, zone))
 			jt_cluster_pause(fuzz->cluster, index);
 		break;
 	case 3:
 		jt_cluster_resume(fuzz->cluster, index);
 		break;
 	case 4:
-		if (may_fail(fuzz, zone))
+		if (failure_allowed(fuzz, zone))
 			jt_cluster_leave(fuzz->cluster, index);
 		break;
 	default:
@@ -455,23 +464,24 @@
 	}
 }
 
-static void cut_operation(struct fuzz *fuzz, uint8_t which)
+static void partition_operation(struct fuzz *fuzz, uint8_t choice)
 {
-	unsigned a = which % ZONES, b = (which + 1) % ZONES;
+	unsigned a = choice % ZONES, b = (choice + 1) % ZONES;
 
-	if (!fuzz->cut && !may_fail(fuzz, a))
+	if (!fuzz->partitioned && !failure_allowed(fuzz, a))
 		return;
-	fuzz->cut = !fuzz->cut;
-	tell(fuzz, "zones %u and %u %s", a, b, fuzz->cut ? "cut" : "mended");
-	for (unsigned z = 0; !fuzz->cut && z < ZONES; z++)
+	fuzz->partitioned = !fuzz->partitioned;
+	trace(fuzz, "zones %u and %u %s", a, b,
+	      fuzz->partitioned ? "partitioned" : "reconnected");
+	for (unsigned z = 0; !fuzz->partitioned && z < ZONES; z++)
 		jt_cluster_cut(fuzz->cluster, z, (z + 1) % ZONES, false);
-	if (fuzz->cut)
+	if (fuzz->partitioned)
 		jt_cluster_cut(fuzz->cluster, a, b, true);
-	/* One zone alone, cut off from all others. */
-	if (fuzz->cut && which & 0x80)
+	/* Isolate one zone from all others. */
+	if (fuzz->partitioned && choice & 0x80)
 		jt_cluster_cut(fuzz->cluster, a, (a + 2) % ZONES, true);
-	fuzz->disturbed_us = jt_scheduler_now(fuzz->scheduler);
-	fuzz->disturbed_zone = ZONES;
+	fuzz->last_failure_us = jt_scheduler_now(fuzz->scheduler);
+	fuzz->last_failure_zone = ZONES;
 }
 
 static unsigned usable_endpoints(const struct fuzz *fuzz, unsigned service)
@@ -487,15 +497,16 @@
 	return count;
 }
 
-static void endpoint_operation(struct fuzz *fuzz, uint8_t op, uint8_t which)
+static void endpoint_operation(struct fuzz *fuzz, uint8_t operation_code,
+			       uint8_t choice)
 {
-	int index = which % ENDPOINTS;
+	int index = choice % ENDPOINTS;
 	struct fuzz_endpoint *e = &fuzz->endpoints[index];
 
-	tell(fuzz, "endpoint operation %d on %d, revision %lu", op % 5, index,
-	     (unsigned long)fuzz->revision);
-	switch (op % 5) {
-	case 0: /* drain or take back */
+	trace(fuzz, "endpoint operation %d on %d, revision %lu",
+	      operation_code % 5, index, (unsigned long)fuzz->revision);
+	switch (operation_code % 5) {
+	case 0: /* start or cancel a drain */
 		if (!e->configured)
 			return;
 		e->draining = !e->draining;
@@ -504,7 +515,7 @@
 			e->drain_us = 0;
 		configure(fuzz);
 		break;
-	case 1: /* crash: its flows are gone */
+	case 1: /* crash; its flows end */
 		if (usable_endpoints(fuzz, e->service) < 2)
 			return;
 		e->alive = false;
@@ -517,7 +528,7 @@
 	case 3:
 		e->silent = !e->silent;
 		break;
-	default: /* out of the configuration and back */
+	default: /* remove from or add to the configuration */
 		if (e->configured && usable_endpoints(fuzz, e->service) < 2)
 			return;
 		e->configured = !e->configured;
@@ -529,10 +540,10 @@
 	}
 }
 
-static void store_operation(struct fuzz *fuzz, uint8_t op)
+static void store_operation(struct fuzz *fuzz, uint8_t operation_code)
 {
-	tell(fuzz, "store operation %d", op % 4);
-	switch (op % 4) {
+	trace(fuzz, "store operation %d", operation_code % 4);
+	switch (operation_code % 4) {
 	case 0:
 		jt_cluster_store_down(fuzz->cluster, true);
 		break;
@@ -543,7 +554,8 @@
 		jt_cluster_store_lose_answers(fuzz->cluster, 1);
 		break;
 	default:
-		fuzz->shares[op / 4 % 2] = 1 + op / 8 % 4;
+		fuzz->shares[operation_code / 4 % 2] =
+			1 + operation_code / 8 % 4;
 		configure(fuzz);
 		break;
 	}
@@ -562,7 +574,7 @@
 	case 4:
 	case 5:
 	case 6:
-		talk(fuzz, bytes[1], bytes[2]);
+		send_data(fuzz, bytes[1], bytes[2]);
 		run(fuzz, 1000u * (bytes[1] >> 4));
 		break;
 	case 7:
@@ -573,7 +585,7 @@
 		node_operation(fuzz, bytes[1], bytes[2]);
 		break;
 	case 10:
-		cut_operation(fuzz, bytes[1]);
+		partition_operation(fuzz, bytes[1]);
 		break;
 	case 11:
 	case 12:
@@ -591,8 +603,8 @@
 	}
 }
 
-/* When all is mended, every open flow must still reach its endpoint. */
-static void mend(struct fuzz *fuzz)
+/* Ends all faults and waits until every open flow must reach its endpoint. */
+static void recover(struct fuzz *fuzz)
 {
 	jt_cluster_store_down(fuzz->cluster, false);
 	for (unsigned z = 0; z < ZONES; z++)
@@ -604,11 +616,12 @@
 	}
 	run(fuzz, 20 * SECOND);
 	for (uint8_t n = 0; n < NODES; n++)
-		start_node(fuzz, n); /* those that were leaving */
+		start_node(fuzz, n); /* those that were leaving before */
 	run(fuzz, 20 * SECOND);
 }
 
-/* A lost heartbeat may cost a node its lease for a moment, never for long. */
+/* Checks that every node is ready at the newest revision. A lost heartbeat
+ * may make a node briefly unready. */
 static void check_nodes(struct fuzz *fuzz)
 {
 	for (uint16_t n = 0; n < NODES; n++) {
@@ -631,14 +644,15 @@
 	for (unsigned i = 0; i < fuzz->flow_count; i++) {
 		struct fuzz_flow *flow = &fuzz->flows[i];
 
-		if (flow->closed || flow->endpoint < 0 || !lives_on(fuzz, flow))
+		if (flow->closed || flow->endpoint < 0 ||
+		    !endpoint_alive(fuzz, flow))
 			continue;
-		flow->answered = false;
-		for (int t = 0; t < PROBE_TRIES && !flow->answered; t++) {
-			packet(fuzz, flow, (uint8_t)t, JT_TCP_ACK);
+		flow->delivered = false;
+		for (int t = 0; t < PACKET_TRIES && !flow->delivered; t++) {
+			send_packet(fuzz, flow, (uint8_t)t, JT_TCP_ACK);
 			run(fuzz, SECOND / 10);
 		}
-		if (!flow->answered)
+		if (!flow->delivered)
 			fail(fuzz, "flow %u no longer reaches endpoint %d", i,
 			     flow->endpoint);
 	}
@@ -657,7 +671,7 @@
 	options.duplicate_per_million = seed & 4 ? 50000 : 0;
 	options.machine_list_lag_us = SECOND;
 	options.store_operations_per_s = 50;
-	options.break_mechanism = fuzz_break_mechanism;
+	options.break_mechanism = fuzz_disabled_features;
 	options.on_verdict = on_verdict;
 	options.read_health = read_health;
 	options.private_data = fuzz;
@@ -693,7 +707,7 @@
 	start(fuzz, data[0]);
 	for (size_t i = 1; i + 3 <= size; i += 3)
 		operation(fuzz, data + i);
-	mend(fuzz);
+	recover(fuzz);
 	check_all(fuzz);
 	talloc_free(fuzz);
 	return 0;
--- a/fuzz/fuzz_director.c
+++ b/fuzz/fuzz_director.c
@@ -1,29 +1,31 @@
 /*
  * Stateful fuzzing of three director nodes against a simple oracle.
  *
- * Each byte is one step of a small world: callers open flows and send on
- * them through any node, endpoints drain, end, fall silent, fill up and give
- * their addresses on, the store forgets entries, nodes miss news, hear it
- * late or twice, restart, tell each other. The oracle knows callers and
- * endpoints, never what a node believes:
+ * Each pair of bytes is one step: clients open flows and send on them through
+ * any node; endpoints drain, end, stop responding, reach their connection limit
+ * and release their addresses; store entries expire; nodes miss gossip updates,
+ * receive them late or twice, restart, and exchange state. The oracle tracks
+ * clients, endpoints and what each node was sent, never the internal state of a
+ * node. It checks that:
  *
- *   an open flow whose endpoint lives is never reset by a node, also where the
+ * - an open flow whose endpoint is alive is never reset by a node, even if the
  *   endpoint fails requests;
- *   a first packet that the network doubles leads to no second endpoint;
- *   a flow's packets reach no endpoint but its own;
- *   a first packet reaches a service that some configuration ever allowed;
- *   an endpoint that a node was told leaves gets no first packet from it;
- *   one of a zone that a node was told is drained gets none until it is told
- *   that the drain has ended;
- *   one whose newest entry, as the node was told, can't be read gets none;
- *   a first packet goes to the address of the newest entry that the node was
- *   told, never to one of an earlier incarnation;
- *   a flow that has got its endpoint is never refused for lack of room, nor is
- *   a caller's copy of a first packet, which may have got one elsewhere;
- *   routing never goes back on a node.
+ * - a duplicated first packet opens no flow at a second endpoint;
+ * - the packets of a flow reach only its own endpoint;
+ * - a first packet reaches only a service that some configuration allowed;
+ * - a node sends no first packet to an endpoint that it was told is leaving;
+ * - a node sends none to an endpoint of a zone that it was told is drained,
+ *   until it is told that the drain has ended;
+ * - a node sends none to an endpoint whose newest entry is unreadable to it;
+ * - a first packet goes to the address in the newest entry that the node was
+ *   sent, never to that of an earlier incarnation;
+ * - a flow that has an endpoint is never refused for lack of capacity, nor is a
+ *   retransmission of a first packet, which another node may have assigned;
+ * - the routing version of a node never decreases.
  *
- * In some worlds half of the endpoints tell their births and start again under
- * their ids, and another writer spoils entries.
+ * In some inputs half of the endpoints publish the start times of their
+ * incarnations and restart under their ids, and another writer corrupts
+ * entries.
  */
 #include "jaspertrack/director.h"
 #include "jt_knowledge.h"
@@ -35,119 +37,118 @@
 #include <string.h>
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
-extern unsigned fuzz_break_mechanism;
+extern unsigned fuzz_disabled_features;
 extern int fuzz_verbose;
-unsigned fuzz_break_mechanism;
+unsigned fuzz_disabled_features;
 int fuzz_verbose;
 
 enum {
 	NODES = 3,
-	ENDPOINTS = 24, /* over the whole run */
+	ENDPOINTS = 24, /* in the whole run */
 	ADDRESSES = 6,
 	FLOWS = 48,
-	NEWS = 256,
-	VERDICTS = 4096,
+	UPDATES = 256,
+	DEATH_REPORTS = 4096,
 	SERVICES = 2,
-	ROUTES = 4, /* two of each service, one more urgent */
-	/* Answers that callers of this world would like: at the pace of its
-	 * clock, nodes find services full at times. */
+	ROUTES = 4, /* two of each service, with different priorities */
+	/* Low enough that nodes find services overloaded at times. */
 	TARGET_MS = 2000,
-	CROWD = 16, /* callers, that a node remembers */
-	CROWD_REQUESTS = 4,
-	CROWD_WAITS_MS = 1100,
+	BURST_FLOWS = 16, /* as many as a node keeps in its flow table */
+	BURST_REQUESTS = 4,
+	BURST_WAIT_MS = 1100,
 	ZONES = 2,
-	OPEN_ACKNOWLEDGED = 0x40000000, /* of an endpoint's own choice */
-	RESET_WINDOW = 76800,		/* in which a reset is taken */
-	FULL_AT = 6,			/* flows that an endpoint holds */
-	FULL_NEVER = 200,		/* the same, where births are told */
+	OPEN_ACKNOWLEDGED = 0x40000000, /* first one of an endpoint */
+	RESET_WINDOW = 76800, /* sequence window in which a reset is accepted */
+	CONNECTION_LIMIT = 6, /* open flows of an endpoint */
+	CONNECTION_LIMIT_HIGH = 200, /* where start times are published */
 	FLOW_IDLE_MS = 60000,
-	FLOW_IDLE_SHORT_MS = 3000, /* where births are told */
-	LATE_MS = 1000,		   /* how late a doubled packet may come */
-	FLOWS_REMEMBERED = 16,	   /* by a node */
-	BIRTHS_FROM = 0xa0,	   /* the first byte of such worlds */
-	ANSWER = 50,		   /* bytes */
-	SHORT_ANSWER = 5,
+	FLOW_IDLE_SHORT_MS = 3000,     /* where start times are published */
+	DUPLICATE_DELAY_MAX_MS = 1000, /* delay of a duplicated packet */
+	FLOW_TABLE_SIZE = 16,	       /* of a node */
+	START_TIMES_FROM = 0xa0,       /* least first byte with start times */
+	RESPONSE_BYTES = 50,
+	SHORT_RESPONSE_BYTES = 5,
 };
 
-#define LEAVING_NONE UINT64_MAX
+#define NOT_LEAVING UINT64_MAX
 
-enum life { UNUSED, ALIVE, DRAINING, ENDED, SILENT_END };
+enum life { UNUSED, ALIVE, DRAINING, ENDED, ENDED_SILENT };
 
-/* The newest that a node was told of an endpoint's entry. */
-struct told_entry {
+/* The newest state of an endpoint's entry that a node was sent. */
+struct sent_entry {
 	uint64_t revision;
 	uint64_t gone_revision;
-	uint64_t leaving_born_ms; /* of the incarnation that leaves, or NONE */
+	uint64_t leaving_start_ms; /* of the leaving incarnation */
 	uint32_t ip;
-	bool unreadable; /* as of gone_revision */
+	bool unreadable; /* at gone_revision */
 };
 
 struct endpoint {
 	enum life life;
 	struct jt_endpoint_entry entry;
 	bool listed;
-	bool unreadable; /* what is listed */
-	uint64_t spoiled_revision;
+	bool unreadable; /* the listed entry can't be parsed */
+	uint64_t corrupt_revision;
 	bool slow;
 	unsigned starts;
 	unsigned flows;
-	struct told_entry told[NODES];
+	struct sent_entry sent[NODES];
 };
 
 struct flow {
 	bool used;
 	bool open;
-	bool over; /* the caller knows that it has ended */
+	bool closed; /* the client has seen its end */
 	struct jt_flow_key key;
 	uint32_t label;
 	uint32_t sequence;
 	uint32_t acknowledged;
-	uint32_t copies;
-	bool queued;	  /* a request waits at a slow endpoint */
-	int home;	  /* endpoint whose label it has */
-	int endpoint;	  /* that has it, -1 while it is not open */
-	int half_open;	  /* endpoint that answered the first packet, or -1 */
-	unsigned start;	  /* of that endpoint, at which it answered */
-	int node;	  /* that got the first packet */
-	unsigned life;	  /* of that node, counted */
-	uint64_t sent_ms; /* the last packet that this node passed on */
-	uint64_t packet;  /* that packet, counted by the node */
+	uint32_t retransmissions;
+	bool queued;	    /* a request is queued at a slow endpoint */
+	int label_endpoint; /* endpoint that its label names */
+	int endpoint;	    /* endpoint that has it open, or -1 */
+	int half_open;	    /* endpoint that answered the first packet, or -1 */
+	unsigned start;	    /* `starts` of that endpoint when it answered */
+	int node;	    /* node that received the first packet */
+	unsigned node_start;   /* `node_starts` of it at the first packet */
+	uint64_t forwarded_ms; /* its last packet forwarded by that node */
+	uint64_t packet;       /* `node_packets` of that node at that packet */
 };
 
-/* What a node was told of the drain of a zone, by the newest revision. */
-struct told_zone {
+/* The newest drain state of a zone that a node was sent. */
+struct sent_zone {
 	uint64_t revision;
 	bool draining;
 };
 
-struct news {
+struct update {
 	struct jt_director_event event;
 	struct jt_zone_drain zone; /* of JT_DIRECTOR_ZONE_DRAINS */
-	uint64_t routing_version;  /* 0: the event says it */
+	uint64_t routing_version;  /* 0: the update is in the event */
 };
 
 struct world {
 	struct jt_director *directors[NODES];
 	struct jt_director_actions *actions;
-	size_t heard[NODES]; /* news that each node was told so far */
+	size_t updates_sent[NODES]; /* updates delivered to each node */
 	uint64_t versions[NODES];
-	struct jt_zone_drain zones[ZONES]; /* as the store has them */
-	struct told_zone told_zones[NODES][ZONES];
-	unsigned node_lives[NODES];   /* starts of each node */
-	uint64_t node_packets[NODES]; /* that each node got */
-	unsigned full_at;
+	struct jt_zone_drain zones[ZONES]; /* as stored */
+	struct sent_zone sent_zones[NODES][ZONES];
+	unsigned node_starts[NODES];
+	uint64_t node_packets[NODES]; /* received by each node */
+	unsigned connection_limit;
 	uint32_t flow_idle_ms;
-	bool births;	/* some endpoints tell theirs; bad entries */
-	bool late_copy; /* the packet in hand was doubled by the network */
+	bool start_times;    /* published by endpoints; entries get corrupted */
+	bool late_duplicate; /* the current packet is a late duplicate */
 	struct endpoint endpoints[ENDPOINTS];
 	int endpoint_count;
 	struct flow flows[FLOWS];
-	struct news news[NEWS];
-	size_t news_count;
+	struct update updates[UPDATES];
+	size_t update_count;
 	uint64_t revision;
 	uint64_t now_ms;
 	uint16_t next_port;
-	uint32_t services_ever; /* bits of services that routes ever named */
+	uint32_t services_routed; /* bit set: named by any route so far */
 	const uint8_t *data;
 	size_t size;
 };
@@ -162,19 +163,19 @@
 	return *world->data++;
 }
 
-static void broken(const struct world *world, const char *promise)
+static void fail(const struct world *world, const char *invariant)
 {
-	fprintf(stderr, "broken at %llu ms: %s\n",
-		(unsigned long long)world->now_ms, promise);
+	fprintf(stderr, "invariant violated at %llu ms: %s\n",
+		(unsigned long long)world->now_ms, invariant);
 	abort();
 }
 
-static bool lives(const struct endpoint *endpoint)
+static bool is_alive(const struct endpoint *endpoint)
 {
 	return endpoint->life == ALIVE || endpoint->life == DRAINING;
 }
 
-static int endpoint_of(const struct world *world, uint64_t id)
+static int endpoint_index(const struct world *world, uint64_t id)
 {
 	for (int i = 0; i < world->endpoint_count; i++) {
 		if (world->endpoints[i].entry.id == id)
@@ -185,7 +186,7 @@
 
 /* Endpoints */
 
-static void endpoint_drop_flows(struct world *world, int index)
+static void endpoint_close_flows(struct world *world, int index)
 {
 	for (int i = 0; i < FLOWS; i++) {
 		if (world->flows[i].used && world->flows[i].endpoint == index)
@@ -194,61 +195,61 @@
 	world->endpoints[index].flows = 0;
 }
 
-static void news_add(struct world *world, const struct news *news)
+static void update_add(struct world *world, const struct update *update)
 {
-	if (world->news_count < NEWS)
-		world->news[world->news_count++] = *news;
+	if (world->update_count < UPDATES)
+		world->updates[world->update_count++] = *update;
 }
 
 static void entry_publish(struct world *world, struct endpoint *endpoint)
 {
-	struct news news = {.event.kind = JT_DIRECTOR_ENDPOINT};
+	struct update update = {.event.kind = JT_DIRECTOR_ENDPOINT};
 
 	endpoint->entry.revision = ++world->revision;
 	endpoint->listed = true;
 	endpoint->unreadable = false;
-	news.event.u.endpoint = endpoint->entry;
-	news_add(world, &news);
+	update.event.u.endpoint = endpoint->entry;
+	update_add(world, &update);
 }
 
 static void entry_remove(struct world *world, struct endpoint *endpoint)
 {
-	struct news news = {.event.kind = JT_DIRECTOR_GONE};
+	struct update update = {.event.kind = JT_DIRECTOR_GONE};
 
 	if (!endpoint->listed)
 		return;
 	endpoint->listed = false;
-	news.event.u.gone.id = endpoint->entry.id;
-	news.event.u.gone.revision = ++world->revision;
-	news_add(world, &news);
+	update.event.u.gone.id = endpoint->entry.id;
+	update.event.u.gone.revision = ++world->revision;
+	update_add(world, &update);
 }
 
-/* Another writer writes what can't be read. */
-static void entry_spoil(struct world *world, struct endpoint *endpoint)
+/* Overwrites the entry with one that can't be parsed. */
+static void entry_corrupt(struct world *world, struct endpoint *endpoint)
 {
-	struct news news = {.event.kind = JT_DIRECTOR_UNREADABLE};
+	struct update update = {.event.kind = JT_DIRECTOR_UNREADABLE};
 
 	endpoint->listed = true;
 	endpoint->unreadable = true;
-	endpoint->spoiled_revision = ++world->revision;
-	news.event.u.gone.id = endpoint->entry.id;
-	news.event.u.gone.revision = endpoint->spoiled_revision;
-	news_add(world, &news);
+	endpoint->corrupt_revision = ++world->revision;
+	update.event.u.gone.id = endpoint->entry.id;
+	update.event.u.gone.revision = endpoint->corrupt_revision;
+	update_add(world, &update);
 }
 
-static bool address_taken(const struct world *world, uint32_t address)
+static bool address_in_use(const struct world *world, uint32_t address)
 {
 	for (int i = 0; i < world->endpoint_count; i++) {
 		const struct endpoint *endpoint = &world->endpoints[i];
 
-		if (endpoint->entry.address.ip == address && lives(endpoint))
+		if (endpoint->entry.address.ip == address && is_alive(endpoint))
 			return true;
 	}
 	return false;
 }
 
-/* The endpoint crashes, if it has not, and starts again under its id. Its birth
- * may be below the one before: its clock was set. */
+/* Crashes the endpoint if it is running and restarts it under its id. The
+ * new start time may be lower than the previous one: clocks step back. */
 static void endpoint_restart(struct world *world, struct endpoint *endpoint,
 			     uint8_t choice)
 {
@@ -258,9 +259,9 @@
 		address = 0x0a000000 + choice / 4 % ADDRESSES;
 	if (endpoint->entry.born_ms == 0)
 		return;
-	endpoint_drop_flows(world, (int)(endpoint - world->endpoints));
+	endpoint_close_flows(world, (int)(endpoint - world->endpoints));
 	endpoint->life = ENDED;
-	if (address_taken(world, address))
+	if (address_in_use(world, address))
 		return;
 	endpoint->life = ALIVE;
 	endpoint->starts++;
@@ -276,7 +277,8 @@
 	struct endpoint *endpoint;
 	uint32_t address = 0x0a000000 + choice % ADDRESSES;
 
-	if (world->endpoint_count == ENDPOINTS || address_taken(world, address))
+	if (world->endpoint_count == ENDPOINTS ||
+	    address_in_use(world, address))
 		return;
 	endpoint = &world->endpoints[world->endpoint_count];
 	endpoint->life = ALIVE;
@@ -286,7 +288,7 @@
 		.zone_id = jt_name_id(zone_names[choice % ZONES]),
 		.address = {address, 80},
 		.capacity = 2,
-		.born_ms = world->births && world->endpoint_count % 2
+		.born_ms = world->start_times && world->endpoint_count % 2
 				   ? world->now_ms * 8
 				   : 0,
 	};
@@ -294,47 +296,48 @@
 	entry_publish(world, endpoint);
 }
 
-static struct endpoint *pick_endpoint(struct world *world, uint8_t choice)
+static struct endpoint *endpoint_pick(struct world *world, uint8_t choice)
 {
 	if (world->endpoint_count == 0)
 		return NULL;
 	return &world->endpoints[choice % world->endpoint_count];
 }
 
-static void endpoint_change(struct world *world, uint8_t what, uint8_t choice)
+static void endpoint_change(struct world *world, uint8_t operation,
+			    uint8_t choice)
 {
-	struct endpoint *endpoint = pick_endpoint(world, choice);
+	struct endpoint *endpoint = endpoint_pick(world, choice);
 
 	if (endpoint == NULL)
 		return;
-	if (world->births && what >= 11) {
+	if (world->start_times && operation >= 11) {
 		endpoint_restart(world, endpoint, choice);
 		return;
 	}
-	if (world->births && what == 10) {
-		entry_spoil(world, endpoint);
+	if (world->start_times && operation == 10) {
+		entry_corrupt(world, endpoint);
 		return;
 	}
-	switch (what % 6) {
-	case 0: /* says that it leaves */
+	switch (operation % 6) {
+	case 0: /* announces that it leaves */
 		if (endpoint->life != ALIVE)
 			return;
 		endpoint->life = DRAINING;
 		endpoint->entry.draining = true;
 		entry_publish(world, endpoint);
 		break;
-	case 1: /* ends and refuses */
-	case 2: /* ends and says nothing */
-		if (!lives(endpoint))
+	case 1: /* ends; its host refuses connections */
+	case 2: /* ends; connections to it time out */
+		if (!is_alive(endpoint))
 			return;
-		endpoint->life = what % 6 == 1 ? ENDED : SILENT_END;
-		endpoint_drop_flows(world, (int)(endpoint - world->endpoints));
+		endpoint->life = operation % 6 == 1 ? ENDED : ENDED_SILENT;
+		endpoint_close_flows(world, (int)(endpoint - world->endpoints));
 		break;
-	case 3: /* its entry lapses, dead or alive */
+	case 3: /* its entry expires, whether or not it runs */
 		entry_remove(world, endpoint);
 		break;
-	case 4: /* and comes again with the next beat */
-		if (lives(endpoint) &&
+	case 4: /* publishes its entry again */
+		if (is_alive(endpoint) &&
 		    (!endpoint->listed || endpoint->unreadable))
 			entry_publish(world, endpoint);
 		break;
@@ -357,7 +360,7 @@
 	for (uint16_t i = 0; i < ROUTES; i++) {
 		struct jt_route *route = &routing->routes[routing->route_count];
 
-		/* The second service's come and go with the version. */
+		/* Only odd versions have routes of the second service. */
 		if (i % SERVICES == 1 && version % 2 == 0)
 			continue;
 		route->address = (struct jt_address){0xc6120001, 443 + i};
@@ -372,7 +375,7 @@
 		talloc_zero_array(routing, struct jt_routed_service, SERVICES);
 	for (uint32_t i = 0; i < SERVICES; i++) {
 		routing->services[i].id = 1 + i;
-		routing->services[i].connection_limit = world->full_at;
+		routing->services[i].connection_limit = world->connection_limit;
 	}
 	routing->service_count = SERVICES;
 	jt_routing_sort(routing);
@@ -381,37 +384,38 @@
 
 static void routing_publish(struct world *world)
 {
-	struct news news = {.routing_version = ++world->revision};
+	struct update update = {.routing_version = ++world->revision};
 
-	news_add(world, &news);
-	world->services_ever |= 3;
+	update_add(world, &update);
+	world->services_routed |= 3;
 }
 
 /* Nodes */
 
-static void act(struct world *world, int node);
+static void apply_actions(struct world *world, int node);
 
-static void tell(struct world *world, int node, struct jt_director_event *event)
+static void send_event(struct world *world, int node,
+		       struct jt_director_event *event)
 {
 	event->now_ms = world->now_ms;
 	jt_director_actions_clear(world->actions);
 	jt_director_handle(world->directors[node], event, world->actions);
-	act(world, node);
+	apply_actions(world, node);
 }
 
-static void routing_tell(struct world *world, int node,
+static void routing_send(struct world *world, int node,
 			 struct jt_routing *routing)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
 	const struct jt_routing *now;
 
 	event.u.routing = routing;
-	tell(world, node, &event);
+	send_event(world, node, &event);
 	now = jt_director_routing(world->directors[node]);
 	if (now != routing)
 		talloc_free(routing);
 	if (now->version < world->versions[node])
-		broken(world, "routing went back");
+		fail(world, "the routing version decreased");
 	world->versions[node] = now->version;
 }
 
@@ -419,31 +423,31 @@
 
 static void zone_publish(struct world *world, uint8_t choice)
 {
-	struct news news = {.event.kind = JT_DIRECTOR_ZONE_DRAINS};
+	struct update update = {.event.kind = JT_DIRECTOR_ZONE_DRAINS};
 	struct jt_zone_drain *zone = &world->zones[choice % ZONES];
 
 	snprintf(zone->zone, sizeof(zone->zone), "%s",
 		 zone_names[choice % ZONES]);
 	zone->draining = !zone->draining;
 	zone->revision = ++world->revision;
-	news.zone = *zone;
-	news_add(world, &news);
+	update.zone = *zone;
+	update_add(world, &update);
 }
 
-static void zone_note(struct world *world, int node,
-		      const struct jt_zone_drain *drain)
+static void zone_record(struct world *world, int node,
+			const struct jt_zone_drain *drain)
 {
 	for (int i = 0; i < ZONES; i++) {
-		struct told_zone *told = &world->told_zones[node][i];
+		struct sent_zone *sent = &world->sent_zones[node][i];
 
 		if (strcmp(zone_names[i], drain->zone) == 0 &&
-		    drain->revision > told->revision)
-			*told = (struct told_zone){drain->revision,
+		    drain->revision > sent->revision)
+			*sent = (struct sent_zone){drain->revision,
 						   drain->draining};
 	}
 }
 
-static void zones_tell(struct world *world, int node,
+static void zones_send(struct world *world, int node,
 		       const struct jt_zone_drain *drains, size_t count,
 		       bool complete, uint64_t revision)
 {
@@ -454,161 +458,162 @@
 	event.u.zones.complete = complete;
 	event.u.zones.revision = revision;
 	for (size_t i = 0; i < count; i++)
-		zone_note(world, node, &drains[i]);
-	tell(world, node, &event);
+		zone_record(world, node, &drains[i]);
+	send_event(world, node, &event);
 }
 
-/* The node was told all that the store had at @revision. */
-static void zones_note_all(struct world *world, int node, uint64_t revision)
+/* Records that the node was sent all drains stored up to @revision. */
+static void zones_record_all(struct world *world, int node, uint64_t revision)
 {
-	for (size_t i = 0; i < world->news_count; i++) {
-		const struct news *news = &world->news[i];
+	for (size_t i = 0; i < world->update_count; i++) {
+		const struct update *update = &world->updates[i];
 
-		if (news->event.kind == JT_DIRECTOR_ZONE_DRAINS &&
-		    news->zone.revision <= revision)
-			zone_note(world, node, &news->zone);
+		if (update->event.kind == JT_DIRECTOR_ZONE_DRAINS &&
+		    update->zone.revision <= revision)
+			zone_record(world, node, &update->zone);
 	}
 }
 
-/* The drains that a list holds; one that it lacks has ended. */
-static void zones_list(struct world *world, int node)
+/* Sends the drains of a listing; a drain missing from it has ended. */
+static void listing_send_zones(struct world *world, int node)
 {
 	for (int i = 0; i < ZONES; i++) {
 		if (world->zones[i].draining)
-			zones_tell(world, node, &world->zones[i], 1, false, 0);
+			zones_send(world, node, &world->zones[i], 1, false, 0);
 	}
-	zones_note_all(world, node, world->revision);
+	zones_record_all(world, node, world->revision);
 }
 
-/* The node is told of an entry that went, or can't be read. */
-static void gone_note(struct world *world, int node, uint64_t id,
-		      uint64_t revision, bool unreadable)
+/* Records that the node was sent a removal or an unreadable entry. */
+static void removal_record(struct world *world, int node, uint64_t id,
+			   uint64_t revision, bool unreadable)
 {
-	struct told_entry *told =
-		&world->endpoints[endpoint_of(world, id)].told[node];
+	struct sent_entry *sent =
+		&world->endpoints[endpoint_index(world, id)].sent[node];
 
-	/* A node that knows no such endpoint takes no note. */
-	if (told->revision == 0 || revision <= told->revision ||
-	    revision <= told->gone_revision)
+	/* A node ignores removals of endpoints that it doesn't know. */
+	if (sent->revision == 0 || revision <= sent->revision ||
+	    revision <= sent->gone_revision)
 		return;
-	told->gone_revision = revision;
-	told->unreadable = unreadable;
+	sent->gone_revision = revision;
+	sent->unreadable = unreadable;
 }
 
-/* The node is told an entry. */
-static void entry_note(struct world *world, int node,
-		       const struct jt_endpoint_entry *entry)
+/* Records that the node was sent an entry. */
+static void entry_record(struct world *world, int node,
+			 const struct jt_endpoint_entry *entry)
 {
-	struct told_entry *told =
-		&world->endpoints[endpoint_of(world, entry->id)].told[node];
-
-	if (entry->revision > told->revision) {
-		told->revision = entry->revision;
-		told->ip = entry->address.ip;
-		told->leaving_born_ms =
-			entry->draining ? entry->born_ms : LEAVING_NONE;
+	struct sent_entry *sent =
+		&world->endpoints[endpoint_index(world, entry->id)].sent[node];
+
+	if (entry->revision > sent->revision) {
+		sent->revision = entry->revision;
+		sent->ip = entry->address.ip;
+		sent->leaving_start_ms =
+			entry->draining ? entry->born_ms : NOT_LEAVING;
 	}
 	if (entry->gone_revision > 0)
-		gone_note(world, node, entry->id, entry->gone_revision,
-			  entry->unreadable);
+		removal_record(world, node, entry->id, entry->gone_revision,
+			       entry->unreadable);
 }
 
-static void news_tell(struct world *world, int node, size_t index)
+static void update_send(struct world *world, int node, size_t index)
 {
-	struct news *news = &world->news[index];
-	struct jt_director_event event = news->event;
+	struct update *update = &world->updates[index];
+	struct jt_director_event event = update->event;
 
-	if (news->routing_version != 0) {
-		routing_tell(world, node,
-			     routing_create(world, news->routing_version));
+	if (update->routing_version != 0) {
+		routing_send(world, node,
+			     routing_create(world, update->routing_version));
 		return;
 	}
 	if (event.kind == JT_DIRECTOR_ZONE_DRAINS) {
-		zones_tell(world, node, &news->zone, 1, false, 0);
+		zones_send(world, node, &update->zone, 1, false, 0);
 		return;
 	}
 	if (event.kind == JT_DIRECTOR_ENDPOINT)
-		entry_note(world, node, &event.u.endpoint);
+		entry_record(world, node, &event.u.endpoint);
 	else
-		gone_note(world, node, event.u.gone.id, event.u.gone.revision,
-			  event.kind == JT_DIRECTOR_UNREADABLE);
-	tell(world, node, &event);
+		removal_record(world, node, event.u.gone.id,
+			       event.u.gone.revision,
+			       event.kind == JT_DIRECTOR_UNREADABLE);
+	send_event(world, node, &event);
 }
 
-/* The node hears some of what it has not heard, and old news again. */
-static void node_hears(struct world *world, int node, uint8_t choice)
+/* Delivers pending updates to the node, and sometimes an old one again. */
+static void node_receive_updates(struct world *world, int node, uint8_t choice)
 {
 	size_t count = choice % 8;
 
-	while (count-- > 0 && world->heard[node] < world->news_count)
-		news_tell(world, node, world->heard[node]++);
-	if (choice & 0x80 && world->heard[node] > 0)
-		news_tell(world, node, choice % world->heard[node]);
+	while (count-- > 0 && world->updates_sent[node] < world->update_count)
+		update_send(world, node, world->updates_sent[node]++);
+	if (choice & 0x80 && world->updates_sent[node] > 0)
+		update_send(world, node, choice % world->updates_sent[node]);
 }
 
-/* A list of all that the store holds now. */
-static void node_lists(struct world *world, int node)
+/* Sends the node a full listing of the store. */
+static void node_send_listing(struct world *world, int node)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_LISTING};
 	uint64_t newest = 0;
 
-	tell(world, node, &event);
+	send_event(world, node, &event);
 	for (int i = 0; i < world->endpoint_count; i++) {
 		struct endpoint *endpoint = &world->endpoints[i];
 
 		if (!endpoint->listed) {
-			gone_note(world, node, endpoint->entry.id,
-				  world->revision, false);
+			removal_record(world, node, endpoint->entry.id,
+				       world->revision, false);
 			continue;
 		}
 		if (endpoint->unreadable) {
 			event.kind = JT_DIRECTOR_UNREADABLE;
 			event.u.gone.id = endpoint->entry.id;
-			event.u.gone.revision = endpoint->spoiled_revision;
-			gone_note(world, node, event.u.gone.id,
-				  event.u.gone.revision, true);
+			event.u.gone.revision = endpoint->corrupt_revision;
+			removal_record(world, node, event.u.gone.id,
+				       event.u.gone.revision, true);
 		} else {
 			event.kind = JT_DIRECTOR_ENDPOINT;
 			event.u.endpoint = endpoint->entry;
-			entry_note(world, node, &endpoint->entry);
+			entry_record(world, node, &endpoint->entry);
 		}
-		tell(world, node, &event);
+		send_event(world, node, &event);
 	}
-	for (size_t i = 0; i < world->news_count; i++) {
-		if (world->news[i].routing_version > newest)
-			newest = world->news[i].routing_version;
+	for (size_t i = 0; i < world->update_count; i++) {
+		if (world->updates[i].routing_version > newest)
+			newest = world->updates[i].routing_version;
 	}
 	if (newest > 0)
-		routing_tell(world, node, routing_create(world, newest));
-	zones_list(world, node);
+		routing_send(world, node, routing_create(world, newest));
+	listing_send_zones(world, node);
 	event.kind = JT_DIRECTOR_LISTED;
 	event.u.listed.revision = world->revision;
-	tell(world, node, &event);
-	world->heard[node] = world->news_count;
+	send_event(world, node, &event);
+	world->updates_sent[node] = world->update_count;
 }
 
 static void node_start(struct world *world, int node)
 {
 	struct jt_director_options options;
 
-	world->node_lives[node]++;
+	world->node_starts[node]++;
 	talloc_free(world->directors[node]);
 	jt_director_options_init(&options);
 	options.zone_id = jt_name_id(zone_names[node % ZONES]);
-	options.flow_limit = FLOWS_REMEMBERED;
+	options.flow_limit = FLOW_TABLE_SIZE;
 	options.flow_age_limit_ms = 600000;
 	options.seed = (uint64_t)node + 1;
-	options.break_mechanism = fuzz_break_mechanism;
+	options.break_mechanism = fuzz_disabled_features;
 	world->directors[node] = jt_director_create(world, &options);
 	world->versions[node] = 0;
-	world->heard[node] = 0;
+	world->updates_sent[node] = 0;
 	for (int i = 0; i < ENDPOINTS; i++)
-		world->endpoints[i].told[node] = (struct told_entry){0};
-	memset(world->told_zones[node], 0, sizeof(world->told_zones[node]));
+		world->endpoints[i].sent[node] = (struct sent_entry){0};
+	memset(world->sent_zones[node], 0, sizeof(world->sent_zones[node]));
 }
 
-/* @node learns all that @from knows. */
-static void node_fetches(struct world *world, int node, int from)
+/* Sends @node a state snapshot of @from. */
+static void node_fetch_snapshot(struct world *world, int node, int from)
 {
 	struct jt_director_event event;
 	jt_wire_knowledge knowledge;
@@ -622,29 +627,30 @@
 		goto out;
 	routing = jt_knowledge_routing(world, &knowledge.routing);
 	if (routing != NULL)
-		routing_tell(world, node, routing);
+		routing_send(world, node, routing);
 	for (u_int i = 0; i < knowledge.entries.entries_len; i++) {
 		if (!jt_knowledge_entry(&knowledge.entries.entries_val[i],
 					&event))
 			continue;
-		entry_note(world, node, &event.u.endpoint);
-		tell(world, node, &event);
+		entry_record(world, node, &event.u.endpoint);
+		send_event(world, node, &event);
 	}
-	zones_tell(world, node,
+	zones_send(world, node,
 		   jt_knowledge_zones(frame, knowledge.zones.zones_val,
 				      knowledge.zones.zones_len),
 		   knowledge.zones.zones_len, true, knowledge.revision);
-	zones_note_all(world, node, knowledge.revision);
+	zones_record_all(world, node, knowledge.revision);
 	event = (struct jt_director_event){.kind = JT_DIRECTOR_INFORMED};
 	event.u.listed.revision = knowledge.revision;
-	tell(world, node, &event);
+	send_event(world, node, &event);
 out:
 	talloc_free(frame);
 }
 
 /* Packets */
 
-static struct flow *flow_of(struct world *world, const struct jt_flow_key *key)
+static struct flow *flow_find(struct world *world,
+			      const struct jt_flow_key *key)
 {
 	for (int i = 0; i < FLOWS; i++) {
 		if (world->flows[i].used &&
@@ -654,92 +660,95 @@
 	return NULL;
 }
 
-static void flow_leave(struct world *world, struct flow *flow)
+static void flow_close(struct world *world, struct flow *flow)
 {
 	if (flow->endpoint >= 0 && world->endpoints[flow->endpoint].flows > 0)
 		world->endpoints[flow->endpoint].flows--;
 	flow->endpoint = -1;
-	flow->over = true;
+	flow->closed = true;
 }
 
-/* Whether the flow's node still knows of it: fewer packets than it remembers
- * flows have come there since, so that no other flow took its place. */
-static bool node_remembers(const struct world *world, const struct flow *flow)
+/* Returns true if the flow's node still has it in its table: since then
+ * fewer packets have arrived there than the table has places. */
+static bool node_has_flow(const struct world *world, const struct flow *flow)
 {
-	return world->node_lives[flow->node] == flow->life &&
-	       world->node_packets[flow->node] - flow->packet <
-		       FLOWS_REMEMBERED;
+	return world->node_starts[flow->node] == flow->node_start &&
+	       world->node_packets[flow->node] - flow->packet < FLOW_TABLE_SIZE;
 }
 
-/* A node resets the flow. */
+/* Handles a reset sent by a node. */
 static void on_reset(struct world *world, int node,
 		     const struct jt_director_action *a)
 {
-	struct flow *flow = flow_of(world, &a->key);
+	struct flow *flow = flow_find(world, &a->key);
 
-	if (flow == NULL || flow->over)
+	if (flow == NULL || flow->closed)
 		return;
-	if (a->reason == JT_DIRECTOR_OVERLOADED && flow->copies > 0)
-		broken(world, "a copy was refused for lack of room");
+	if (a->reason == JT_DIRECTOR_OVERLOADED && flow->retransmissions > 0)
+		fail(world,
+		     "a retransmission was refused for lack of capacity");
 	if (a->reason == JT_DIRECTOR_OVERLOADED && flow->open &&
-	    node == flow->node && node_remembers(world, flow))
-		broken(world, "a flow with an endpoint was refused");
-	/* A caller takes a reset of an open flow only near what it has
-	 * acknowledged; one meant for its first packet is not. */
+	    node == flow->node && node_has_flow(world, flow))
+		fail(world, "a flow with an endpoint was refused");
+	/* A client ignores a reset of an open flow outside its window, such
+	 * as one meant for the first packet. */
 	if (flow->open &&
 	    a->reset_sequence - flow->acknowledged + RESET_WINDOW >
 		    2 * RESET_WINDOW)
 		return;
 	if (flow->open && flow->endpoint >= 0 &&
-	    lives(&world->endpoints[flow->endpoint]))
-		broken(world, "an open flow was reset, its endpoint lives");
-	flow_leave(world, flow);
+	    is_alive(&world->endpoints[flow->endpoint]))
+		fail(world, "an open flow of a live endpoint was reset");
+	flow_close(world, flow);
 }
 
-/* Whether the node was told that new flows must keep away from the zone. */
-static bool told_drained(const struct world *world, int node, uint32_t zone_id)
+/* Returns true if the node was sent that the zone is drained. */
+static bool node_zone_drained(const struct world *world, int node,
+			      uint32_t zone_id)
 {
 	for (int i = 0; i < ZONES; i++) {
 		if (jt_name_id(zone_names[i]) == zone_id)
-			return world->told_zones[node][i].draining;
+			return world->sent_zones[node][i].draining;
 	}
 	return false;
 }
 
-/* Whether a packet to that address meets the endpoint. */
-static bool reached(const struct endpoint *endpoint,
+/* Returns true if a packet to the action's address reaches the endpoint. */
+static bool reaches(const struct endpoint *endpoint,
 		    const struct jt_director_action *a)
 {
-	return lives(endpoint) && a->address.ip == endpoint->entry.address.ip;
+	return is_alive(endpoint) &&
+	       a->address.ip == endpoint->entry.address.ip;
 }
 
 static void on_first_packet(struct world *world, struct flow *flow, int node,
 			    int index, const struct jt_director_action *a)
 {
 	struct endpoint *endpoint = &world->endpoints[index];
-	const struct told_entry *told = &endpoint->told[node];
+	const struct sent_entry *sent = &endpoint->sent[node];
 	uint32_t service = endpoint->entry.service_id;
 
-	if (!(world->services_ever >> (service - 1) & 1) ||
+	if (!(world->services_routed >> (service - 1) & 1) ||
 	    service !=
 		    (uint32_t)(flow->key.destination_port - 443) % SERVICES + 1)
-		broken(world, "a first packet reached another service");
-	if (a->address.ip != told->ip)
-		broken(world, "a first packet went to an outdated address");
-	if (told->unreadable && told->gone_revision > told->revision &&
-	    flow->copies == 0)
-		broken(world, "a first packet followed an unreadable entry");
-	if (told->leaving_born_ms != LEAVING_NONE &&
+		fail(world, "a first packet reached another service");
+	if (a->address.ip != sent->ip)
+		fail(world, "a first packet went to an outdated address");
+	if (sent->unreadable && sent->gone_revision > sent->revision &&
+	    flow->retransmissions == 0)
+		fail(world,
+		     "an endpoint with an unreadable entry got a first packet");
+	if (sent->leaving_start_ms != NOT_LEAVING &&
 	    a->label == jt_incarnation_label(a->endpoint_id,
-					     told->leaving_born_ms) &&
-	    flow->copies == 0)
-		broken(world, "a leaving endpoint got a first packet");
-	if (told_drained(world, node, endpoint->entry.zone_id) &&
-	    flow->copies == 0)
-		broken(world, "a drained zone got a first packet");
-	if (!reached(endpoint, a) || endpoint->flows >= world->full_at)
+					     sent->leaving_start_ms) &&
+	    flow->retransmissions == 0)
+		fail(world, "a leaving endpoint got a first packet");
+	if (node_zone_drained(world, node, endpoint->entry.zone_id) &&
+	    flow->retransmissions == 0)
+		fail(world, "a drained zone got a first packet");
+	if (!reaches(endpoint, a) || endpoint->flows >= world->connection_limit)
 		return;
-	flow->home = index;
+	flow->label_endpoint = index;
 	flow->half_open = index;
 	flow->start = endpoint->starts;
 	flow->label = a->label;
@@ -748,8 +757,9 @@
 	flow->acknowledged = OPEN_ACKNOWLEDGED;
 }
 
-/* The caller's packet after the endpoint's answer: the flow opens, unless the
- * endpoint has become full in between. It says nothing then. */
+/* Handles the client's first packet after the endpoint's response. Returns
+ * true if the flow is open; an endpoint that has reached its connection
+ * limit ignores the packet. */
 static bool flow_opens(struct world *world, struct flow *flow)
 {
 	struct endpoint *endpoint;
@@ -757,10 +767,10 @@
 	if (flow->half_open < 0)
 		return true;
 	endpoint = &world->endpoints[flow->half_open];
-	if (!lives(endpoint) || endpoint->flows >= world->full_at)
+	if (!is_alive(endpoint) || endpoint->flows >= world->connection_limit)
 		return false;
 	if (flow->start != endpoint->starts) {
-		flow->over = true; /* it knows of none, and resets it */
+		flow->closed = true; /* the new incarnation resets it */
 		return false;
 	}
 	flow->endpoint = flow->half_open;
@@ -769,58 +779,58 @@
 	return true;
 }
 
-/* Some endpoints answer part of the requests with a few bytes. */
-static uint32_t answer_length(const struct world *world, int index)
+/* Returns the response length; some endpoints give some requests short error
+ * responses. */
+static uint32_t response_length(const struct world *world, int index)
 {
 	if (index % 4 == 1 && world->now_ms % 3 == 0)
-		return SHORT_ANSWER;
-	return ANSWER;
+		return SHORT_RESPONSE_BYTES;
+	return RESPONSE_BYTES;
 }
 
 static void on_forward(struct world *world, int node,
 		       const struct jt_director_action *a)
 {
-	struct flow *flow = flow_of(world, &a->key);
-	int index = endpoint_of(world, a->endpoint_id);
+	struct flow *flow = flow_find(world, &a->key);
+	int index = endpoint_index(world, a->endpoint_id);
 
 	if (flow == NULL || index < 0)
 		return;
 	if (node == flow->node) {
-		flow->sent_ms = world->now_ms;
+		flow->forwarded_ms = world->now_ms;
 		flow->packet = world->node_packets[node];
 	}
 	if (!flow->open) {
 		on_first_packet(world, flow, node, index, a);
 		return;
 	}
-	if (index != flow->home)
-		broken(world, "a flow's packet went to another endpoint");
-	if (world->late_copy)
+	if (index != flow->label_endpoint)
+		fail(world, "a flow's packet went to another endpoint");
+	if (world->late_duplicate)
 		return;
-	if (lives(&world->endpoints[index]) &&
-	    !reached(&world->endpoints[index], a))
+	if (is_alive(&world->endpoints[index]) &&
+	    !reaches(&world->endpoints[index], a))
 		return;
 	if (!flow_opens(world, flow))
 		return;
 	if (flow->endpoint >= 0)
-		flow->label = a->label; /* the endpoint returns it */
+		flow->label = a->label; /* the endpoint echoes it */
 	if (flow->endpoint >= 0 && world->endpoints[index].slow &&
 	    !flow->queued) {
-		/* It waits there, and is not acknowledged until it comes
-		 * again. */
+		/* It is queued, and acknowledged once it is sent again. */
 		flow->queued = true;
 	} else if (flow->endpoint >= 0) {
 		flow->queued = false;
 		flow->sequence += 10;
-		flow->acknowledged += answer_length(world, index);
+		flow->acknowledged += response_length(world, index);
 	} else if (world->endpoints[index].life == ENDED ||
-		   lives(&world->endpoints[index])) {
-		/* The endpoint's host resets it, or its next incarnation. */
-		flow->over = true;
+		   is_alive(&world->endpoints[index])) {
+		/* The endpoint's host or its next incarnation resets it. */
+		flow->closed = true;
 	}
 }
 
-struct pending {
+struct probe {
 	int node;
 	uint64_t id;
 	uint64_t born_ms;
@@ -828,9 +838,10 @@
 	bool identify;
 };
 
-/* What a connection to the endpoint's address, as the node knows it, gets. */
+/* Returns the result of a connection to the address that the node has for
+ * the endpoint. */
 static enum jt_probe_outcome probe_outcome(const struct world *world,
-					   const struct pending *pending,
+					   const struct probe *probe,
 					   uint64_t *found)
 {
 	bool silent = false;
@@ -839,67 +850,67 @@
 	for (int i = 0; i < world->endpoint_count; i++) {
 		const struct endpoint *endpoint = &world->endpoints[i];
 
-		if (endpoint->entry.address.ip != pending->ip)
+		if (endpoint->entry.address.ip != probe->ip)
 			continue;
-		silent = endpoint->life == SILENT_END;
-		if (!lives(endpoint))
+		silent = endpoint->life == ENDED_SILENT;
+		if (!is_alive(endpoint))
 			continue;
-		if (endpoint->flows >= world->full_at)
-			return pending->id % 2 ? JT_PROBE_REFUSED
-					       : JT_PROBE_SILENT;
+		if (endpoint->flows >= world->connection_limit)
+			return probe->id % 2 ? JT_PROBE_REFUSED
+					     : JT_PROBE_SILENT;
 		*found = endpoint->entry.id;
 		return JT_PROBE_CONNECTED;
 	}
 	return silent ? JT_PROBE_SILENT : JT_PROBE_REFUSED;
 }
 
-static struct pending pendings[64];
-static size_t pending_count;
+static struct probe probes[64];
+static size_t probe_count;
 
-struct incarnation_name {
+struct incarnation {
 	uint64_t id;
 	uint64_t born_ms;
 };
 
-/* What nodes found dead, for them to tell each other. */
-static struct incarnation_name verdicts[VERDICTS];
-static size_t verdict_count;
-/* Endpoints that a node finds failing; all nodes hear of it at the next step.
- */
-static struct incarnation_name failing[VERDICTS];
+/* Death reports of nodes, for delivery to other nodes. */
+static struct incarnation death_reports[DEATH_REPORTS];
+static size_t death_report_count;
+/* Endpoints that a node reported as failing, sent to all nodes at the next
+ * step. */
+static struct incarnation failing[DEATH_REPORTS];
 static size_t failing_count;
 
-/* Failed requests that a node tells of; all hear of them at the next step. */
+/* Failed requests that a node reported, sent to all nodes at the next step. */
 static struct jt_endpoint_failure failures[JT_FAILURE_LIMIT];
 static size_t failures_count;
 
-static void failures_take(struct world *world, int node)
+static void failures_collect(struct world *world, int node)
 {
 	size_t peers;
 
 	failures_count = jt_director_failures(world->directors[node],
 					      world->now_ms, failures, &peers);
 	if (peers >= NODES)
-		broken(world, "failures are told to more peers than there are");
+		fail(world, "failures are reported to more peers than exist");
 }
 
-static void probe_note(int node, const struct jt_director_action *a,
-		       bool identify)
+static void probe_record(int node, const struct jt_director_action *a,
+			 bool identify)
 {
-	if (pending_count < sizeof(pendings) / sizeof(pendings[0]))
-		pendings[pending_count++] =
-			(struct pending){node, a->endpoint_id, a->born_ms,
-					 a->address.ip, identify};
+	if (probe_count < sizeof(probes) / sizeof(probes[0]))
+		probes[probe_count++] =
+			(struct probe){node, a->endpoint_id, a->born_ms,
+				       a->address.ip, identify};
 }
 
-static struct incarnation_name name_of(const struct jt_director_action *a)
+static struct incarnation incarnation_of(const struct jt_director_action *a)
 {
-	return (struct incarnation_name){a->endpoint_id, a->born_ms};
+	return (struct incarnation){a->endpoint_id, a->born_ms};
 }
 
-static void act(struct world *world, int node)
+static void apply_actions(struct world *world, int node)
 {
-	/* Handling may add to the list: only what is there now. */
+	/* Events sent here may append to the list. */
 	for (size_t i = 0; i < world->actions->count; i++) {
 		const struct jt_director_action *a = &world->actions->items[i];
 
@@ -921,20 +932,21 @@
 			on_reset(world, node, a);
 			break;
 		case JT_DIRECTOR_PROBE:
-			probe_note(node, a, false);
+			probe_record(node, a, false);
 			break;
 		case JT_DIRECTOR_FAILING:
-			if (failing_count < VERDICTS)
-				failing[failing_count++] = name_of(a);
+			if (failing_count < DEATH_REPORTS)
+				failing[failing_count++] = incarnation_of(a);
 			break;
 		case JT_DIRECTOR_FAILURES:
-			failures_take(world, node);
+			failures_collect(world, node);
 			break;
 		case JT_DIRECTOR_VERDICT:
-			verdicts[verdict_count++ % VERDICTS] = name_of(a);
+			death_reports[death_report_count++ % DEATH_REPORTS] =
+				incarnation_of(a);
 			break;
 		case JT_DIRECTOR_IDENTIFY:
-			probe_note(node, a, true);
+			probe_record(node, a, true);
 			break;
 		default:
 			break;
@@ -942,36 +954,36 @@
 	}
 }
 
-static void probe_settle(struct world *world, uint8_t choice)
+static void probe_finish(struct world *world, uint8_t choice)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PROBED};
-	struct pending pending;
+	struct probe probe;
 	enum jt_probe_outcome outcome;
 	uint64_t found;
 	size_t at;
 
-	if (pending_count == 0)
+	if (probe_count == 0)
 		return;
-	at = choice % pending_count;
-	pending = pendings[at];
-	pending_count--;
-	pendings[at] = pendings[pending_count];
-	outcome = probe_outcome(world, &pending, &found);
-	if (pending.identify) {
+	at = choice % probe_count;
+	probe = probes[at];
+	probe_count--;
+	probes[at] = probes[probe_count];
+	outcome = probe_outcome(world, &probe, &found);
+	if (probe.identify) {
 		event.kind = JT_DIRECTOR_IDENTIFIED;
-		event.u.identified.id = pending.id;
-		event.u.identified.born_ms = pending.born_ms;
+		event.u.identified.id = probe.id;
+		event.u.identified.born_ms = probe.born_ms;
 		event.u.identified.found = found;
 	} else {
-		event.u.probed.id = pending.id;
-		event.u.probed.born_ms = pending.born_ms;
+		event.u.probed.id = probe.id;
+		event.u.probed.born_ms = probe.born_ms;
 		event.u.probed.outcome =
 			choice & 0x80 ? JT_PROBE_VOID : outcome;
 	}
-	tell(world, pending.node, &event);
+	send_event(world, probe.node, &event);
 }
 
-/* Callers */
+/* Clients */
 
 static void packet_send(struct world *world, int node, struct flow *flow,
 			uint8_t flags, uint32_t length)
@@ -983,45 +995,46 @@
 		.flags = flags,
 		.label = flow->open ? flow->label : 0,
 		.sequence = flow->sequence,
-		.acknowledged = flow->open ? flow->acknowledged : flow->copies,
+		.acknowledged =
+			flow->open ? flow->acknowledged : flow->retransmissions,
 		.length = length,
 	};
 	world->node_packets[node]++;
-	tell(world, node, &event);
+	send_event(world, node, &event);
 }
 
-/* The network doubles the first packet, and the second comes late, through the
- * node that got the first and still knows of the flow. */
-static void first_packet_again(struct world *world, struct flow *flow)
+/* Delivers a late duplicate of the first packet through the node that
+ * received the original and still has the flow. */
+static void first_packet_duplicate(struct world *world, struct flow *flow)
 {
 	int index = flow->endpoint >= 0 ? flow->endpoint : flow->half_open;
 	struct flow first = *flow;
 
-	/* Where its endpoint has ended, so has the flow. */
-	if (index < 0 || !lives(&world->endpoints[index]) ||
+	/* A flow ends with its endpoint. */
+	if (index < 0 || !is_alive(&world->endpoints[index]) ||
 	    flow->start != world->endpoints[index].starts)
 		return;
-	if (flow->copies > 0 || !node_remembers(world, flow) ||
-	    world->now_ms - flow->sent_ms > LATE_MS)
+	if (flow->retransmissions > 0 || !node_has_flow(world, flow) ||
+	    world->now_ms - flow->forwarded_ms > DUPLICATE_DELAY_MAX_MS)
 		return;
 	first.open = false;
 	first.sequence = 1;
-	first.copies = 0;
-	world->late_copy = true;
+	first.retransmissions = 0;
+	world->late_duplicate = true;
 	packet_send(world, flow->node, &first, JT_PACKET_SYN, 0);
-	world->late_copy = false;
+	world->late_duplicate = false;
 }
 
 static void flow_start(struct world *world, int node, uint8_t choice)
 {
 	struct flow *flow = &world->flows[choice % FLOWS];
 
-	if (flow->used && !flow->over)
-		flow_leave(world, flow);
+	if (flow->used && !flow->closed)
+		flow_close(world, flow);
 	*flow = (struct flow){
 		.used = true, .endpoint = -1, .half_open = -1, .sequence = 1};
 	flow->node = node;
-	flow->life = world->node_lives[node];
+	flow->node_start = world->node_starts[node];
 	flow->key = (struct jt_flow_key){
 		.source = 0x64400001 + choice % 5,
 		.destination = 0xc6120001,
@@ -1036,18 +1049,19 @@
 {
 	struct flow *flow = &world->flows[choice % FLOWS];
 
-	if (!flow->used || flow->over)
+	if (!flow->used || flow->closed)
 		return;
 	if (!flow->open) {
-		/* A copy goes through the same node, but for sprays. */
-		flow->copies++;
-		if (flow->copies <= 2)
+		/* Retransmissions use the same node unless packets are sprayed.
+		 */
+		flow->retransmissions++;
+		if (flow->retransmissions <= 2)
 			packet_send(world, node, flow, JT_PACKET_SYN, 0);
 		return;
 	}
 	if (choice & 0x80)
-		first_packet_again(world, flow);
-	if (!flow->over)
+		first_packet_duplicate(world, flow);
+	if (!flow->closed)
 		packet_send(world, node, flow, JT_PACKET_ACK,
 			    choice & 0x40 ? 10 : 0);
 }
@@ -1056,31 +1070,32 @@
 {
 	struct flow *flow = &world->flows[choice % FLOWS];
 
-	if (!flow->used || flow->over || !flow->open)
+	if (!flow->used || flow->closed || !flow->open)
 		return;
 	packet_send(world, node, flow, JT_PACKET_FIN | JT_PACKET_ACK, 0);
-	flow_leave(world, flow);
+	flow_close(world, flow);
 }
 
-static void time_pass(struct world *world, uint8_t choice)
+static void advance_time(struct world *world, uint8_t choice)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_TICK};
 
 	world->now_ms += 1 + (uint64_t)choice * 4;
 	event.u.tick.nodes = NODES;
 	for (int node = 0; node < NODES; node++)
-		tell(world, node, &event);
+		send_event(world, node, &event);
 }
 
-/* A packet of a caller that the oracle does not follow; its label, or 0. */
-static uint32_t crowd_send(struct world *world, int node,
+/* Sends a packet of a flow that the oracle doesn't track. Returns the label
+ * of the forwarded packet, or 0. */
+static uint32_t burst_send(struct world *world, int node,
 			   const struct jt_label_packet *packet)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PACKET};
 
 	event.u.packet = *packet;
 	world->node_packets[node]++;
-	tell(world, node, &event);
+	send_event(world, node, &event);
 	for (size_t i = 0; i < world->actions->count; i++) {
 		if (world->actions->items[i].kind == JT_DIRECTOR_FORWARD)
 			return world->actions->items[i].label;
@@ -1088,9 +1103,9 @@
 	return 0;
 }
 
-/* A new flow of the crowd; false: the node has no place for it. */
-static bool crowd_opens(struct world *world, int node, uint8_t choice,
-			struct jt_label_packet *packet)
+/* Opens a new flow of a burst. Returns false if the node refuses it. */
+static bool burst_flow_open(struct world *world, int node, uint8_t choice,
+			    struct jt_label_packet *packet)
 {
 	*packet = (struct jt_label_packet){
 		.key = {.source = 0x64400100,
@@ -1101,18 +1116,18 @@
 		.flags = JT_PACKET_SYN,
 		.sequence = 1,
 	};
-	packet->label = crowd_send(world, node, packet);
+	packet->label = burst_send(world, node, packet);
 	packet->flags = JT_PACKET_ACK;
 	packet->sequence = 2;
 	packet->acknowledged = OPEN_ACKNOWLEDGED;
 	if (packet->label != 0)
-		crowd_send(world, node, packet);
+		burst_send(world, node, packet);
 	return packet->label != 0;
 }
 
-/* The network doubles the first packet of a flow that its node remembers. */
-static void crowd_doubles(struct world *world, int node,
-			  const struct jt_label_packet *packet)
+/* Delivers a duplicate of the first packet of a flow in the node's table. */
+static void burst_duplicate_first(struct world *world, int node,
+				  const struct jt_label_packet *packet)
 {
 	struct jt_label_packet first = *packet;
 
@@ -1120,75 +1135,75 @@
 	first.sequence = 1;
 	first.acknowledged = 0;
 	first.label = 0;
-	crowd_send(world, node, &first);
+	burst_send(world, node, &first);
 	for (size_t i = 0; i < world->actions->count; i++) {
 		if (world->actions->items[i].reason == JT_DIRECTOR_OVERLOADED)
-			broken(world, "a flow with an endpoint was refused");
+			fail(world, "a flow with an endpoint was refused");
 	}
 }
 
-/* Some callers come to a node at once, each with one request after the other.
- * Answers are late, and the last ones never come. */
-static void crowd_comes(struct world *world, int node, uint8_t choice)
+/* Opens several flows at a node at once and sends requests on each.
+ * Responses are late, and the last ones never arrive. */
+static void burst_run(struct world *world, int node, uint8_t choice)
 {
 	struct jt_director_event tick = {.kind = JT_DIRECTOR_TICK};
-	struct jt_label_packet packets[CROWD];
+	struct jt_label_packet packets[BURST_FLOWS];
 	int count = 0;
 
 	tick.u.tick.nodes = NODES;
-	while (count < CROWD &&
-	       crowd_opens(world, node, choice, &packets[count]))
+	while (count < BURST_FLOWS &&
+	       burst_flow_open(world, node, choice, &packets[count]))
 		count++;
-	for (int i = 0; i < count * CROWD_REQUESTS; i++) {
+	for (int i = 0; i < count * BURST_REQUESTS; i++) {
 		struct jt_label_packet *packet = &packets[i % count];
 
 		if (i >= count) {
 			packet->acknowledged += 600;
-			crowd_send(world, node, packet);
+			burst_send(world, node, packet);
 		}
 		packet->length = 10;
-		crowd_send(world, node, packet);
+		burst_send(world, node, packet);
 		packet->sequence += 10;
 		packet->length = 0;
 		if (i % count == count - 1)
-			world->now_ms += CROWD_WAITS_MS;
+			world->now_ms += BURST_WAIT_MS;
 	}
-	tell(world, node, &tick);
+	send_event(world, node, &tick);
 	if (count > 0)
-		crowd_doubles(world, node, &packets[0]);
+		burst_duplicate_first(world, node, &packets[0]);
 }
 
-static void failing_tell(struct world *world)
+static void failures_send(struct world *world)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_OVERDUE};
-	struct jt_endpoint_failure told[JT_FAILURE_LIMIT];
+	struct jt_endpoint_failure sent[JT_FAILURE_LIMIT];
 
 	while (failing_count > 0) {
 		failing_count--;
 		event.u.suspicion.id = failing[failing_count].id;
 		event.u.suspicion.born_ms = failing[failing_count].born_ms;
 		for (int node = 0; node < NODES; node++)
-			tell(world, node, &event);
+			send_event(world, node, &event);
 	}
 	if (failures_count == 0)
 		return;
 	event.kind = JT_DIRECTOR_FAILURES_TOLD;
-	memcpy(told, failures, sizeof(told));
-	event.u.failures.items = told;
+	memcpy(sent, failures, sizeof(sent));
+	event.u.failures.items = sent;
 	event.u.failures.count = failures_count;
 	failures_count = 0;
 	for (int node = 0; node < NODES; node++)
-		tell(world, node, &event);
+		send_event(world, node, &event);
 }
 
 static void step(struct world *world)
 {
-	uint8_t what = next_byte(world), choice = next_byte(world);
-	int node = what / 16 % NODES;
+	uint8_t operation = next_byte(world), choice = next_byte(world);
+	int node = operation / 16 % NODES;
 	struct jt_director_event event = {.kind = JT_DIRECTOR_SUSPICION};
 
-	failing_tell(world);
-	switch (what % 16) {
+	failures_send(world);
+	switch (operation % 16) {
 	case 0:
 	case 1:
 		flow_start(world, node, choice);
@@ -1203,49 +1218,50 @@
 		flow_end(world, node, choice);
 		break;
 	case 7:
-		time_pass(world, choice);
+		advance_time(world, choice);
 		break;
 	case 8:
 		endpoint_start(world, choice);
 		break;
 	case 9:
-		endpoint_change(world, what / 16, choice);
+		endpoint_change(world, operation / 16, choice);
 		break;
 	case 10:
-		node_hears(world, node, choice);
+		node_receive_updates(world, node, choice);
 		break;
 	case 11:
 		if (choice % 4 == 0)
 			routing_publish(world);
 		else if (choice % 4 == 1)
-			node_lists(world, node);
+			node_send_listing(world, node);
 		else if (choice % 16 == 2)
 			zone_publish(world, choice / 16);
 		else
-			node_hears(world, node, choice);
+			node_receive_updates(world, node, choice);
 		break;
 	case 12:
-		probe_settle(world, choice);
+		probe_finish(world, choice);
 		break;
 	case 13:
 		if (choice % 16 == 1)
-			crowd_comes(world, node, choice);
+			burst_run(world, node, choice);
 		else
-			probe_settle(world, choice);
+			probe_finish(world, choice);
 		break;
 	case 14:
-		node_fetches(world, node, choice % NODES);
+		node_fetch_snapshot(world, node, choice % NODES);
 		break;
 	case 15:
 		if (choice % 8 == 0)
 			node_start(world, node);
-		else if (verdict_count > 0) {
-			const struct incarnation_name *dead =
-				&verdicts[choice % verdict_count % VERDICTS];
+		else if (death_report_count > 0) {
+			const struct incarnation *dead =
+				&death_reports[choice % death_report_count %
+					       DEATH_REPORTS];
 
 			event.u.suspicion.id = dead->id;
 			event.u.suspicion.born_ms = dead->born_ms;
-			tell(world, node, &event);
+			send_event(world, node, &event);
 		}
 		break;
 	}
@@ -1255,16 +1271,19 @@
 {
 	struct world *world = talloc_zero(NULL, struct world);
 
-	pending_count = 0;
-	verdict_count = 0;
+	probe_count = 0;
+	death_report_count = 0;
 	failing_count = 0;
 	failures_count = 0;
 	world->data = data;
 	world->size = size;
-	world->births = size > 0 && data[0] >= BIRTHS_FROM;
-	/* Few flows, and known for long enough: a refusal proves death. */
-	world->full_at = world->births ? FULL_NEVER : FULL_AT;
-	world->flow_idle_ms = world->births ? FLOW_IDLE_SHORT_MS : FLOW_IDLE_MS;
+	world->start_times = size > 0 && data[0] >= START_TIMES_FROM;
+	/* With start times the limit is never reached, so that a refused
+	 * connection confirms that the endpoint is dead. */
+	world->connection_limit =
+		world->start_times ? CONNECTION_LIMIT_HIGH : CONNECTION_LIMIT;
+	world->flow_idle_ms =
+		world->start_times ? FLOW_IDLE_SHORT_MS : FLOW_IDLE_MS;
 	world->now_ms = 1000000;
 	world->next_port = 1024;
 	world->actions = jt_director_actions_create(world);
@@ -1274,7 +1293,7 @@
 	for (uint8_t i = 0; i < 4; i++)
 		endpoint_start(world, (uint8_t)(i * 5));
 	for (int node = 0; node < NODES; node++)
-		node_lists(world, node);
+		node_send_listing(world, node);
 	while (world->size > 0)
 		step(world);
 	talloc_free(world);
--- a/fuzz/fuzz_document.c
+++ b/fuzz/fuzz_document.c
@@ -1,6 +1,6 @@
 /*
- * Items of the store by any writer: each is taken or explained, alone, and
- * leaves those beside it in a page as they are.
+ * Fuzzes store items written by an arbitrary writer: each item must be accepted
+ * or rejected with a reason, without affecting the other items of its page.
  */
 #include "fuzz_input.h"
 #include "jt_platform.h"
@@ -12,9 +12,9 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-enum { TEXT_MOST = 4096, REVISION = 412 };
+enum { TEXT_LIMIT = 4096, REVISION = 412 };
 
-/* Values of every sort that a field may be given, right and wrong. */
+/* Valid and invalid values for the fields. */
 static const char *const values[] = {
 	"\"counter\"",
 	"\"10.128.0.9:8080\"",
@@ -51,31 +51,33 @@
 	"op/evacuate/", "",
 };
 
-static const char good_entry[] =
+static const char valid_entry[] =
 	"{\"service\":\"counter\",\"address\":\"10.128.0.8:8080\",\"zone\":"
 	"\"regina\",\"version\":\"v1\",\"capacity\":2,\"state\":\"ready\","
 	"\"coldLeftMs\":0,\"callCount\":0,\"born\":1764740000000}";
 
-/* An object of some fields, each of them right by half. */
+/* Builds an object from up to 15 fields and values that the input chooses. */
 static void document_make(struct input *input, char *text)
 {
-	size_t count = take(input, 16), used = 0;
+	size_t count = input_choose(input, 16), used = 0;
 
-	used += (size_t)snprintf(text, TEXT_MOST, "{");
+	used += (size_t)snprintf(text, TEXT_LIMIT, "{");
 	for (size_t i = 0; i < count; i++) {
-		size_t field = take(input, sizeof(fields) / sizeof(fields[0]));
-		size_t value = take(input, sizeof(values) / sizeof(values[0]));
+		size_t field =
+			input_choose(input, sizeof(fields) / sizeof(fields[0]));
+		size_t value =
+			input_choose(input, sizeof(values) / sizeof(values[0]));
 
-		used += (size_t)snprintf(text + used, TEXT_MOST - used,
+		used += (size_t)snprintf(text + used, TEXT_LIMIT - used,
 					 "%s\"%s\":%s", i ? "," : "",
 					 fields[field], values[value]);
 	}
-	snprintf(text + used, TEXT_MOST - used, "}");
+	snprintf(text + used, TEXT_LIMIT - used, "}");
 }
 
 static json_t *item_make(const char *key, const uint8_t *value, size_t length)
 {
-	char text[2 * TEXT_MOST];
+	char text[2 * TEXT_LIMIT];
 
 	sodium_bin2base64(text, sizeof(text), value, length,
 			  sodium_base64_VARIANT_ORIGINAL);
@@ -83,13 +85,14 @@
 			 "revision", REVISION, "created", REVISION);
 }
 
-static json_t *good_item(const char *key)
+static json_t *valid_item(const char *key)
 {
-	return item_make(key, (const uint8_t *)good_entry,
-			 sizeof(good_entry) - 1);
+	return item_make(key, (const uint8_t *)valid_entry,
+			 sizeof(valid_entry) - 1);
 }
 
-/* What the product is told makes sense, or says what does not. */
+/* Checks that a change is complete: a valid entry or an error with its field
+ * and reason. */
 static void check_change(const struct jt_change *change)
 {
 	switch (change->kind) {
@@ -113,13 +116,13 @@
 	}
 }
 
-/* A page with @item between two entries that make sense. */
+/* Checks a page that has @item between two valid entries. */
 static void check_page(json_t *item)
 {
 	struct jt_kv_answer *answer = talloc_zero(NULL, struct jt_kv_answer);
 	json_t *page = json_pack("{s:i, s:b, s:[o, O, o]}", "at", REVISION,
-				 "more", 1, "items", good_item("servers/i-a1"),
-				 item, good_item("servers/i-a2"));
+				 "more", 1, "items", valid_item("servers/i-a1"),
+				 item, valid_item("servers/i-a2"));
 	char *body = json_dumps(page, 0);
 	const struct jt_change *last;
 
@@ -139,12 +142,12 @@
 	talloc_free(answer);
 }
 
-/* The bytes as the body of a whole answer. */
+/* Parses the input as the body of a whole response. */
 static void check_body(const struct input *input)
 {
 	struct jt_kv_answer *answer = talloc_zero(NULL, struct jt_kv_answer);
-	char *body =
-		talloc_strndup(answer, (const char *)input->data, input->left);
+	char *body = talloc_strndup(answer, (const char *)input->data,
+				    input->remaining);
 
 	jt_platform_answer(answer, body);
 	for (size_t i = 0; i < answer->change_count; i++)
@@ -155,19 +158,20 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct input input = {data, size};
-	char text[TEXT_MOST];
+	char text[TEXT_LIMIT];
 	const char *key;
 	json_t *item;
 
 	if (sodium_init() < 0)
 		abort();
-	if (take(&input, 4) == 0) {
+	if (input_choose(&input, 4) == 0) {
 		check_body(&input);
 		return 0;
 	}
-	key = keys[take(&input, sizeof(keys) / sizeof(keys[0]))];
-	if (take(&input, 4) == 0) {
-		size_t length = input.left < TEXT_MOST ? input.left : TEXT_MOST;
+	key = keys[input_choose(&input, sizeof(keys) / sizeof(keys[0]))];
+	if (input_choose(&input, 4) == 0) {
+		size_t length = input.remaining < TEXT_LIMIT ? input.remaining
+							     : TEXT_LIMIT;
 
 		item = item_make(key, input.data, length);
 	} else {
--- a/fuzz/fuzz_input.h
+++ b/fuzz/fuzz_input.h
@@ -1,4 +1,4 @@
-/* A fuzzer's bytes, taken one by one as choices. */
+/* Reads the bytes of a fuzzer as a sequence of choices. */
 #ifndef FUZZ_INPUT_H
 #define FUZZ_INPUT_H
 
@@ -7,16 +7,16 @@
 
 struct input {
 	const uint8_t *data;
-	size_t left;
+	size_t remaining;
 };
 
-/* The next choice among so many; the first one once there are no bytes. */
-static inline size_t take(struct input *input, size_t below)
+/* Returns the next choice, in [0, @count); 0 once the bytes are used up. */
+static inline size_t input_choose(struct input *input, size_t count)
 {
-	if (input->left == 0)
+	if (input->remaining == 0)
 		return 0;
-	input->left--;
-	return *input->data++ % below;
+	input->remaining--;
+	return *input->data++ % count;
 }
 
 #endif
--- a/fuzz/fuzz_message.c
+++ b/fuzz/fuzz_message.c
@@ -1,6 +1,6 @@
 /*
- * Messages from a peer that holds the key but is mad: any XDR body, given to
- * a node of a running cell, must neither crash it nor make it grow.
+ * Fuzzes messages of an authenticated peer: no XDR body may crash a node of a
+ * running cell.
  */
 #include "jt_cluster.h"
 
@@ -13,7 +13,7 @@
 static struct jt_core *core;
 static struct jt_actions *actions;
 
-static void start(void)
+static void core_start(void)
 {
 	struct jt_config *config = talloc_zero(NULL, struct jt_config);
 	struct jt_event event = {.kind = JT_EVENT_CONFIG, .now_ms = 1000};
@@ -38,7 +38,7 @@
 	jt_core_handle(core, &event, actions);
 }
 
-static void body(const uint8_t *data, size_t size, uint64_t now_ms)
+static void handle_body(const uint8_t *data, size_t size, uint64_t now_ms)
 {
 	struct jt_event event = {.kind = JT_EVENT_MESSAGE, .now_ms = now_ms};
 	jt_wire_message message;
@@ -59,28 +59,28 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	static const struct jt_address here = {1, 1};
+	static const struct jt_address address = {1, 1};
 	static uint64_t now_ms = 2000;
 	struct jt_keys keys = {.count = 1};
-	uint8_t kinds[1024];
+	uint8_t framed[1024];
 	jt_wire_message message;
 	uint64_t sequence;
 
 	if (core == NULL)
-		start();
-	if (size > sizeof(kinds) - 16)
+		core_start();
+	if (size > sizeof(framed) - 16)
 		return 0;
-	if (jt_codec_decode(&keys, here, data, size, &sequence, &message) ==
+	if (jt_codec_decode(&keys, address, data, size, &sequence, &message) ==
 	    JT_CODEC_OK)
-		abort(); /* a tag was guessed */
-	body(data, size, now_ms++);
-	/* The same bytes as the body of each kind of message. */
+		abort(); /* an unauthenticated message was accepted */
+	handle_body(data, size, now_ms++);
+	/* Handle the same bytes as the body of each message kind. */
 	for (uint8_t kind = 1; kind <= JT_WIRE_DETOUR; kind++) {
-		memset(kinds, 0, 16);
-		kinds[7] = size > 0 && data[0] & 1 ? 2 : 3;
-		kinds[15] = kind;
-		memcpy(kinds + 16, data, size);
-		body(kinds, size + 16, now_ms++);
+		memset(framed, 0, 16);
+		framed[7] = size > 0 && data[0] & 1 ? 2 : 3;
+		framed[15] = kind;
+		memcpy(framed + 16, data, size);
+		handle_body(framed, size + 16, now_ms++);
 	}
 	return 0;
 }
--- a/fuzz/fuzz_resource.c
+++ b/fuzz/fuzz_resource.c
@@ -1,4 +1,5 @@
-/* Resource documents: any JSON is built or explained, never half taken. */
+/* Fuzzes resource documents: any JSON is built completely or rejected with a
+ * reason. */
 #include "fuzz_input.h"
 #include "jt_change.h"
 
@@ -7,7 +8,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* Values of every sort that a field may be given, right and wrong. */
+/* Valid and invalid values for the fields. */
 static const char *const values[] = {
 	"\"a\"",
 	"\"b\"",
@@ -46,14 +47,16 @@
 	"shares", "write_ids", "no_such_kind",
 };
 
-static json_t *take_resource(struct input *input)
+static json_t *choose_resource(struct input *input)
 {
 	json_t *resource = json_object();
-	size_t count = take(input, 8);
+	size_t count = input_choose(input, 8);
 
 	for (size_t i = 0; i < count; i++) {
-		size_t field = take(input, sizeof(fields) / sizeof(*fields));
-		size_t value = take(input, sizeof(values) / sizeof(*values));
+		size_t field =
+			input_choose(input, sizeof(fields) / sizeof(*fields));
+		size_t value =
+			input_choose(input, sizeof(values) / sizeof(*values));
 
 		json_object_set_new(
 			resource, fields[field],
@@ -62,24 +65,25 @@
 	return resource;
 }
 
-/* A well-formed document whose lists, fields and values the bytes choose. */
-static json_t *take_document(struct input *input)
+/* Builds a well-formed document whose lists, fields and values the input
+ * chooses. */
+static json_t *choose_document(struct input *input)
 {
 	json_t *document = json_object();
 
-	while (input->left > 0) {
-		const char *list =
-			lists[take(input, sizeof(lists) / sizeof(*lists))];
+	while (input->remaining > 0) {
+		const char *list = lists[input_choose(
+			input, sizeof(lists) / sizeof(*lists))];
 
 		if (json_object_get(document, list) == NULL)
 			json_object_set_new(document, list, json_array());
 		json_array_append_new(json_object_get(document, list),
-				      take_resource(input));
+				      choose_resource(input));
 	}
 	return document;
 }
 
-static void build(json_t *document)
+static void document_build(json_t *document)
 {
 	struct jt_resource_error error;
 	struct jt_change *changes;
@@ -92,7 +96,7 @@
 	frame = talloc_new(NULL);
 	config = jt_resource_build(frame, document, 1, &error);
 	if (config == NULL && error.reason[0] == '\0')
-		abort(); /* refused without a reason */
+		abort(); /* rejected without a reason */
 	if (jt_change_from_document(frame, document, &changes, &count,
 				    &error) == 0) {
 		json_t *empty = json_object();
@@ -108,9 +112,9 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	struct input input = {.data = data, .left = size};
+	struct input input = {.data = data, .remaining = size};
 
-	build(json_loadb((const char *)data, size, 0, NULL));
-	build(take_document(&input));
+	document_build(json_loadb((const char *)data, size, 0, NULL));
+	document_build(choose_document(&input));
 	return 0;
 }
--- a/fuzz/fuzz_settings.c
+++ b/fuzz/fuzz_settings.c
@@ -1,4 +1,4 @@
-/* Settings files: any text is read or refused with a line. */
+/* Fuzzes settings files: any text is loaded or rejected with an error. */
 #include "jt_settings.h"
 
 #include <stdio.h>
@@ -19,7 +19,7 @@
 	snprintf(name, sizeof(name), "/proc/self/fd/%d", fd);
 	settings = jt_settings_load(NULL, name, &error);
 	if (settings == NULL && error == NULL)
-		abort(); /* refused without a reason */
+		abort(); /* rejected without an error */
 	talloc_free(settings);
 	talloc_free(error);
 	close(fd);
