--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -1,4 +1,4 @@
-/* jaspertrack-soak: options, the course of a run, the report. */
+/* jaspertrack-soak: options, main loop and report. */
 #include "jt_version.h"
 #include "soak.h"
 
@@ -12,71 +12,76 @@
 #include <unistd.h>
 
 enum {
-	EXIT_HELD = 0,
-	EXIT_BROKEN = 1,
+	EXIT_PASSED = 0,
+	EXIT_FAILED = 1,
 	TICK_MS = 5,
-	START_MS = 3000,     /* before the first fault */
-	CALM_MS = 4000,	     /* measured after the recovery */
-	SERVED_PERCENT = 90, /* of it that must be answered */
-	SECONDS_LEAST = 5,
-	SECONDS_MOST = 3600,
+	START_MS = 3000,       /* before the first fault */
+	MEASURE_MS = 4000,     /* in which recovery is measured */
+	ANSWERED_PERCENT = 90, /* requests that must be answered then */
+	SECONDS_MIN = 5,
+	SECONDS_MAX = 3600,
 };
 
-/* A run under way. */
-struct course {
+/* State of a run. */
+struct run {
 	struct soak *soak;
 	struct soak_schedule *schedule;
-	size_t next; /* fault */
+	size_t next_fault;
 	struct soak_stalls *stalls;
 	struct jt_timer *timer;
-	bool over;
+	bool done;
 };
 
-/* The faults that are due, and the end of all. */
-static void faults_look(struct course *course, uint64_t now_ms)
+/* Applies the faults that are due, and ends all at the end of the fault
+ * phase. */
+static void faults_tick(struct run *run, uint64_t now_ms)
 {
-	struct soak *soak = course->soak;
-	const struct soak_schedule *schedule = course->schedule;
+	struct soak *soak = run->soak;
+	const struct soak_schedule *schedule = run->schedule;
 	uint64_t run_ms = now_ms - soak->began_ms;
 
-	if (soak->calm_ms != 0)
+	if (soak->faults_ended_ms != 0)
 		return;
-	if (soak->packets_until_ms != 0 && now_ms >= soak->packets_until_ms) {
-		soak->drop_percent = soak->copy_percent = 0;
-		soak->packets_until_ms = 0;
+	if (soak->packet_faults_until_ms != 0 &&
+	    now_ms >= soak->packet_faults_until_ms) {
+		soak->drop_percent = soak->duplicate_percent = 0;
+		soak->packet_faults_until_ms = 0;
 	}
-	while (course->next < schedule->count &&
-	       run_ms >= schedule->faults[course->next].at_ms)
-		soak_fault_strike(soak, &schedule->faults[course->next++]);
+	while (run->next_fault < schedule->count &&
+	       run_ms >= schedule->faults[run->next_fault].at_ms)
+		soak_fault_apply(soak, &schedule->faults[run->next_fault++]);
 	if (run_ms >= START_MS + soak->options.seconds * 1000ull)
 		soak_faults_end(soak);
 }
 
 static void on_tick(void *private_data)
 {
-	struct course *course = private_data;
-	struct soak *soak = course->soak;
+	struct run *run = private_data;
+	struct soak *soak = run->soak;
 	uint64_t now_ms = jt_clock_ms();
 
-	soak_stalls_tick(course->stalls, now_ms);
+	soak_stalls_tick(run->stalls, now_ms);
 	soak_network_tick(soak, now_ms);
 	soak_nodes_tick(soak);
 	soak_endpoints_tick(soak);
 	soak_callers_tick(soak);
-	faults_look(course, now_ms);
-	course->over = course->over ||
-		       (soak->calm_ms != 0 &&
-			now_ms > soak->calm_ms + SOAK_RECOVERY_MS + CALM_MS);
-	jt_timer_set(course->timer, TICK_MS);
+	faults_tick(run, now_ms);
+	run->done =
+		run->done || (soak->faults_ended_ms != 0 &&
+			      now_ms > soak->faults_ended_ms +
+					       SOAK_RECOVERY_MS + MEASURE_MS);
+	jt_timer_set(run->timer, TICK_MS);
 }
 
 static void recovery_check(struct soak *soak)
 {
-	if (soak->calm_requests == 0 ||
-	    soak->calm_answered * 100 < soak->calm_requests * SERVED_PERCENT)
-		soak_broken(soak, "RECOVER", "%llu of %llu answered",
-			    (unsigned long long)soak->calm_answered,
-			    (unsigned long long)soak->calm_requests);
+	if (soak->recovered_requests == 0 ||
+	    soak->recovered_answered * 100 <
+		    soak->recovered_requests * ANSWERED_PERCENT)
+		soak_promise_broken(
+			soak, "RECOVER", "%llu of %llu answered",
+			(unsigned long long)soak->recovered_answered,
+			(unsigned long long)soak->recovered_requests);
 }
 
 static int report(const struct soak *soak)
@@ -92,25 +97,26 @@
 	       (unsigned long long)soak->resets,
 	       (unsigned long long)soak->refused,
 	       (unsigned long long)soak->version, soak->endpoint_count,
-	       (unsigned long long)soak->own_ends,
-	       (unsigned long long)soak->calm_answered,
-	       (unsigned long long)soak->calm_requests,
+	       (unsigned long long)soak->unexpected_exits,
+	       (unsigned long long)soak->recovered_answered,
+	       (unsigned long long)soak->recovered_requests,
 	       (unsigned long long)soak->lag_ms);
-	return soak->broken == 0 ? EXIT_HELD : EXIT_BROKEN;
+	return soak->broken == 0 ? EXIT_PASSED : EXIT_FAILED;
 }
 
-/* Asked to stop: the nodes must not outlive this process. */
+/* Ends the run on SIGTERM and SIGINT, so that the nodes don't outlive this
+ * process. */
 static void on_stop(struct tevent_context *loop, struct tevent_signal *signal,
 		    int signum, int count, void *info, void *private_data)
 {
-	struct course *course = private_data;
+	struct run *run = private_data;
 
 	(void)loop;
 	(void)signal;
 	(void)signum;
 	(void)count;
 	(void)info;
-	course->over = true;
+	run->done = true;
 }
 
 static struct soak *soak_create(const struct soak_options *options)
@@ -122,7 +128,7 @@
 	soak->client = jt_http_client_create(soak, soak->loop);
 	soak->options = *options;
 	soak->node_count = (int)options->nodes;
-	soak->flows_stay = soak_draw(soak, SOAK_DRAW_RUN, 0, 0, 2) == 0;
+	soak->flows_sticky = soak_draw(soak, SOAK_DRAW_RUN, 0, 0, 2) == 0;
 	soak->began_ms = jt_clock_ms();
 	soak->events = fopen(events, "w");
 	soak->store = soak_store_create(soak);
@@ -130,7 +136,7 @@
 	if (soak->events == NULL || soak->store == NULL) {
 		fprintf(stderr,
 			"jaspertrack-soak: %s: can't be written, or "
-			"another soak runs in slot %u\n",
+			"another soak uses slot %u\n",
 			events, options->slot);
 		talloc_free(soak);
 		return NULL;
@@ -138,19 +144,20 @@
 	return soak;
 }
 
-/* The faults of the run, drawn or read; kept in its folder. */
+/* Draws or reads the faults of the run and writes them to its folder. */
 static struct soak_schedule *schedule_create(struct soak *soak)
 {
 	const struct soak_options *options = &soak->options;
 	const struct soak_schedule_plan plan = {
 		.seed = options->seed,
 		.nodes = options->nodes,
-		.places = SOAK_ADDRESSES,
+		.addresses = SOAK_ADDRESSES,
 		.zones = SOAK_ZONES,
 		.start_ms = START_MS,
 		.end_ms = START_MS + options->seconds * 1000ull,
 	};
-	char *kept = talloc_asprintf(soak, "%s/faults.log", options->folder);
+	char *log_file =
+		talloc_asprintf(soak, "%s/faults.log", options->folder);
 	struct soak_schedule *schedule;
 	char *error = NULL;
 
@@ -159,9 +166,9 @@
 					      &error);
 	else
 		schedule = soak_schedule_draw(soak, &plan);
-	if (schedule == NULL || !soak_schedule_write(schedule, kept)) {
+	if (schedule == NULL || !soak_schedule_write(schedule, log_file)) {
 		fprintf(stderr, "jaspertrack-soak: --faults: %s\n",
-			error != NULL ? error : kept);
+			error != NULL ? error : log_file);
 		return NULL;
 	}
 	return schedule;
@@ -170,66 +177,70 @@
 static int soak_run(const struct soak_options *options)
 {
 	struct soak *soak = soak_create(options);
-	struct course course = {.soak = soak};
+	struct run run = {.soak = soak};
 	int result;
 
 	if (soak == NULL)
-		return SOAK_EXIT_UNABLE;
-	course.schedule = schedule_create(soak);
-	if (course.schedule == NULL)
-		return SOAK_EXIT_UNABLE;
-	soak_note(soak, "open flows %s",
-		  soak->flows_stay ? "stay at their nodes to the end"
-				   : "follow the routers");
-	soak_version_next(soak);
+		return SOAK_EXIT_ERROR;
+	run.schedule = schedule_create(soak);
+	if (run.schedule == NULL)
+		return SOAK_EXIT_ERROR;
+	soak_log(soak, "open flows %s",
+		 soak->flows_sticky ? "stay at their nodes while these run"
+				    : "follow the routers");
+	soak_version_publish(soak);
 	soak_endpoints_create(soak);
 	soak_nodes_create(soak);
 	soak_callers_create(soak);
-	course.stalls = soak_stalls_create(soak);
-	course.timer = jt_timer_create(soak, soak->loop, on_tick, &course);
-	jt_timer_set(course.timer, TICK_MS);
-	tevent_add_signal(soak->loop, soak, SIGTERM, 0, on_stop, &course);
-	tevent_add_signal(soak->loop, soak, SIGINT, 0, on_stop, &course);
-	while (!course.over)
+	run.stalls = soak_stalls_create(soak);
+	run.timer = jt_timer_create(soak, soak->loop, on_tick, &run);
+	jt_timer_set(run.timer, TICK_MS);
+	tevent_add_signal(soak->loop, soak, SIGTERM, 0, on_stop, &run);
+	tevent_add_signal(soak->loop, soak, SIGINT, 0, on_stop, &run);
+	while (!run.done)
 		tevent_loop_once(soak->loop);
-	soak_nodes_end(soak);
+	soak_nodes_stop(soak);
 	recovery_check(soak);
 	result = report(soak);
-	/* The rest goes with the process: watches are held at this moment,
-	 * and the HTTP server can't be stopped in the middle of them. */
+	/* The rest is freed at exit: watches are pending, and the HTTP
+	 * server can't be stopped while it serves them. */
 	fclose(soak->events);
 	return result;
 }
 
-/* Whether the option lies within its limits; tells the user otherwise. */
-static bool within(const char *option, int value, int least, int most)
+/* Returns true if the option is in its range; prints an error otherwise. */
+static bool option_in_range(const char *option, int value, int min, int max)
 {
-	if (value >= least && value <= most)
+	if (value >= min && value <= max)
 		return true;
-	fprintf(stderr, "jaspertrack-soak: --%s: allowed are %d to %d\n",
-		option, least, most);
+	fprintf(stderr, "jaspertrack-soak: --%s: must be from %d to %d\n",
+		option, min, max);
 	return false;
 }
 
 int main(int argc, char **argv)
 {
-	struct arg_int *seed = arg_int0("s", "seed", "N",
-					"of the faults and of all else drawn");
-	struct arg_int *seconds =
-		arg_int0("t", "seconds", "S", "of faults, 5 to 3600 (60)");
+	struct arg_int *seed =
+		arg_int0("s", "seed", "N",
+			 "seed of the faults and all other random draws");
+	struct arg_int *seconds = arg_int0(
+		"t", "seconds", "S", "duration of the faults, 5 to 3600 (60)");
 	struct arg_int *nodes =
-		arg_int0("n", "nodes", "N", "processes, 5 to 200 (5)");
-	struct arg_int *slot = arg_int0(
-		NULL, "slot", "N", "0 to 15: runs side by side need others");
+		arg_int0("n", "nodes", "N", "number of nodes, 5 to 200 (5)");
+	struct arg_int *slot =
+		arg_int0(NULL, "slot", "N",
+			 "0 to 15: concurrent runs need different slots");
 	struct arg_file *faults =
 		arg_file0(NULL, "faults", "FILE",
-			  "play these in place of the seed's (faults.log)");
+			  "apply the faults of this file, not the seed's");
 	struct arg_file *program = arg_file0("p", "program", "FILE",
 					     "jaspertrack-director of a build");
 	struct arg_file *folder = arg_file0(
-		"o", "output", "DIR", "settings, logs and events go there");
-	struct arg_lit *help = arg_lit0("h", "help", "print this and end");
-	struct arg_lit *version = arg_lit0(NULL, "version", "print it and end");
+		"o", "output", "DIR", "directory of settings, logs and events");
+	struct arg_lit *help =
+		arg_lit0("h", "help", "print this help and exit");
+	struct arg_lit *version =
+		arg_lit0(NULL, "version", "print the version and exit");
 	struct arg_end *end = arg_end(8);
 	void *table[] = {seed,	  seconds, nodes, slot,	   faults,
 			 program, folder,  help,  version, end};
@@ -237,19 +248,20 @@
 
 	seconds->ival[0] = 60;
 	seed->ival[0] = (int)(time(NULL) & 0x7fffffff);
-	nodes->ival[0] = SOAK_NODES_LEAST;
+	nodes->ival[0] = SOAK_NODES_MIN;
 	slot->ival[0] = 0;
 	program->filename[0] = "build/jaspertrack-director";
 	folder->filename[0] = "/tmp/jaspertrack-soak";
 	if (arg_parse(argc, argv, table) > 0) {
 		arg_print_errors(stderr, end, "jaspertrack-soak");
-		return SOAK_EXIT_UNABLE;
+		return SOAK_EXIT_ERROR;
 	}
-	if (!within("seconds", seconds->ival[0], SECONDS_LEAST, SECONDS_MOST) ||
-	    !within("nodes", nodes->ival[0], SOAK_NODES_LEAST,
-		    SOAK_NODES_MOST) ||
-	    !within("slot", slot->ival[0], 0, SOAK_SLOTS - 1))
-		return SOAK_EXIT_UNABLE;
+	if (!option_in_range("seconds", seconds->ival[0], SECONDS_MIN,
+			     SECONDS_MAX) ||
+	    !option_in_range("nodes", nodes->ival[0], SOAK_NODES_MIN,
+			     SOAK_NODES_MAX) ||
+	    !option_in_range("slot", slot->ival[0], 0, SOAK_SLOTS - 1))
+		return SOAK_EXIT_ERROR;
 	if (help->count > 0) {
 		printf("Usage: jaspertrack-soak [OPTIONS]\n"
 		       "Real nodes on loopback under random faults.\n");
@@ -257,14 +269,14 @@
 		printf("Exit: 0 all promises held, 1 one was broken, 2 bad "
 		       "usage.\n"
 		       "Example: jaspertrack-soak --seconds 30 --seed 7\n");
-		return EXIT_HELD;
+		return EXIT_PASSED;
 	}
 	if (version->count > 0) {
 		printf("jaspertrack-soak %s\n", JT_VERSION);
-		return EXIT_HELD;
+		return EXIT_PASSED;
 	}
 	if (sodium_init() < 0)
-		return SOAK_EXIT_UNABLE;
+		return SOAK_EXIT_ERROR;
 	options = (struct soak_options){
 		.seed = (uint64_t)seed->ival[0],
 		.seconds = (unsigned)seconds->ival[0],
--- a/tests/soak/soak_endpoints.c
+++ b/tests/soak/soak_endpoints.c
@@ -1,4 +1,4 @@
-/* Endpoints: how they come, are listed and end. */
+/* Endpoints: their start, store entries and end. */
 #include "soak_endpoint_flows.h"
 
 #include <errno.h>
@@ -9,24 +9,25 @@
 
 enum {
 	BACKLOG = 64,
-	/* A node that is being started holds copies of all sockets for a
-	 * moment, until it runs its program. */
+	/* A node that is being started briefly holds copies of all sockets,
+	 * until it runs its program. */
 	LISTEN_TRIES = 40,
-	LISTEN_AGAIN_US = 5000,
-	DOCUMENT = 512,
-	RETURNS_ONE_IN = 4, /* of odd ids: half of the endpoints */
-	CHANGES_ONE_IN = 3, /* addresses that go on to another service */
-	LATE_END_MS = 3000, /* how much later than told an endpoint may end */
+	LISTEN_RETRY_US = 5000,
+	DOCUMENT_SIZE = 512,
+	ID_REUSE_ONE_IN = 4, /* of odd ids, which half of the endpoints have */
+	SERVICE_CHANGE_ONE_IN = 3, /* successors of another service */
+	END_DELAY_MAX_MS = 3000,   /* after the announced end */
 };
 
-static struct jt_address place_address(const struct soak *soak, int place)
+static struct jt_address endpoint_address(const struct soak *soak,
+					  int address_index)
 {
 	return (struct jt_address){soak_address(soak, SOAK_ENDPOINT_NET) + 2 +
-					   (uint32_t)place,
+					   (uint32_t)address_index,
 				   SOAK_ENDPOINT_PORT};
 }
 
-int soak_endpoint_of(const struct soak *soak, uint64_t id)
+int soak_endpoint_by_id(const struct soak *soak, uint64_t id)
 {
 	for (int i = soak->endpoint_count - 1; i >= 0; i--) {
 		if (soak->endpoints[i].id == id)
@@ -35,22 +36,22 @@
 	return -1;
 }
 
-int soak_endpoint_at(const struct soak *soak, unsigned place)
+int soak_endpoint_at(const struct soak *soak, unsigned address_index)
 {
 	for (int i = soak->endpoint_count - 1; i >= 0; i--) {
-		if (soak->endpoints[i].place == (int)place)
+		if (soak->endpoints[i].address_index == (int)address_index)
 			return i;
 	}
 	return -1;
 }
 
-bool soak_endpoint_hears(const struct soak_endpoint *endpoint)
+bool soak_endpoint_reachable(const struct soak_endpoint *endpoint)
 {
-	return endpoint->life != SOAK_ENDED && !endpoint->dark &&
+	return endpoint->state != SOAK_ENDED && !endpoint->blackhole &&
 	       jt_clock_ms() >= endpoint->silent_until_ms;
 }
 
-/* Connections: the page that tells who is there */
+/* Connections: the health page with the instance id */
 
 static void on_connection(struct tevent_context *loop, struct tevent_fd *event,
 			  uint16_t flags, void *private_data)
@@ -58,21 +59,21 @@
 	struct soak_listener *listener = private_data;
 	const struct soak_endpoint *endpoint =
 		&listener->soak->endpoints[listener->endpoint];
-	char answer[256], request[1024];
+	char response[256], request[1024];
 	int fd;
 
 	(void)loop;
 	(void)event;
 	(void)flags;
-	if (!soak_endpoint_hears(endpoint)) {
-		/* Nobody accepts; look again when it hears. */
+	if (!soak_endpoint_reachable(endpoint)) {
+		/* Accepts nothing until it is reachable again. */
 		tevent_fd_set_flags(listener->tcp_event, 0);
 		return;
 	}
 	fd = accept4(listener->tcp_fd, NULL, NULL, SOCK_CLOEXEC);
 	if (fd < 0)
 		return;
-	/* A probe only connects; an identification also asks, at once. */
+	/* A probe only connects; an identification also sends a request. */
 	if (recv(fd, request, sizeof(request), MSG_DONTWAIT) <= 0) {
 		struct timeval wait = {.tv_usec = 2000};
 
@@ -82,12 +83,12 @@
 			return;
 		}
 	}
-	snprintf(answer, sizeof(answer),
+	snprintf(response, sizeof(response),
 		 "HTTP/1.1 %s\r\nInstance-Id: i-%llx\r\nContent-Length: 0\r\n"
 		 "Connection: close\r\n\r\n",
-		 endpoint->life == SOAK_ALIVE ? "200 OK" : "503 Leaving",
+		 endpoint->state == SOAK_ALIVE ? "200 OK" : "503 Leaving",
 		 (unsigned long long)endpoint->id);
-	(void)send(fd, answer, strlen(answer), MSG_NOSIGNAL);
+	(void)send(fd, response, strlen(response), MSG_NOSIGNAL);
 	close(fd);
 }
 
@@ -100,9 +101,10 @@
 	return 0;
 }
 
-static bool listener_open(struct soak_listener *listener, int place)
+static bool listener_open(struct soak_listener *listener, int address_index)
 {
-	struct jt_address address = place_address(listener->soak, place);
+	struct jt_address address =
+		endpoint_address(listener->soak, address_index);
 	struct sockaddr_in name;
 	int on = 1, error;
 
@@ -125,18 +127,18 @@
 }
 
 static struct soak_listener *listener_create(struct soak *soak, int endpoint,
-					     int place)
+					     int address_index)
 {
 	struct soak_listener *listener =
 		talloc_zero(soak, struct soak_listener);
 
 	listener->soak = soak;
 	listener->endpoint = endpoint;
-	for (int i = 0; i < LISTEN_TRIES && !listener_open(listener, place);
-	     i++) {
+	for (int i = 0;
+	     i < LISTEN_TRIES && !listener_open(listener, address_index); i++) {
 		if (errno != EADDRINUSE || i == LISTEN_TRIES - 1)
-			soak_die(soak, "endpoint");
-		usleep(LISTEN_AGAIN_US);
+			soak_fatal(soak, "endpoint");
+		usleep(LISTEN_RETRY_US);
 	}
 	listener->udp_event =
 		tevent_add_fd(soak->loop, listener, listener->udp_fd,
@@ -148,11 +150,11 @@
 	return listener;
 }
 
-/* Life */
+/* Lifecycle */
 
 static void entry_write(struct soak *soak, struct soak_endpoint *endpoint)
 {
-	char key[64], value[DOCUMENT], address[JT_ADDRESS_TEXT];
+	char key[64], value[DOCUMENT_SIZE], address[JT_ADDRESS_TEXT];
 
 	snprintf(key, sizeof(key), "servers/i-%llx",
 		 (unsigned long long)endpoint->id);
@@ -160,30 +162,32 @@
 		soak_store_put(soak->store, key, NULL);
 		return;
 	}
-	endpoint->spoiled_until_ms = 0;
+	endpoint->corrupted_until_ms = 0;
 	snprintf(value, sizeof(value),
 		 "{\"service\":\"service-%u\",\"address\":\"%s\",\"zone\":"
 		 "\"zone-%u\",\"version\":\"v1\",\"capacity\":2,\"state\":"
 		 "\"%s\",\"coldLeftMs\":0,\"callCount\":1,\"born\":%llu}",
 		 endpoint->service,
-		 jt_address_format(place_address(soak, endpoint->place),
-				   address),
+		 jt_address_format(
+			 endpoint_address(soak, endpoint->address_index),
+			 address),
 		 endpoint->zone,
-		 endpoint->life == SOAK_DRAINING ? "draining" : "ready",
-		 (unsigned long long)endpoint->born_ms);
+		 endpoint->state == SOAK_DRAINING ? "draining" : "ready",
+		 (unsigned long long)endpoint->start_ms);
 	soak_store_put(soak->store, key, value);
 }
 
-/* Births may fall from one start to the next: clocks step. */
-static uint64_t birth_next(const struct soak *soak)
+/* Returns a start time that may be lower than the previous one: clocks step
+ * back. */
+static uint64_t start_time_next(const struct soak *soak)
 {
 	uint64_t step_ms = soak->endpoint_count % 3 == 0 ? 60000 : 0;
 
 	return 1700000000000 + jt_clock_ms() - step_ms;
 }
 
-static int start_under(struct soak *soak, uint64_t id, uint32_t service,
-		       int place, unsigned generation)
+static int start_with_id(struct soak *soak, uint64_t id, uint32_t service,
+			 int address_index, unsigned generation)
 {
 	int index = soak->endpoint_count;
 	struct soak_endpoint *endpoint = &soak->endpoints[index];
@@ -193,61 +197,63 @@
 	soak->endpoint_count++;
 	*endpoint = (struct soak_endpoint){
 		.id = id,
-		.born_ms = birth_next(soak),
+		.start_ms = start_time_next(soak),
 		.service = service,
-		.zone = (uint32_t)place % SOAK_ZONES,
-		.place = place,
+		.zone = (uint32_t)address_index % SOAK_ZONES,
+		.address_index = address_index,
 		.generation = generation,
 		.listed = true,
-		.entry_good_ms = jt_clock_ms(),
+		.entry_valid_ms = jt_clock_ms(),
 	};
-	endpoint->listener = listener_create(soak, index, place);
+	endpoint->listener = listener_create(soak, index, address_index);
 	entry_write(soak, endpoint);
 	return index;
 }
 
-static uint64_t id_of(const struct soak *soak, int place, unsigned generation)
+static uint64_t endpoint_id(const struct soak *soak, int address_index,
+			    unsigned generation)
 {
-	return soak_draw(soak, SOAK_DRAW_ENDPOINT_ID, (uint64_t)place,
+	return soak_draw(soak, SOAK_DRAW_ENDPOINT_ID, (uint64_t)address_index,
 			 generation, 1ull << 40) |
 	       1;
 }
 
-int soak_endpoint_start(struct soak *soak, uint32_t service, int place)
+int soak_endpoint_start(struct soak *soak, uint32_t service, int address_index)
 {
-	return start_under(soak, id_of(soak, place, 0), service, place, 0);
+	return start_with_id(soak, endpoint_id(soak, address_index, 0), service,
+			     address_index, 0);
 }
 
-void soak_endpoint_drain(struct soak *soak, int index, bool silently)
+void soak_endpoint_drain(struct soak *soak, int index, bool by_removal)
 {
 	struct soak_endpoint *endpoint = &soak->endpoints[index];
 
-	if (silently)
+	if (by_removal)
 		endpoint->listed = false;
 	else
-		endpoint->life = SOAK_DRAINING;
+		endpoint->state = SOAK_DRAINING;
 	entry_write(soak, endpoint);
-	endpoint->no_new_ms = jt_clock_ms();
-	endpoint->end_ms = endpoint->no_new_ms + SOAK_DRAIN_MS +
-			   soak_draw(soak, SOAK_DRAW_ENDPOINT_END,
-				     (uint64_t)endpoint->place,
-				     endpoint->generation, LATE_END_MS);
+	endpoint->no_new_flows_ms = jt_clock_ms();
+	endpoint->end_ms = endpoint->no_new_flows_ms + SOAK_DRAIN_MS +
+			   soak_draw(soak, SOAK_DRAW_ENDPOINT_END_DELAY,
+				     (uint64_t)endpoint->address_index,
+				     endpoint->generation, END_DELAY_MAX_MS);
 }
 
 static void endpoint_end(struct soak *soak, int index)
 {
 	struct soak_endpoint *endpoint = &soak->endpoints[index];
 
-	endpoint->life = SOAK_ENDED;
+	endpoint->state = SOAK_ENDED;
 	endpoint->end_ms = jt_clock_ms();
 	soak_flows_drop(index);
-	if (!endpoint->dark)
+	if (!endpoint->blackhole)
 		TALLOC_FREE(endpoint->listener);
 }
 
-void soak_endpoint_crash(struct soak *soak, int index, bool dark)
+void soak_endpoint_crash(struct soak *soak, int index, bool blackhole)
 {
-	soak->endpoints[index].dark = dark;
+	soak->endpoints[index].blackhole = blackhole;
 	endpoint_end(soak, index);
 }
 
@@ -267,13 +273,13 @@
 		return;
 	endpoint_end(soak, index);
 	endpoint->listed = false;
-	start_under(soak, endpoint->id, endpoint->service, endpoint->place,
-		    endpoint->generation + 1);
-	endpoint->place = -1;
+	start_with_id(soak, endpoint->id, endpoint->service,
+		      endpoint->address_index, endpoint->generation + 1);
+	endpoint->address_index = -1;
 }
 
-void soak_endpoint_spoil(struct soak *soak, int index, unsigned kind,
-			 uint64_t until_ms)
+void soak_endpoint_corrupt_entry(struct soak *soak, int index, unsigned kind,
+				 uint64_t until_ms)
 {
 	static const char *const values[] = {
 		"",
@@ -287,48 +293,53 @@
 
 	snprintf(key, sizeof(key), "servers/i-%llx",
 		 (unsigned long long)endpoint->id);
-	endpoint->spoiled_until_ms = until_ms;
-	endpoint->entry_good_ms = until_ms;
+	endpoint->corrupted_until_ms = until_ms;
+	endpoint->entry_valid_ms = until_ms;
 	soak_store_put(soak->store, key,
 		       values[kind % (sizeof(values) / sizeof(values[0]))]);
 }
 
-/* What the store does with one that ended, and who comes after it. */
+/* Removes the entry of an ended endpoint after a while, then starts its
+ * successor at the address. */
 static void endpoint_replace(struct soak *soak, int index, uint64_t now_ms)
 {
 	struct soak_endpoint *endpoint = &soak->endpoints[index];
-	bool changes = soak_draw(soak, SOAK_DRAW_ENDPOINT_SERVICE,
-				 (uint64_t)endpoint->place,
-				 endpoint->generation, CHANGES_ONE_IN) == 0;
-	uint32_t service = changes ? (endpoint->service + 1) % SOAK_SERVICES
+	bool service_changes =
+		soak_draw(soak, SOAK_DRAW_ENDPOINT_SERVICE,
+			  (uint64_t)endpoint->address_index,
+			  endpoint->generation, SERVICE_CHANGE_ONE_IN) == 0;
+	uint32_t service = service_changes
+				   ? (endpoint->service + 1) % SOAK_SERVICES
 				   : endpoint->service;
-	unsigned of_service = 0;
+	unsigned service_endpoints = 0;
 	uint64_t id;
 
 	if (endpoint->listed && now_ms - endpoint->end_ms > 1500) {
 		endpoint->listed = false;
 		entry_write(soak, endpoint);
-		if (endpoint->no_new_ms == 0)
-			endpoint->no_new_ms = now_ms;
+		if (endpoint->no_new_flows_ms == 0)
+			endpoint->no_new_flows_ms = now_ms;
 	}
 	if (endpoint->listed || now_ms - endpoint->end_ms < SOAK_REUSE_MS)
 		return;
-	/* Each service keeps some endpoints. */
+	/* Keep at least one endpoint of each service. */
 	for (int i = 0; i < soak->endpoint_count; i++) {
-		of_service += soak->endpoints[i].service == endpoint->service &&
-			      soak->endpoints[i].life == SOAK_ALIVE;
+		service_endpoints +=
+			soak->endpoints[i].service == endpoint->service &&
+			soak->endpoints[i].state == SOAK_ALIVE;
 	}
-	if (of_service < 2)
+	if (service_endpoints < 2)
 		service = endpoint->service;
 	TALLOC_FREE(endpoint->listener);
-	endpoint->dark = false;
-	id = id_of(soak, endpoint->place, endpoint->generation + 1);
-	/* Some come back under the id that they had. */
-	if (endpoint->id % RETURNS_ONE_IN == 1 && endpoint->service == service)
+	endpoint->blackhole = false;
+	id = endpoint_id(soak, endpoint->address_index,
+			 endpoint->generation + 1);
+	/* Some successors reuse the id. */
+	if (endpoint->id % ID_REUSE_ONE_IN == 1 && endpoint->service == service)
 		id = endpoint->id;
-	start_under(soak, id, service, endpoint->place,
-		    endpoint->generation + 1);
-	endpoint->place = -1;
+	start_with_id(soak, id, service, endpoint->address_index,
+		      endpoint->generation + 1);
+	endpoint->address_index = -1;
 }
 
 void soak_endpoints_tick(struct soak *soak)
@@ -340,20 +351,20 @@
 	for (int i = 0; i < count; i++) {
 		struct soak_endpoint *endpoint = &soak->endpoints[i];
 
-		if (endpoint->place < 0)
+		if (endpoint->address_index < 0)
 			continue;
-		if (endpoint->spoiled_until_ms != 0 &&
-		    now_ms >= endpoint->spoiled_until_ms)
+		if (endpoint->corrupted_until_ms != 0 &&
+		    now_ms >= endpoint->corrupted_until_ms)
 			entry_write(soak, endpoint);
-		if (endpoint->life == SOAK_ENDED) {
+		if (endpoint->state == SOAK_ENDED) {
 			endpoint_replace(soak, i, now_ms);
-		} else if (endpoint->no_new_ms != 0 &&
+		} else if (endpoint->no_new_flows_ms != 0 &&
 			   now_ms >= endpoint->end_ms) {
 			endpoint->listed = false;
 			entry_write(soak, endpoint);
 			endpoint_end(soak, i);
 		} else if (endpoint->listener != NULL &&
-			   soak_endpoint_hears(endpoint)) {
+			   soak_endpoint_reachable(endpoint)) {
 			tevent_fd_set_flags(endpoint->listener->tcp_event,
 					    TEVENT_FD_READ);
 		}
--- a/tests/soak/soak_faults.c
+++ b/tests/soak/soak_faults.c
@@ -1,21 +1,23 @@
-/* How each fault strikes: an endpoint, a node, the store, packets. */
+/* Applies faults to endpoints, nodes, the store and packets. */
 #include "soak.h"
 
 #include <signal.h>
 
-/* So many endpoints of all are left in peace. */
-static bool endpoints_enough(const struct soak *soak)
+/* Returns true if enough endpoints remain for another to fail. */
+static bool enough_endpoints(const struct soak *soak)
 {
 	int alive = 0;
 
 	for (int i = 0; i < soak->endpoint_count; i++)
-		alive += soak->endpoints[i].life == SOAK_ALIVE &&
+		alive += soak->endpoints[i].state == SOAK_ALIVE &&
 			 soak->endpoints[i].listed;
 	return alive > SOAK_ADDRESSES / 2;
 }
 
-/* The endpoint that the fault is for, -1: it can't have it now. */
-static int endpoint_for(const struct soak *soak, const struct soak_fault *fault)
+/* Returns the endpoint at the fault's target, or -1 if it can't have the
+ * fault now. */
+static int target_endpoint(const struct soak *soak,
+			   const struct soak_fault *fault)
 {
 	int index = soak_endpoint_at(soak, fault->target);
 	const struct soak_endpoint *endpoint;
@@ -23,32 +25,33 @@
 	if (index < 0)
 		return -1;
 	endpoint = &soak->endpoints[index];
-	if (endpoint->life != SOAK_ALIVE || endpoint->no_new_ms != 0 ||
+	if (endpoint->state != SOAK_ALIVE || endpoint->no_new_flows_ms != 0 ||
 	    !endpoint->listed)
 		return -1;
-	if (fault->kind <= SOAK_ENDPOINT_CUT && !endpoints_enough(soak))
+	if (fault->kind <= SOAK_ENDPOINT_CUT && !enough_endpoints(soak))
 		return -1;
 	return index;
 }
 
-static bool strike_endpoint(struct soak *soak, const struct soak_fault *fault)
+static bool apply_endpoint_fault(struct soak *soak,
+				 const struct soak_fault *fault)
 {
-	int index = endpoint_for(soak, fault);
+	int index = target_endpoint(soak, fault);
 
 	if (index < 0)
 		return false;
-	soak_note(soak, "endpoint %llx",
-		  (unsigned long long)soak->endpoints[index].id);
+	soak_log(soak, "endpoint %llx",
+		 (unsigned long long)soak->endpoints[index].id);
 	switch (fault->kind) {
 	case SOAK_ENDPOINT_DRAINS:
-	case SOAK_ENDPOINT_GOES:
+	case SOAK_ENDPOINT_UNLISTED:
 		soak_endpoint_drain(soak, index,
-				    fault->kind == SOAK_ENDPOINT_GOES);
+				    fault->kind == SOAK_ENDPOINT_UNLISTED);
 		break;
 	case SOAK_ENDPOINT_CRASHES:
-	case SOAK_ENDPOINT_DARK:
+	case SOAK_ENDPOINT_BLACKHOLE:
 		soak_endpoint_crash(soak, index,
-				    fault->kind == SOAK_ENDPOINT_DARK);
+				    fault->kind == SOAK_ENDPOINT_BLACKHOLE);
 		break;
 	case SOAK_ENDPOINT_CUT:
 		soak_endpoint_cut(soak, index, fault->for_ms);
@@ -57,23 +60,23 @@
 		soak_endpoint_restart(soak, index);
 		break;
 	default:
-		soak_endpoint_spoil(soak, index, fault->strength,
-				    jt_clock_ms() + fault->for_ms);
+		soak_endpoint_corrupt_entry(soak, index, fault->strength,
+					    jt_clock_ms() + fault->for_ms);
 		break;
 	}
 	return true;
 }
 
-static bool strike_entries(struct soak *soak)
+static bool apply_foreign_entries(struct soak *soak)
 {
 	soak_store_put(soak->store, "servers/none", "{}");
 	soak_store_put(soak->store, "servers/i-77/more", "no JSON");
 	return true;
 }
 
-/* Signals go to whatever process there is, also to one that leaves or is
+/* Signals are sent to any running process, even one that is leaving or
  * paused. */
-static bool strike_node(struct soak *soak, const struct soak_fault *fault)
+static bool apply_node_fault(struct soak *soak, const struct soak_fault *fault)
 {
 	int index = (int)fault->target;
 	struct soak_node *node = &soak->nodes[index];
@@ -89,7 +92,7 @@
 	case SOAK_NODE_KILLED:
 		soak_node_signal(soak, index, SIGKILL);
 		break;
-	case SOAK_NODE_STOPS:
+	case SOAK_NODE_TERMINATES:
 		soak_node_signal(soak, index, SIGTERM);
 		break;
 	case SOAK_NODE_PAUSES:
@@ -99,8 +102,8 @@
 		soak_node_reload(soak, index);
 		break;
 	default:
-		soak_note(soak, "way to the store: %s",
-			  soak_link_name((enum soak_link)fault->strength));
+		soak_log(soak, "store link: %s",
+			 soak_link_name((enum soak_link)fault->strength));
 		soak_node_link(soak, index, (enum soak_link)fault->strength,
 			       until_ms);
 		break;
@@ -108,18 +111,18 @@
 	return true;
 }
 
-static bool strike_all(struct soak *soak, enum soak_fault_kind kind)
+static bool apply_all_nodes_fault(struct soak *soak, enum soak_fault_kind kind)
 {
 	for (int i = 0; i < soak->node_count; i++) {
 		if (kind == SOAK_ALL_KILLED)
 			soak_node_signal(soak, i, SIGKILL);
-		else if (soak->nodes[i].link_heals_ms == 0)
+		else if (soak->nodes[i].link_fault_until_ms == 0)
 			soak_node_link(soak, i, SOAK_LINK_STALE, 0);
 	}
 	return true;
 }
 
-static bool strike_store(struct soak *soak, const struct soak_fault *fault)
+static bool apply_store_fault(struct soak *soak, const struct soak_fault *fault)
 {
 	uint64_t until_ms = jt_clock_ms() + fault->for_ms;
 
@@ -138,16 +141,17 @@
 	return true;
 }
 
-static bool strike_packets(struct soak *soak, const struct soak_fault *fault)
+static bool apply_packet_fault(struct soak *soak,
+			       const struct soak_fault *fault)
 {
 	soak->drop_percent = fault->strength;
-	soak->copy_percent = fault->doubled;
-	soak->packets_until_ms = jt_clock_ms() + fault->for_ms;
+	soak->duplicate_percent = fault->doubled;
+	soak->packet_faults_until_ms = jt_clock_ms() + fault->for_ms;
 	return true;
 }
 
-/* One zone stays, so that there are endpoints for new flows. */
-static bool strike_zone(struct soak *soak, unsigned zone)
+/* Keeps one zone undrained, so that new flows have endpoints. */
+static bool apply_zone_fault(struct soak *soak, unsigned zone)
 {
 	unsigned drained = 0;
 
@@ -155,67 +159,67 @@
 		drained += soak->zones[i].drained;
 	if (!soak->zones[zone].drained && drained + 1 >= SOAK_ZONES)
 		return false;
-	soak_zone_turn(soak, zone);
+	soak_zone_toggle(soak, zone);
 	return true;
 }
 
-static bool strike(struct soak *soak, const struct soak_fault *fault)
+static bool apply_fault(struct soak *soak, const struct soak_fault *fault)
 {
 	switch (fault->kind) {
 	case SOAK_ENTRY_FOREIGN:
-		return strike_entries(soak);
+		return apply_foreign_entries(soak);
 	case SOAK_NODE_KILLED:
-	case SOAK_NODE_STOPS:
+	case SOAK_NODE_TERMINATES:
 	case SOAK_NODE_PAUSES:
 	case SOAK_NODE_RELOADS:
 	case SOAK_NODE_UNROUTED:
 	case SOAK_STORE_LINK:
-		return strike_node(soak, fault);
+		return apply_node_fault(soak, fault);
 	case SOAK_ALL_KILLED:
 	case SOAK_ALL_STALE:
-		return strike_all(soak, fault->kind);
+		return apply_all_nodes_fault(soak, fault->kind);
 	case SOAK_STORE_DOWN:
 	case SOAK_STORE_THROTTLES:
-	case SOAK_STORE_FORGETS:
-		return strike_store(soak, fault);
+	case SOAK_STORE_COMPACTS:
+		return apply_store_fault(soak, fault);
 	case SOAK_PACKETS:
-		return strike_packets(soak, fault);
+		return apply_packet_fault(soak, fault);
 	case SOAK_VERSION:
-		soak_version_next(soak);
+		soak_version_publish(soak);
 		return true;
-	case SOAK_ZONE_TURNS:
-		return strike_zone(soak, fault->target);
+	case SOAK_ZONE_TOGGLED:
+		return apply_zone_fault(soak, fault->target);
 	default:
-		return strike_endpoint(soak, fault);
+		return apply_endpoint_fault(soak, fault);
 	}
 }
 
-void soak_fault_strike(struct soak *soak, const struct soak_fault *fault)
+void soak_fault_apply(struct soak *soak, const struct soak_fault *fault)
 {
-	soak_note(soak, "%s target=%u for_ms=%llu strength=%u doubled=%u",
-		  soak_fault_name(fault->kind), fault->target,
-		  (unsigned long long)fault->for_ms, fault->strength,
-		  fault->doubled);
-	if (strike(soak, fault))
+	soak_log(soak, "%s target=%u for_ms=%llu strength=%u doubled=%u",
+		 soak_fault_name(fault->kind), fault->target,
+		 (unsigned long long)fault->for_ms, fault->strength,
+		 fault->doubled);
+	if (apply_fault(soak, fault))
 		soak->faults++;
 	else
-		soak_note(soak, "left out: its target can't have it now");
+		soak_log(soak, "skipped: not applicable to its target now");
 }
 
 void soak_faults_end(struct soak *soak)
 {
 	uint64_t now_ms = jt_clock_ms();
 
-	soak->calm_ms = now_ms;
-	soak->drop_percent = soak->copy_percent = 0;
-	soak->packets_until_ms = 0;
-	soak_note(soak, "faults end");
+	soak->faults_ended_ms = now_ms;
+	soak->drop_percent = soak->duplicate_percent = 0;
+	soak->packet_faults_until_ms = 0;
+	soak_log(soak, "faults end");
 	for (uint32_t zone = 0; zone < SOAK_ZONES; zone++) {
 		if (soak->zones[zone].drained)
-			soak_zone_turn(soak, zone);
+			soak_zone_toggle(soak, zone);
 	}
 	for (int i = 0; i < soak->node_count; i++) {
-		soak_node_heal(soak, i, now_ms);
+		soak_node_end_faults(soak, i, now_ms);
 		soak_store_throttle(soak->store, i, 0);
 	}
 }
--- a/tests/soak/soak_nodes.c
+++ b/tests/soak/soak_nodes.c
@@ -1,4 +1,4 @@
-/* The nodes: real processes, each with an address and a settings file. */
+/* The nodes: processes, each with an address and a settings file. */
 #include "soak.h"
 
 #include <errno.h>
@@ -13,21 +13,21 @@
 enum {
 	READY_EVERY_MS = 500,
 	READY_TIMEOUT_MS = 400,
-	/* A check that ends so much later than its limit says nothing: this
-	 * process stood still, and the answer may lie in the socket. */
-	READY_LATE_MS = 50,
-	READY_MISSES = 2, /* after which routers do without the node */
+	/* A check that ends later than this after its timeout is ignored:
+	 * this process stalled, and the response may be unread. */
+	READY_OVERRUN_MS = 50,
+	READY_FAILURES = 2, /* failed checks until routers leave the node out */
 	RESTART_MS = 300,
-	RESTART_LATER_MS = 1500, /* at most, after a kill */
+	RESTART_JITTER_MS = 1500, /* random part of the delay after a kill */
 };
 
 extern char **environ;
 
-struct ready_call {
+struct ready_request {
 	struct soak *soak;
 	int node;
 	pid_t pid;
-	uint64_t asked_ms;
+	uint64_t checked_ms;
 };
 
 struct jt_address soak_node_address(const struct soak *soak, int node,
@@ -37,7 +37,7 @@
 		soak_address(soak, SOAK_NODE_NET) + 2 + (uint32_t)node, port};
 }
 
-int soak_node_of(const struct soak *soak, uint32_t ip)
+int soak_node_by_ip(const struct soak *soak, uint32_t ip)
 {
 	return (int)(ip - soak_address(soak, SOAK_NODE_NET)) - 2;
 }
@@ -56,11 +56,11 @@
 				   SOAK_STORE_PORT};
 }
 
-/* The seeds move on with each change of the settings. */
+/* The seeds change with each version of the settings. */
 static struct jt_address seed_address(const struct soak *soak, int node,
 				      unsigned number)
 {
-	unsigned seed = soak->nodes[node].settings + number;
+	unsigned seed = soak->nodes[node].settings_version + number;
 
 	return soak_node_address(soak, (int)(seed % (unsigned)soak->node_count),
 				 SOAK_PEER_PORT);
@@ -73,9 +73,9 @@
 			       node);
 }
 
-/* Let the node's settings be the file: under a name that never changes, and
- * without writing over a file, which waits for the disk. */
-static void settings_use(struct soak *soak, int node, const char *file)
+/* Points the node's settings link to the file. Its name never changes, and
+ * no file is overwritten, which could wait for the disk. */
+static void settings_link_to(struct soak *soak, int node, const char *file)
 {
 	char *link = settings_link(soak, soak, node);
 	char *next = talloc_asprintf(link, "%s.next", link);
@@ -83,23 +83,23 @@
 	(void)unlink(next);
 	if (symlink(strrchr(file, '/') + 1, next) != 0 ||
 	    rename(next, link) != 0)
-		soak_die(soak, link);
+		soak_fatal(soak, link);
 	talloc_free(link);
 }
 
-/* Write the settings that the node has from now on. */
+/* Writes a new settings file of the node and links to it. */
 static void settings_write(struct soak *soak, int node)
 {
 	char *name =
 		talloc_asprintf(soak, "%s/node-%d-%u.cfg", soak->options.folder,
-				node, soak->nodes[node].settings);
+				node, soak->nodes[node].settings_version);
 	uint64_t began_ms = jt_clock_ms();
 	FILE *file;
 
 	(void)unlink(name);
 	file = fopen(name, "w");
 	if (file == NULL)
-		soak_die(soak, name);
+		soak_fatal(soak, name);
 	fprintf(file,
 		"placement = \"label\";\nenvironment = \"platform\";\n"
 		"node = { name = \"node-%d\"; zone = \"zone-%u\"; };\n"
@@ -122,7 +122,7 @@
 		address_text(name, seed_address(soak, node, 1)), SOAK_DRAIN_MS,
 		SOAK_CONFIG_MS, SOAK_ZONE_DRAIN_MS, SOAK_GRACE_MS / 1000);
 	fclose(file);
-	settings_use(soak, node, name);
+	settings_link_to(soak, node, name);
 	talloc_free(name);
 	soak_stalls_call(soak, "writing settings", began_ms);
 }
@@ -130,10 +130,10 @@
 void soak_node_start(struct soak *soak, int index)
 {
 	struct soak_node *node = &soak->nodes[index];
-	char *settings = settings_link(soak, soak, index);
-	char *log = talloc_asprintf(settings, "%s/node-%d.log",
+	char *settings_file = settings_link(soak, soak, index);
+	char *log = talloc_asprintf(settings_file, "%s/node-%d.log",
 				    soak->options.folder, index);
-	char *arguments[] = {(char *)soak->options.program, "-c", settings,
+	char *arguments[] = {(char *)soak->options.program, "-c", settings_file,
 			     NULL};
 	posix_spawn_file_actions_t actions;
 	uint64_t began_ms = jt_clock_ms();
@@ -145,17 +145,17 @@
 					 STDERR_FILENO);
 	if (posix_spawn(&node->pid, soak->options.program, &actions, NULL,
 			arguments, environ) != 0) {
-		soak_die(soak, soak->options.program);
+		soak_fatal(soak, soak->options.program);
 	}
 	posix_spawn_file_actions_destroy(&actions);
 	soak_stalls_call(soak, "starting a node", began_ms);
-	talloc_free(settings);
+	talloc_free(settings_file);
 	node->started_ms = jt_clock_ms();
-	node->disturbed_ms = node->gone_ms = node->started_ms;
-	node->restart_ms = node->pause_ends_ms = 0;
+	node->disturbed_ms = node->last_down_ms = node->started_ms;
+	node->restart_ms = node->paused_until_ms = 0;
 	node->starts++;
-	node->stopped = node->leaving = node->ready = node->was_ready = false;
-	node->missed = 0;
+	node->paused = node->leaving = node->ready = node->was_ready = false;
+	node->failed_checks = 0;
 	node->version_seen = 0;
 }
 
@@ -169,8 +169,8 @@
 	node->ready = false;
 	node->restart_ms =
 		node->disturbed_ms + RESTART_MS +
-		soak_draw(soak, SOAK_DRAW_NODE_RESTART, (uint64_t)index,
-			  node->starts, RESTART_LATER_MS);
+		soak_draw(soak, SOAK_DRAW_RESTART_DELAY, (uint64_t)index,
+			  node->starts, RESTART_JITTER_MS);
 }
 
 void soak_node_signal(struct soak *soak, int index, int signum)
@@ -181,11 +181,11 @@
 		return;
 	node->disturbed_ms = jt_clock_ms();
 	if (signum != SIGHUP && signum != SIGTERM)
-		node->gone_ms = node->disturbed_ms;
-	/* A paused process hears of it when it runs again. */
+		node->last_down_ms = node->disturbed_ms;
+	/* A paused process handles the signal when it resumes. */
 	if (signum == SIGTERM && !node->leaving) {
 		node->leaving = true;
-		node->term_ms = node->disturbed_ms;
+		node->sigterm_ms = node->disturbed_ms;
 	}
 	kill(node->pid, signum);
 	if (signum == SIGKILL)
@@ -197,20 +197,20 @@
 	struct soak_node *node = &soak->nodes[index];
 
 	soak_node_signal(soak, index, SIGSTOP);
-	node->stopped = true;
-	if (until_ms > node->pause_ends_ms)
-		node->pause_ends_ms = until_ms;
+	node->paused = true;
+	if (until_ms > node->paused_until_ms)
+		node->paused_until_ms = until_ms;
 }
 
 static void node_resume(struct soak *soak, int index)
 {
 	struct soak_node *node = &soak->nodes[index];
 
-	node->pause_ends_ms = 0;
-	node->stopped = false;
+	node->paused_until_ms = 0;
+	node->paused = false;
 	soak_node_signal(soak, index, SIGCONT);
-	/* What it was given to leave in begins anew. */
-	node->term_ms = node->disturbed_ms;
+	/* The time to leave starts again. */
+	node->sigterm_ms = node->disturbed_ms;
 }
 
 void soak_node_link(struct soak *soak, int index, enum soak_link link,
@@ -220,76 +220,76 @@
 
 	soak_proxy_set(node->proxy, link);
 	node->disturbed_ms = jt_clock_ms();
-	node->link_heals_ms = until_ms;
+	node->link_fault_until_ms = until_ms;
 }
 
 void soak_node_reload(struct soak *soak, int index)
 {
 	struct soak_node *node = &soak->nodes[index];
 
-	node->settings++;
+	node->settings_version++;
 	settings_write(soak, index);
 	soak_node_signal(soak, index, SIGHUP);
 }
 
-void soak_node_heal(struct soak *soak, int index, uint64_t now_ms)
+void soak_node_end_faults(struct soak *soak, int index, uint64_t now_ms)
 {
 	struct soak_node *node = &soak->nodes[index];
 
 	node->unrouted_until_ms = 0;
-	if (node->pause_ends_ms != 0)
-		node->pause_ends_ms = now_ms;
-	if (node->link_heals_ms != 0)
-		node->link_heals_ms = now_ms;
+	if (node->paused_until_ms != 0)
+		node->paused_until_ms = now_ms;
+	if (node->link_fault_until_ms != 0)
+		node->link_fault_until_ms = now_ms;
 }
 
 static void on_ready(struct tevent_req *req)
 {
-	struct ready_call *call =
-		tevent_req_callback_data(req, struct ready_call);
-	struct soak_node *node = &call->soak->nodes[call->node];
+	struct ready_request *request =
+		tevent_req_callback_data(req, struct ready_request);
+	struct soak_node *node = &request->soak->nodes[request->node];
 	long status = 0;
 	char *body = NULL;
-	uint64_t took_ms = jt_clock_ms() - call->asked_ms;
+	uint64_t took_ms = jt_clock_ms() - request->checked_ms;
 	bool ready;
 
-	ready = jt_http_recv(req, call, &status, &body, NULL) == 0 &&
+	ready = jt_http_recv(req, request, &status, &body, NULL) == 0 &&
 		status == 200;
 	talloc_free(req);
-	if (node->pid == call->pid && ready) {
+	if (node->pid == request->pid && ready) {
 		node->ready = node->was_ready = true;
-		node->missed = 0;
-	} else if (node->pid == call->pid &&
-		   took_ms <= READY_TIMEOUT_MS + READY_LATE_MS &&
-		   ++node->missed >= READY_MISSES) {
+		node->failed_checks = 0;
+	} else if (node->pid == request->pid &&
+		   took_ms <= READY_TIMEOUT_MS + READY_OVERRUN_MS &&
+		   ++node->failed_checks >= READY_FAILURES) {
 		node->ready = false;
 	}
-	talloc_free(call);
+	talloc_free(request);
 }
 
-static void ready_ask(struct soak *soak, int index)
+static void ready_check(struct soak *soak, int index)
 {
-	struct ready_call *call = talloc_zero(soak, struct ready_call);
+	struct ready_request *request = talloc_zero(soak, struct ready_request);
 	struct jt_http_call http = {.method = "GET",
 				    .timeout_ms = READY_TIMEOUT_MS};
 	struct tevent_req *req;
 
-	*call = (struct ready_call){soak, index, soak->nodes[index].pid,
-				    jt_clock_ms()};
+	*request = (struct ready_request){soak, index, soak->nodes[index].pid,
+					  jt_clock_ms()};
 	http.url = talloc_asprintf(
-		call, "http://%s/ready",
-		address_text(call,
+		request, "http://%s/ready",
+		address_text(request,
 			     soak_node_address(soak, index, SOAK_READY_PORT)));
-	req = jt_http_send(call, soak->client, &http);
+	req = jt_http_send(request, soak->client, &http);
 	if (req == NULL)
-		talloc_free(call);
+		talloc_free(request);
 	else
-		tevent_req_set_callback(req, on_ready, call);
+		tevent_req_set_callback(req, on_ready, request);
 }
 
-/* Whether a process that was told to stop ended as it should: one that was told
- * before it had set up anything ends by the signal. */
-static bool ended_well(const struct soak_node *node, int status)
+/* Returns true if a process exited cleanly after SIGTERM; before it has set
+ * up its handlers the signal itself ends it. */
+static bool exited_cleanly(const struct soak_node *node, int status)
 {
 	if (!node->leaving)
 		return false;
@@ -299,20 +299,21 @@
 	       WTERMSIG(status) == SIGTERM;
 }
 
-/* A process has ended: by SIGTERM, or by itself, which it must not. */
-static void node_ended(struct soak *soak, int index, int status,
-		       uint64_t now_ms)
+/* Handles the end of a process; only SIGTERM may have ended it. */
+static void node_exited(struct soak *soak, int index, int status,
+			uint64_t now_ms)
 {
 	struct soak_node *node = &soak->nodes[index];
 
-	if (!ended_well(node, status)) {
-		soak->own_ends++;
-		soak_broken(soak, "END", "node %d ended by itself, status %d",
-			    index, status);
+	if (!exited_cleanly(node, status)) {
+		soak->unexpected_exits++;
+		soak_promise_broken(soak, "END",
+				    "node %d exited unexpectedly, status %d",
+				    index, status);
 	}
 	node->pid = 0;
 	node->ready = false;
-	node->disturbed_ms = node->gone_ms = now_ms;
+	node->disturbed_ms = node->last_down_ms = now_ms;
 	node->restart_ms = now_ms + RESTART_MS;
 }
 
@@ -322,18 +323,20 @@
 	int status;
 
 	if (node->pid != 0 && waitpid(node->pid, &status, WNOHANG) > 0)
-		node_ended(soak, index, status, now_ms);
-	if (node->pid != 0 && node->leaving && !node->stopped &&
-	    now_ms - node->term_ms > SOAK_GRACE_MS) {
-		soak_broken(soak, "END", "node %d outlived its SIGTERM", index);
+		node_exited(soak, index, status, now_ms);
+	if (node->pid != 0 && node->leaving && !node->paused &&
+	    now_ms - node->sigterm_ms > SOAK_GRACE_MS) {
+		soak_promise_broken(soak, "END",
+				    "node %d still runs after SIGTERM", index);
 		soak_node_signal(soak, index, SIGKILL);
 	}
 	if (node->pid == 0 && now_ms >= node->restart_ms)
 		soak_node_start(soak, index);
-	if (node->pause_ends_ms != 0 && now_ms >= node->pause_ends_ms)
+	if (node->paused_until_ms != 0 && now_ms >= node->paused_until_ms)
 		node_resume(soak, index);
-	if (node->link_heals_ms != 0 && now_ms >= node->link_heals_ms) {
-		node->link_heals_ms = 0;
+	if (node->link_fault_until_ms != 0 &&
+	    now_ms >= node->link_fault_until_ms) {
+		node->link_fault_until_ms = 0;
 		soak_proxy_set(node->proxy, SOAK_LINK_PASS);
 		node->disturbed_ms = now_ms;
 	}
@@ -342,16 +345,16 @@
 void soak_nodes_tick(struct soak *soak)
 {
 	uint64_t now_ms = jt_clock_ms();
-	static uint64_t asked_ms;
-	bool ask = now_ms - asked_ms >= READY_EVERY_MS;
+	static uint64_t checked_ms;
+	bool check = now_ms - checked_ms >= READY_EVERY_MS;
 
 	for (int i = 0; i < soak->node_count; i++) {
 		node_tick(soak, i, now_ms);
-		if (ask && soak->nodes[i].pid != 0)
-			ready_ask(soak, i);
+		if (check && soak->nodes[i].pid != 0)
+			ready_check(soak, i);
 	}
-	if (ask)
-		asked_ms = now_ms;
+	if (check)
+		checked_ms = now_ms;
 }
 
 void soak_nodes_create(struct soak *soak)
@@ -366,20 +369,20 @@
 		node->proxy =
 			soak_proxy_create(soak, store_address(soak, i), store);
 		if (node->proxy == NULL)
-			soak_die(soak, "proxy");
+			soak_fatal(soak, "proxy");
 		settings_write(soak, i);
 		soak_node_start(soak, i);
 	}
 }
 
-void soak_die(struct soak *soak, const char *what)
+void soak_fatal(struct soak *soak, const char *what)
 {
 	fprintf(stderr, "jaspertrack-soak: %s: %s\n", what, strerror(errno));
-	soak_nodes_end(soak);
-	exit(SOAK_EXIT_UNABLE);
+	soak_nodes_stop(soak);
+	exit(SOAK_EXIT_ERROR);
 }
 
-void soak_nodes_end(struct soak *soak)
+void soak_nodes_stop(struct soak *soak)
 {
 	for (int i = 0; i < soak->node_count; i++) {
 		if (soak->nodes[i].pid == 0)
@@ -390,30 +393,30 @@
 	}
 }
 
-/* Whether routers send to the node. */
-static bool node_in(const struct soak_node *node, uint64_t now_ms)
+/* Returns true if routers send flows to the node. */
+static bool node_routable(const struct soak_node *node, uint64_t now_ms)
 {
 	return node->ready && now_ms >= node->unrouted_until_ms;
 }
 
-/* Nodes of the zone that are in; all of it when fewer than half are. Sets
- * @nodes, returns how many. */
+/* Sets @nodes to the routable nodes of the zone, or to all of its nodes if
+ * fewer than half are routable; none if none is. Returns their number. */
 static unsigned zone_nodes(const struct soak *soak, uint32_t zone,
-			   int nodes[SOAK_NODES_MOST])
+			   int nodes[SOAK_NODES_MAX])
 {
 	uint64_t now_ms = jt_clock_ms();
-	unsigned in_count = 0, all_count = 0, count = 0;
+	unsigned routable_count = 0, all_count = 0, count = 0;
 
 	for (int i = 0; i < soak->node_count; i++) {
 		if (soak->nodes[i].zone != zone)
 			continue;
 		all_count++;
-		in_count += node_in(&soak->nodes[i], now_ms);
+		routable_count += node_routable(&soak->nodes[i], now_ms);
 	}
-	for (int i = 0; i < soak->node_count && in_count > 0; i++) {
+	for (int i = 0; i < soak->node_count && routable_count > 0; i++) {
 		if (soak->nodes[i].zone == zone &&
-		    (in_count * 2 < all_count ||
-		     node_in(&soak->nodes[i], now_ms)))
+		    (routable_count * 2 < all_count ||
+		     node_routable(&soak->nodes[i], now_ms)))
 			nodes[count++] = i;
 	}
 	return count;
@@ -421,7 +424,7 @@
 
 int soak_node_route(const struct soak *soak, uint32_t zone, uint32_t hash)
 {
-	int nodes[SOAK_NODES_MOST] = {0};
+	int nodes[SOAK_NODES_MAX] = {0};
 	unsigned count = 0;
 	uint64_t best = 0;
 	int picked = 0;
@@ -444,12 +447,13 @@
 	return picked;
 }
 
-bool soak_node_in_touch(const struct soak *soak, int index, uint64_t since_ms)
+bool soak_node_undisturbed(const struct soak *soak, int index,
+			   uint64_t since_ms)
 {
 	const struct soak_node *node = &soak->nodes[index];
 
-	if (node->pid == 0 || node->stopped || node->leaving ||
-	    node->link_heals_ms != 0)
+	if (node->pid == 0 || node->paused || node->leaving ||
+	    node->link_fault_until_ms != 0)
 		return false;
-	return node->disturbed_ms + SOAK_CONTACT_MS <= since_ms;
+	return node->disturbed_ms + SOAK_SETTLE_MS <= since_ms;
 }
--- a/tests/soak/soak_proxy.c
+++ b/tests/soak/soak_proxy.c
@@ -1,4 +1,5 @@
-/* A TCP proxy on loopback that delays, resets, cuts one way or silences. */
+/* A TCP proxy on loopback that delays data, resets connections or drops one
+ * or both directions. */
 #include "soak.h"
 
 #include <errno.h>
@@ -7,12 +8,12 @@
 #include <unistd.h>
 
 enum {
-	CHUNK = 16384,
+	BUFFER_SIZE = 16384,
 	DELAY_MS = 300,
 	BACKLOG = 256,
-	/* Until a socket that takes no bytes now is tried again: the other end
-	 * may be this process, so that nothing here may wait for it. */
-	FULL_MS = 2,
+	/* Delay before a full socket is retried. The other end may be this
+	 * process, so that nothing may block. */
+	RETRY_MS = 2,
 };
 
 struct soak_proxy {
@@ -20,26 +21,26 @@
 	struct jt_address to;
 	enum soak_link link;
 	int listen_fd;
-	struct pipe *pipes;
+	struct connection *connections;
 };
 
 /* One direction of a connection. */
-struct half {
-	struct pipe *pipe;
+struct direction {
+	struct connection *connection;
 	struct tevent_fd *event;
 	int from, to;
-	bool is_answer;
-	size_t held;
-	uint8_t buffer[CHUNK];
+	bool is_response;
+	size_t buffered;
+	uint8_t buffer[BUFFER_SIZE];
 	struct jt_timer *timer;
 };
 
-struct pipe {
+struct connection {
 	struct soak_proxy *proxy;
-	struct pipe *next, *previous;
+	struct connection *next, *previous;
 	int client_fd, store_fd;
-	bool stale; /* says nothing any more, for good */
-	struct half request, answer;
+	bool stale; /* silent until it is closed */
+	struct direction request, response;
 };
 
 const char *soak_link_name(enum soak_link link)
@@ -50,109 +51,115 @@
 	return names[link];
 }
 
-static int pipe_destructor(struct pipe *pipe)
+static int connection_destructor(struct connection *connection)
 {
 	struct linger linger = {.l_onoff = 1, .l_linger = 0};
 
-	if (pipe->previous != NULL)
-		pipe->previous->next = pipe->next;
+	if (connection->previous != NULL)
+		connection->previous->next = connection->next;
 	else
-		pipe->proxy->pipes = pipe->next;
-	if (pipe->next != NULL)
-		pipe->next->previous = pipe->previous;
-	TALLOC_FREE(pipe->request.event);
-	TALLOC_FREE(pipe->answer.event);
-	if (pipe->proxy->link == SOAK_LINK_RESET)
-		setsockopt(pipe->client_fd, SOL_SOCKET, SO_LINGER, &linger,
-			   sizeof(linger));
-	close(pipe->client_fd);
-	close(pipe->store_fd);
+		connection->proxy->connections = connection->next;
+	if (connection->next != NULL)
+		connection->next->previous = connection->previous;
+	TALLOC_FREE(connection->request.event);
+	TALLOC_FREE(connection->response.event);
+	if (connection->proxy->link == SOAK_LINK_RESET)
+		setsockopt(connection->client_fd, SOL_SOCKET, SO_LINGER,
+			   &linger, sizeof(linger));
+	close(connection->client_fd);
+	close(connection->store_fd);
 	return 0;
 }
 
-/* Whether bytes of that direction pass now. */
-static bool half_passes(const struct half *half)
+/* Returns true if data passes in that direction now. */
+static bool direction_passes(const struct direction *direction)
 {
-	if (half->pipe->stale)
+	if (direction->connection->stale)
 		return false;
-	switch (half->pipe->proxy->link) {
+	switch (direction->connection->proxy->link) {
 	case SOAK_LINK_SILENT:
 		return false;
 	case SOAK_LINK_ONE_WAY:
-		return !half->is_answer;
+		return !direction->is_response;
 	default:
 		return true;
 	}
 }
 
-static void half_write(struct half *half)
+static void direction_write(struct direction *direction)
 {
-	ssize_t sent = send(half->to, half->buffer, half->held, MSG_NOSIGNAL);
+	ssize_t sent = send(direction->to, direction->buffer,
+			    direction->buffered, MSG_NOSIGNAL);
 
 	if (sent < 0 && errno != EAGAIN && errno != ENOTCONN) {
-		talloc_free(half->pipe);
+		talloc_free(direction->connection);
 		return;
 	}
 	if (sent > 0) {
-		half->held -= (size_t)sent;
-		memmove(half->buffer, half->buffer + sent, half->held);
+		direction->buffered -= (size_t)sent;
+		memmove(direction->buffer, direction->buffer + sent,
+			direction->buffered);
 	}
-	if (half->held == 0) {
-		tevent_fd_set_flags(half->event, TEVENT_FD_READ);
+	if (direction->buffered == 0) {
+		tevent_fd_set_flags(direction->event, TEVENT_FD_READ);
 		return;
 	}
-	tevent_fd_set_flags(half->event, 0);
-	jt_timer_set(half->timer, FULL_MS);
+	tevent_fd_set_flags(direction->event, 0);
+	jt_timer_set(direction->timer, RETRY_MS);
 }
 
 static void on_delayed(void *private_data)
 {
-	half_write(private_data);
+	direction_write(private_data);
 }
 
-static void on_half(struct tevent_context *loop, struct tevent_fd *event,
-		    uint16_t flags, void *private_data)
+static void on_readable(struct tevent_context *loop, struct tevent_fd *event,
+			uint16_t flags, void *private_data)
 {
-	struct half *half = private_data;
+	struct direction *direction = private_data;
 	ssize_t count;
 
 	(void)loop;
 	(void)flags;
-	if (half->held > 0) {
-		/* Its timer sends them first. */
+	if (direction->buffered > 0) {
+		/* The timer sends the buffered data first. */
 		tevent_fd_set_flags(event, 0);
 		return;
 	}
-	if (!half_passes(half)) {
-		/* Left in the socket: whoever waits hears nothing. */
+	if (!direction_passes(direction)) {
+		/* Leave the data in the socket, so that the receiver gets
+		 * nothing. */
 		tevent_fd_set_flags(event, 0);
 		return;
 	}
-	count = recv(half->from, half->buffer, CHUNK, 0);
+	count = recv(direction->from, direction->buffer, BUFFER_SIZE, 0);
 	if (count < 0 && (errno == EAGAIN || errno == ENOTCONN))
 		return;
 	if (count <= 0) {
-		talloc_free(half->pipe);
+		talloc_free(direction->connection);
 		return;
 	}
-	half->held = (size_t)count;
-	if (half->pipe->proxy->link != SOAK_LINK_DELAY) {
-		half_write(half);
+	direction->buffered = (size_t)count;
+	if (direction->connection->proxy->link != SOAK_LINK_DELAY) {
+		direction_write(direction);
 		return;
 	}
 	tevent_fd_set_flags(event, 0);
-	jt_timer_set(half->timer, DELAY_MS);
+	jt_timer_set(direction->timer, DELAY_MS);
 }
 
-static void half_start(struct pipe *pipe, struct half *half, int from, int to)
+static void direction_start(struct connection *connection,
+			    struct direction *direction, int from, int to)
 {
-	half->pipe = pipe;
-	half->from = from;
-	half->to = to;
-	half->event = tevent_add_fd(pipe->proxy->soak->loop, pipe, from,
-				    TEVENT_FD_READ, on_half, half);
-	half->timer = jt_timer_create(pipe, pipe->proxy->soak->loop, on_delayed,
-				      half);
+	direction->connection = connection;
+	direction->from = from;
+	direction->to = to;
+	direction->event =
+		tevent_add_fd(connection->proxy->soak->loop, connection, from,
+			      TEVENT_FD_READ, on_readable, direction);
+	direction->timer =
+		jt_timer_create(connection, connection->proxy->soak->loop,
+				on_delayed, direction);
 }
 
 static void on_accept(struct tevent_context *loop, struct tevent_fd *event,
@@ -162,34 +169,36 @@
 	int client = accept4(proxy->listen_fd, NULL, NULL,
 			     SOCK_CLOEXEC | SOCK_NONBLOCK);
 	struct sockaddr_in name;
-	struct pipe *pipe;
+	struct connection *connection;
 
 	(void)loop;
 	(void)event;
 	(void)flags;
 	if (client < 0)
 		return;
-	pipe = talloc_zero(proxy, struct pipe);
-	pipe->proxy = proxy;
-	pipe->client_fd = client;
-	pipe->store_fd =
+	connection = talloc_zero(proxy, struct connection);
+	connection->proxy = proxy;
+	connection->client_fd = client;
+	connection->store_fd =
 		socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-	pipe->next = proxy->pipes;
-	if (proxy->pipes != NULL)
-		proxy->pipes->previous = pipe;
-	proxy->pipes = pipe;
-	talloc_set_destructor(pipe, pipe_destructor);
+	connection->next = proxy->connections;
+	if (proxy->connections != NULL)
+		proxy->connections->previous = connection;
+	proxy->connections = connection;
+	talloc_set_destructor(connection, connection_destructor);
 	jt_address_to_socket(proxy->to, &name);
 	if (proxy->link == SOAK_LINK_RESET ||
-	    (connect(pipe->store_fd, (struct sockaddr *)&name, sizeof(name)) <
-		     0 &&
+	    (connect(connection->store_fd, (struct sockaddr *)&name,
+		     sizeof(name)) < 0 &&
 	     errno != EINPROGRESS)) {
-		talloc_free(pipe);
+		talloc_free(connection);
 		return;
 	}
-	pipe->answer.is_answer = true;
-	half_start(pipe, &pipe->request, pipe->client_fd, pipe->store_fd);
-	half_start(pipe, &pipe->answer, pipe->store_fd, pipe->client_fd);
+	connection->response.is_response = true;
+	direction_start(connection, &connection->request, connection->client_fd,
+			connection->store_fd);
+	direction_start(connection, &connection->response, connection->store_fd,
+			connection->client_fd);
 }
 
 static int proxy_destructor(struct soak_proxy *proxy)
@@ -227,17 +236,18 @@
 
 void soak_proxy_set(struct soak_proxy *proxy, enum soak_link link)
 {
-	struct pipe *pipe = proxy->pipes, *next;
+	struct connection *connection = proxy->connections, *next;
 
 	proxy->link = link;
-	for (; pipe != NULL; pipe = next) {
-		next = pipe->next;
+	for (; connection != NULL; connection = next) {
+		next = connection->next;
 		if (link == SOAK_LINK_RESET) {
-			talloc_free(pipe);
+			talloc_free(connection);
 			continue;
 		}
-		pipe->stale = pipe->stale || link == SOAK_LINK_STALE;
-		tevent_fd_set_flags(pipe->request.event, TEVENT_FD_READ);
-		tevent_fd_set_flags(pipe->answer.event, TEVENT_FD_READ);
+		connection->stale =
+			connection->stale || link == SOAK_LINK_STALE;
+		tevent_fd_set_flags(connection->request.event, TEVENT_FD_READ);
+		tevent_fd_set_flags(connection->response.event, TEVENT_FD_READ);
 	}
 }
--- a/tests/soak/soak_schedule.c
+++ b/tests/soak/soak_schedule.c
@@ -1,4 +1,4 @@
-/* Drawing, keeping and reading the faults of a run. */
+/* Drawing, writing and reading the faults of a run. */
 #include "soak_schedule.h"
 #include "jt_random.h"
 #include "soak.h"
@@ -9,49 +9,50 @@
 #include <string.h>
 
 enum {
-	GROWTH = 64, /* faults that room is made for at once */
+	GROWTH = 64, /* faults allocated at once */
 	LINE = 256,
-	/* Between single faults. */
-	PAUSE_LEAST_MS = 150,
-	PAUSE_MOST_MS = 1500,
-	/* Between zones that are drained or restored; one time in so many,
-	 * connections fall silent instead. */
-	ZONE_LEAST_MS = 500,
-	ZONE_MOST_MS = 5000,
-	ZONE_FAULTS_A_STALE = 4,
-	/* Between endpoints that start again, or entries by another writer. */
-	RESTART_LEAST_MS = 400,
-	RESTART_MOST_MS = 3000,
-	SPOILED_MOST_MS = 2000,
+	/* Interval between single faults. */
+	PAUSE_MIN_MS = 150,
+	PAUSE_MAX_MS = 1500,
+	/* Interval between zone faults; one in ZONE_FAULTS_PER_STALE
+	 * silences open connections instead. */
+	ZONE_MIN_MS = 500,
+	ZONE_MAX_MS = 5000,
+	ZONE_FAULTS_PER_STALE = 4,
+	/* Interval between endpoint restarts or invalid entries. */
+	RESTART_MIN_MS = 400,
+	RESTART_MAX_MS = 3000,
+	CORRUPTED_MAX_MS = 2000,
 	ENTRY_KINDS = 8,
-	/* Between nodes that routers take out. */
-	UNROUTED_EVERY_LEAST_MS = 500,
-	UNROUTED_EVERY_MOST_MS = 3000,
-	UNROUTED_LEAST_MS = 600,
-	UNROUTED_MOST_MS = 2500,
-	/* Between series, and between the faults of one. */
-	SERIES_EVERY_LEAST_MS = 1500,
-	SERIES_EVERY_MOST_MS = 5000,
-	SERIES_LEAST = 3, /* faults */
-	SERIES_MOST = 6,
-	SERIES_PAUSE_LEAST_MS = 20,
-	SERIES_PAUSE_MOST_MS = 1200,
-	/* How long faults that end by themselves last. */
-	LINK_LEAST_MS = 300,
-	LINK_MOST_MS = 6000,
-	NODE_PAUSE_LEAST_MS = 200,
-	NODE_PAUSE_MOST_MS = 5000,
-	ENDPOINT_CUT_LEAST_MS = 300,
-	ENDPOINT_CUT_MOST_MS = 3000,
-	STORE_LEAST_MS = 200,
-	STORE_MOST_MS = 4000,
-	PACKETS_LEAST_MS = 500,
-	PACKETS_MOST_MS = 4000,
+	/* Interval between nodes that routers leave out, and its duration. */
+	UNROUTED_EVERY_MIN_MS = 500,
+	UNROUTED_EVERY_MAX_MS = 3000,
+	UNROUTED_MIN_MS = 600,
+	UNROUTED_MAX_MS = 2500,
+	/* Interval between series, their length, and the interval within
+	 * one. */
+	SERIES_EVERY_MIN_MS = 1500,
+	SERIES_EVERY_MAX_MS = 5000,
+	SERIES_MIN = 3,
+	SERIES_MAX = 6,
+	SERIES_PAUSE_MIN_MS = 20,
+	SERIES_PAUSE_MAX_MS = 1200,
+	/* Durations of faults that end by themselves. */
+	LINK_MIN_MS = 300,
+	LINK_MAX_MS = 6000,
+	NODE_PAUSE_MIN_MS = 200,
+	NODE_PAUSE_MAX_MS = 5000,
+	ENDPOINT_CUT_MIN_MS = 300,
+	ENDPOINT_CUT_MAX_MS = 3000,
+	STORE_MIN_MS = 200,
+	STORE_MAX_MS = 4000,
+	PACKETS_MIN_MS = 500,
+	PACKETS_MAX_MS = 4000,
 	PACKETS_PERCENT = 10,
 	PERCENT = 100,
 };
 
-/* Each kind of faults is drawn from numbers of its own. */
+/* Each group of faults has its own random stream. */
 enum stream {
 	STREAM_SINGLE,
 	STREAM_ZONES,
@@ -61,20 +62,20 @@
 	STREAM_PROFILE
 };
 
-/* Which of them a seed has; single faults always come. */
+/* Optional groups of faults of a seed; the others always apply. */
 enum profile { PROFILE_ROUTERS = 1 << 0, PROFILE_SERIES = 1 << 1 };
 
-static const char *const names[SOAK_FAULT_KINDS] = {
+static const char *const fault_names[SOAK_FAULT_KINDS] = {
 	[SOAK_ENDPOINT_DRAINS] = "endpoint_drains",
-	[SOAK_ENDPOINT_GOES] = "endpoint_goes",
+	[SOAK_ENDPOINT_UNLISTED] = "endpoint_goes",
 	[SOAK_ENDPOINT_CRASHES] = "endpoint_crashes",
-	[SOAK_ENDPOINT_DARK] = "endpoint_dark",
+	[SOAK_ENDPOINT_BLACKHOLE] = "endpoint_dark",
 	[SOAK_ENDPOINT_CUT] = "endpoint_cut",
 	[SOAK_ENDPOINT_RESTARTS] = "endpoint_restarts",
-	[SOAK_ENTRY_SPOILED] = "entry_spoiled",
+	[SOAK_ENTRY_CORRUPTED] = "entry_spoiled",
 	[SOAK_ENTRY_FOREIGN] = "entry_foreign",
 	[SOAK_NODE_KILLED] = "node_killed",
-	[SOAK_NODE_STOPS] = "node_stops",
+	[SOAK_NODE_TERMINATES] = "node_stops",
 	[SOAK_NODE_PAUSES] = "node_pauses",
 	[SOAK_NODE_RELOADS] = "node_reloads",
 	[SOAK_NODE_UNROUTED] = "node_unrouted",
@@ -83,36 +84,37 @@
 	[SOAK_ALL_STALE] = "all_stale",
 	[SOAK_STORE_DOWN] = "store_down",
 	[SOAK_STORE_THROTTLES] = "store_throttles",
-	[SOAK_STORE_FORGETS] = "store_forgets",
+	[SOAK_STORE_COMPACTS] = "store_forgets",
 	[SOAK_PACKETS] = "packets",
 	[SOAK_VERSION] = "version",
-	[SOAK_ZONE_TURNS] = "zone_turns",
+	[SOAK_ZONE_TOGGLED] = "zone_turns",
 };
 
 const char *soak_fault_name(enum soak_fault_kind kind)
 {
-	return names[kind];
+	return fault_names[kind];
 }
 
-static struct jt_random stream_of(const struct soak_schedule_plan *plan,
-				  enum stream stream)
+static struct jt_random stream_random(const struct soak_schedule_plan *plan,
+				      enum stream stream)
 {
-	uint64_t of = stream;
+	uint64_t key = stream;
 
-	return (struct jt_random){.seed = XXH64(&of, sizeof(of), plan->seed)};
+	return (struct jt_random){.seed = XXH64(&key, sizeof(key), plan->seed)};
 }
 
-static uint64_t below(struct jt_random *random, uint64_t limit)
+static uint64_t random_below(struct jt_random *random, uint64_t limit)
 {
 	return jt_random_next(random) % limit;
 }
 
-static uint64_t between(struct jt_random *random, uint64_t least, uint64_t most)
+static uint64_t random_between(struct jt_random *random, uint64_t min,
+			       uint64_t max)
 {
-	return least + below(random, most - least);
+	return min + random_below(random, max - min);
 }
 
-static void add(struct soak_schedule *schedule, struct soak_fault fault)
+static void fault_add(struct soak_schedule *schedule, struct soak_fault fault)
 {
 	if (schedule->count % GROWTH == 0)
 		schedule->faults = talloc_realloc(schedule, schedule->faults,
@@ -125,136 +127,142 @@
 
 /* Single faults */
 
-static void add_endpoint(struct soak_schedule *schedule,
-			 const struct soak_schedule_plan *plan,
-			 struct jt_random *random, uint64_t at_ms)
+static void add_endpoint_fault(struct soak_schedule *schedule,
+			       const struct soak_schedule_plan *plan,
+			       struct jt_random *random, uint64_t at_ms)
 {
 	struct soak_fault fault = {
 		.at_ms = at_ms,
 		.kind = SOAK_ENDPOINT_DRAINS +
-			(unsigned)below(random, SOAK_ENDPOINT_RESTARTS),
-		.target = (unsigned)below(random, plan->places),
+			(unsigned)random_below(random, SOAK_ENDPOINT_RESTARTS),
+		.target = (unsigned)random_below(random, plan->addresses),
 	};
 
 	if (fault.kind == SOAK_ENDPOINT_CUT)
-		fault.for_ms = between(random, ENDPOINT_CUT_LEAST_MS,
-				       ENDPOINT_CUT_MOST_MS);
-	add(schedule, fault);
+		fault.for_ms = random_between(random, ENDPOINT_CUT_MIN_MS,
+					      ENDPOINT_CUT_MAX_MS);
+	fault_add(schedule, fault);
 }
 
-static void add_link(struct soak_schedule *schedule, unsigned node,
-		     struct jt_random *random, uint64_t at_ms)
+static void add_link_fault(struct soak_schedule *schedule, unsigned node,
+			   struct jt_random *random, uint64_t at_ms)
 {
-	add(schedule,
-	    (struct soak_fault){
-		    .at_ms = at_ms,
-		    .kind = SOAK_STORE_LINK,
-		    .target = node,
-		    .for_ms = between(random, LINK_LEAST_MS, LINK_MOST_MS),
-		    .strength =
-			    1 + (unsigned)below(random, SOAK_LINK_STALE - 1),
-	    });
+	fault_add(schedule,
+		  (struct soak_fault){
+			  .at_ms = at_ms,
+			  .kind = SOAK_STORE_LINK,
+			  .target = node,
+			  .for_ms = random_between(random, LINK_MIN_MS,
+						   LINK_MAX_MS),
+			  .strength = 1 + (unsigned)random_below(
+						  random, SOAK_LINK_STALE - 1),
+		  });
 }
 
-static void add_node(struct soak_schedule *schedule,
-		     const struct soak_schedule_plan *plan,
-		     struct jt_random *random, uint64_t at_ms)
+static void add_node_fault(struct soak_schedule *schedule,
+			   const struct soak_schedule_plan *plan,
+			   struct jt_random *random, uint64_t at_ms)
 {
 	static const enum soak_fault_kind kinds[] = {
-		SOAK_NODE_KILLED, SOAK_NODE_STOPS, SOAK_NODE_PAUSES,
+		SOAK_NODE_KILLED, SOAK_NODE_TERMINATES, SOAK_NODE_PAUSES,
 		SOAK_STORE_LINK,  SOAK_STORE_LINK,
 	};
-	unsigned node = (unsigned)below(random, plan->nodes);
+	unsigned node = (unsigned)random_below(random, plan->nodes);
 	struct soak_fault fault = {
 		.at_ms = at_ms,
-		.kind = kinds[below(random, sizeof(kinds) / sizeof(kinds[0]))],
+		.kind = kinds[random_below(random,
+					   sizeof(kinds) / sizeof(kinds[0]))],
 		.target = node,
 	};
 
 	if (fault.kind == SOAK_STORE_LINK) {
-		add_link(schedule, node, random, at_ms);
+		add_link_fault(schedule, node, random, at_ms);
 		return;
 	}
 	if (fault.kind == SOAK_NODE_PAUSES)
-		fault.for_ms = between(random, NODE_PAUSE_LEAST_MS,
-				       NODE_PAUSE_MOST_MS);
-	add(schedule, fault);
+		fault.for_ms = random_between(random, NODE_PAUSE_MIN_MS,
+					      NODE_PAUSE_MAX_MS);
+	fault_add(schedule, fault);
 }
 
-static void add_store(struct soak_schedule *schedule,
-		      const struct soak_schedule_plan *plan,
-		      struct jt_random *random, uint64_t at_ms)
+static void add_store_fault(struct soak_schedule *schedule,
+			    const struct soak_schedule_plan *plan,
+			    struct jt_random *random, uint64_t at_ms)
 {
 	static const enum soak_fault_kind kinds[] = {
-		SOAK_STORE_DOWN, SOAK_STORE_THROTTLES, SOAK_STORE_FORGETS};
+		SOAK_STORE_DOWN, SOAK_STORE_THROTTLES, SOAK_STORE_COMPACTS};
 	struct soak_fault fault = {
 		.at_ms = at_ms,
-		.kind = kinds[below(random, sizeof(kinds) / sizeof(kinds[0]))],
-		.target = (unsigned)below(random, plan->nodes),
-		.for_ms = between(random, STORE_LEAST_MS, STORE_MOST_MS),
+		.kind = kinds[random_below(random,
+					   sizeof(kinds) / sizeof(kinds[0]))],
+		.target = (unsigned)random_below(random, plan->nodes),
+		.for_ms = random_between(random, STORE_MIN_MS, STORE_MAX_MS),
 	};
 
-	add(schedule, fault);
+	fault_add(schedule, fault);
 }
 
-static void add_packets(struct soak_schedule *schedule,
-			struct jt_random *random, uint64_t at_ms)
+static void add_packet_faults(struct soak_schedule *schedule,
+			      struct jt_random *random, uint64_t at_ms)
 {
-	add(schedule,
-	    (struct soak_fault){
-		    .at_ms = at_ms,
-		    .kind = SOAK_PACKETS,
-		    .for_ms =
-			    between(random, PACKETS_LEAST_MS, PACKETS_MOST_MS),
-		    .strength = (unsigned)below(random, PACKETS_PERCENT),
-		    .doubled = (unsigned)below(random, PACKETS_PERCENT),
-	    });
+	fault_add(schedule,
+		  (struct soak_fault){
+			  .at_ms = at_ms,
+			  .kind = SOAK_PACKETS,
+			  .for_ms = random_between(random, PACKETS_MIN_MS,
+						   PACKETS_MAX_MS),
+			  .strength = (unsigned)random_below(random,
+							     PACKETS_PERCENT),
+			  .doubled = (unsigned)random_below(random,
+							    PACKETS_PERCENT),
+		  });
 }
 
 static void draw_single(struct soak_schedule *schedule,
 			const struct soak_schedule_plan *plan)
 {
-	struct jt_random random = stream_of(plan, STREAM_SINGLE);
+	struct jt_random random = stream_random(plan, STREAM_SINGLE);
 	uint64_t at_ms = plan->start_ms;
 
 	for (; at_ms < plan->end_ms;
-	     at_ms += between(&random, PAUSE_LEAST_MS, PAUSE_MOST_MS)) {
-		unsigned kind = (unsigned)below(&random, 20);
+	     at_ms += random_between(&random, PAUSE_MIN_MS, PAUSE_MAX_MS)) {
+		unsigned kind = (unsigned)random_below(&random, 20);
 
 		if (kind < 6)
-			add_endpoint(schedule, plan, &random, at_ms);
+			add_endpoint_fault(schedule, plan, &random, at_ms);
 		else if (kind < 12)
-			add_node(schedule, plan, &random, at_ms);
+			add_node_fault(schedule, plan, &random, at_ms);
 		else if (kind < 14)
-			add_store(schedule, plan, &random, at_ms);
+			add_store_fault(schedule, plan, &random, at_ms);
 		else if (kind < 16)
-			add_packets(schedule, &random, at_ms);
+			add_packet_faults(schedule, &random, at_ms);
 		else
-			add(schedule,
-			    (struct soak_fault){
-				    .at_ms = at_ms,
-				    .kind = kind < 19 ? SOAK_VERSION
-						      : SOAK_ALL_KILLED});
+			fault_add(schedule,
+				  (struct soak_fault){
+					  .at_ms = at_ms,
+					  .kind = kind < 19 ? SOAK_VERSION
+							    : SOAK_ALL_KILLED});
 	}
 }
 
 static void draw_zones(struct soak_schedule *schedule,
 		       const struct soak_schedule_plan *plan)
 {
-	struct jt_random random = stream_of(plan, STREAM_ZONES);
+	struct jt_random random = stream_random(plan, STREAM_ZONES);
 	uint64_t at_ms = plan->start_ms;
 
 	for (; at_ms < plan->end_ms;
-	     at_ms += between(&random, ZONE_LEAST_MS, ZONE_MOST_MS)) {
+	     at_ms += random_between(&random, ZONE_MIN_MS, ZONE_MAX_MS)) {
 		struct soak_fault fault = {
 			.at_ms = at_ms,
-			.kind = below(&random, ZONE_FAULTS_A_STALE) == 0
+			.kind = random_below(&random, ZONE_FAULTS_PER_STALE) ==
+						0
 					? SOAK_ALL_STALE
-					: SOAK_ZONE_TURNS,
-			.target = (unsigned)below(&random, plan->zones),
+					: SOAK_ZONE_TOGGLED,
+			.target = (unsigned)random_below(&random, plan->zones),
 		};
 
-		add(schedule, fault);
+		fault_add(schedule, fault);
 	}
 }
 
@@ -262,50 +270,54 @@
 			  const struct soak_schedule_plan *plan)
 {
 	static const enum soak_fault_kind kinds[] = {
-		SOAK_ENTRY_FOREIGN,	SOAK_ENTRY_SPOILED,
-		SOAK_ENTRY_SPOILED,	SOAK_ENTRY_SPOILED,
+		SOAK_ENTRY_FOREIGN,	SOAK_ENTRY_CORRUPTED,
+		SOAK_ENTRY_CORRUPTED,	SOAK_ENTRY_CORRUPTED,
 		SOAK_ENDPOINT_RESTARTS, SOAK_ENDPOINT_RESTARTS,
 		SOAK_ENDPOINT_RESTARTS, SOAK_ENDPOINT_RESTARTS,
 	};
-	struct jt_random random = stream_of(plan, STREAM_RESTARTS);
+	struct jt_random random = stream_random(plan, STREAM_RESTARTS);
 	uint64_t at_ms = plan->start_ms;
 
 	for (; at_ms < plan->end_ms;
-	     at_ms += between(&random, RESTART_LEAST_MS, RESTART_MOST_MS)) {
+	     at_ms += random_between(&random, RESTART_MIN_MS, RESTART_MAX_MS)) {
 		struct soak_fault fault = {
 			.at_ms = at_ms,
-			.kind = kinds[below(&random,
-					    sizeof(kinds) / sizeof(kinds[0]))],
-			.target = (unsigned)below(&random, plan->places),
+			.kind = kinds[random_below(
+				&random, sizeof(kinds) / sizeof(kinds[0]))],
+			.target = (unsigned)random_below(&random,
+							 plan->addresses),
 		};
 
-		if (fault.kind == SOAK_ENTRY_SPOILED) {
-			fault.for_ms = below(&random, SPOILED_MOST_MS);
-			fault.strength = (unsigned)below(&random, ENTRY_KINDS);
+		if (fault.kind == SOAK_ENTRY_CORRUPTED) {
+			fault.for_ms = random_below(&random, CORRUPTED_MAX_MS);
+			fault.strength =
+				(unsigned)random_below(&random, ENTRY_KINDS);
 		}
-		add(schedule, fault);
+		fault_add(schedule, fault);
 	}
 }
 
 static void draw_routers(struct soak_schedule *schedule,
 			 const struct soak_schedule_plan *plan)
 {
-	struct jt_random random = stream_of(plan, STREAM_ROUTERS);
+	struct jt_random random = stream_random(plan, STREAM_ROUTERS);
 	uint64_t at_ms = plan->start_ms;
 
 	for (; at_ms < plan->end_ms;
-	     at_ms +=
-	     between(&random, UNROUTED_EVERY_LEAST_MS, UNROUTED_EVERY_MOST_MS))
-		add(schedule,
-		    (struct soak_fault){
-			    .at_ms = at_ms,
-			    .kind = SOAK_NODE_UNROUTED,
-			    .target = (unsigned)below(&random, plan->nodes),
-			    .for_ms = between(&random, UNROUTED_LEAST_MS,
-					      UNROUTED_MOST_MS)});
+	     at_ms += random_between(&random, UNROUTED_EVERY_MIN_MS,
+				     UNROUTED_EVERY_MAX_MS))
+		fault_add(schedule,
+			  (struct soak_fault){.at_ms = at_ms,
+					      .kind = SOAK_NODE_UNROUTED,
+					      .target = (unsigned)random_below(
+						      &random, plan->nodes),
+					      .for_ms = random_between(
+						      &random, UNROUTED_MIN_MS,
+						      UNROUTED_MAX_MS)});
 }
 
-/* Series: the same once more before it is over, or several at one place. */
+/* Series: a fault repeated before the previous one has ended, or several at
+ * one target */
 
 enum series {
 	SERIES_STOPS_IN_TURN,
@@ -323,31 +335,31 @@
 				      struct jt_random *random)
 {
 	static const enum soak_fault_kind signals[] = {
-		SOAK_NODE_RELOADS, SOAK_NODE_STOPS,  SOAK_NODE_PAUSES,
-		SOAK_NODE_STOPS,   SOAK_NODE_KILLED,
+		SOAK_NODE_RELOADS,    SOAK_NODE_TERMINATES, SOAK_NODE_PAUSES,
+		SOAK_NODE_TERMINATES, SOAK_NODE_KILLED,
 	};
 	unsigned in_turn = first + number;
 
 	switch (series) {
 	case SERIES_STOPS_IN_TURN:
-		return (struct soak_fault){.kind = SOAK_NODE_STOPS,
+		return (struct soak_fault){.kind = SOAK_NODE_TERMINATES,
 					   .target = in_turn % plan->nodes};
 	case SERIES_KILLS_OF_ONE:
 		return (struct soak_fault){.kind = SOAK_NODE_KILLED,
 					   .target = first % plan->nodes};
 	case SERIES_SIGNALS_TO_ONE:
 		return (struct soak_fault){
-			.kind = signals[below(
+			.kind = signals[random_below(
 				random, sizeof(signals) / sizeof(signals[0]))],
 			.target = first % plan->nodes,
-			.for_ms = between(random, NODE_PAUSE_LEAST_MS,
-					  NODE_PAUSE_MOST_MS)};
+			.for_ms = random_between(random, NODE_PAUSE_MIN_MS,
+						 NODE_PAUSE_MAX_MS)};
 	case SERIES_RELOADS_IN_TURN:
 		return (struct soak_fault){.kind = SOAK_NODE_RELOADS,
 					   .target = in_turn % plan->nodes};
 	case SERIES_RESTARTS_IN_TURN:
 		return (struct soak_fault){.kind = SOAK_ENDPOINT_RESTARTS,
-					   .target = in_turn % plan->places};
+					   .target = in_turn % plan->addresses};
 	default:
 		return (struct soak_fault){.kind = SOAK_VERSION};
 	}
@@ -356,17 +368,19 @@
 static void draw_series(struct soak_schedule *schedule,
 			const struct soak_schedule_plan *plan)
 {
-	struct jt_random random = stream_of(plan, STREAM_SERIES);
+	struct jt_random random = stream_random(plan, STREAM_SERIES);
 	uint64_t begin_ms = plan->start_ms;
 
 	for (; begin_ms < plan->end_ms;
-	     begin_ms +=
-	     between(&random, SERIES_EVERY_LEAST_MS, SERIES_EVERY_MOST_MS)) {
-		enum series series = (enum series)below(&random, SERIES_KINDS);
-		unsigned first = (unsigned)below(&random, plan->nodes);
-		uint64_t count = between(&random, SERIES_LEAST, SERIES_MOST);
-		uint64_t pause_ms = between(&random, SERIES_PAUSE_LEAST_MS,
-					    SERIES_PAUSE_MOST_MS);
+	     begin_ms += random_between(&random, SERIES_EVERY_MIN_MS,
+					SERIES_EVERY_MAX_MS)) {
+		enum series series =
+			(enum series)random_below(&random, SERIES_KINDS);
+		unsigned first = (unsigned)random_below(&random, plan->nodes);
+		uint64_t count =
+			random_between(&random, SERIES_MIN, SERIES_MAX);
+		uint64_t pause_ms = random_between(&random, SERIES_PAUSE_MIN_MS,
+						   SERIES_PAUSE_MAX_MS);
 
 		for (unsigned i = 0; i < count; i++) {
 			struct soak_fault fault =
@@ -374,28 +388,28 @@
 
 			fault.at_ms = begin_ms + i * pause_ms;
 			if (fault.at_ms < plan->end_ms)
-				add(schedule, fault);
+				fault_add(schedule, fault);
 		}
 	}
 }
 
-static int by_time(const void *one, const void *other)
+static int compare_faults(const void *one, const void *other)
 {
 	const struct soak_fault *a = one, *b = other;
 
 	if (a->at_ms != b->at_ms)
 		return a->at_ms < b->at_ms ? -1 : 1;
-	/* The order must not hang on how qsort() goes about equals. */
+	/* qsort() is not stable: order equal times as well. */
 	if (a->kind != b->kind)
 		return a->kind < b->kind ? -1 : 1;
 	return (a->target > b->target) - (a->target < b->target);
 }
 
-static void sort(struct soak_schedule *schedule)
+static void sort_faults(struct soak_schedule *schedule)
 {
 	if (schedule->count > 0)
 		qsort(schedule->faults, schedule->count,
-		      sizeof(schedule->faults[0]), by_time);
+		      sizeof(schedule->faults[0]), compare_faults);
 }
 
 struct soak_schedule *soak_schedule_draw(TALLOC_CTX *mem_ctx,
@@ -403,7 +417,7 @@
 {
 	struct soak_schedule *schedule =
 		talloc_zero(mem_ctx, struct soak_schedule);
-	struct jt_random random = stream_of(plan, STREAM_PROFILE);
+	struct jt_random random = stream_random(plan, STREAM_PROFILE);
 	uint64_t profile = jt_random_next(&random);
 
 	if (schedule == NULL)
@@ -415,7 +429,7 @@
 		draw_routers(schedule, plan);
 	if (profile & PROFILE_SERIES)
 		draw_series(schedule, plan);
-	sort(schedule);
+	sort_faults(schedule);
 	return schedule;
 }
 
@@ -432,9 +446,10 @@
 		const struct soak_fault *fault = &schedule->faults[i];
 
 		fprintf(stream, "%llu %s %u %llu %u %u\n",
-			(unsigned long long)fault->at_ms, names[fault->kind],
-			fault->target, (unsigned long long)fault->for_ms,
-			fault->strength, fault->doubled);
+			(unsigned long long)fault->at_ms,
+			fault_names[fault->kind], fault->target,
+			(unsigned long long)fault->for_ms, fault->strength,
+			fault->doubled);
 	}
 	return fclose(stream) == 0;
 }
@@ -443,8 +458,8 @@
 			     const struct soak_schedule_plan *plan)
 {
 	if (kind <= SOAK_ENTRY_FOREIGN)
-		return plan->places;
-	return kind == SOAK_ZONE_TURNS ? plan->zones : plan->nodes;
+		return plan->addresses;
+	return kind == SOAK_ZONE_TOGGLED ? plan->zones : plan->nodes;
 }
 
 static unsigned strength_limit(enum soak_fault_kind kind)
@@ -452,7 +467,7 @@
 	return kind == SOAK_STORE_LINK ? SOAK_LINK_STALE : PERCENT;
 }
 
-/* NULL, or the field that is wrong. */
+/* Returns NULL, or the reason why the line is invalid. */
 static const char *line_parse(const char *line,
 			      const struct soak_schedule_plan *plan,
 			      struct soak_fault *fault)
@@ -464,20 +479,20 @@
 	if (sscanf(line, "%llu %31s %u %llu %u %u", &at_ms, name,
 		   &fault->target, &for_ms, &fault->strength,
 		   &fault->doubled) != 6)
-		return "six fields are needed";
-	while (kind < SOAK_FAULT_KINDS && strcmp(names[kind], name) != 0)
+		return "six fields expected";
+	while (kind < SOAK_FAULT_KINDS && strcmp(fault_names[kind], name) != 0)
 		kind++;
 	if (kind == SOAK_FAULT_KINDS)
-		return "kind: unknown";
+		return "kind: unknown fault";
 	fault->kind = (enum soak_fault_kind)kind;
 	fault->at_ms = at_ms;
 	fault->for_ms = for_ms;
 	if (fault->target >= target_limit(fault->kind, plan))
-		return "target: there are not so many";
+		return "target: out of range";
 	if (fault->strength >= strength_limit(fault->kind))
 		return "strength: too large";
 	if (fault->doubled > PERCENT)
-		return "doubled: a percentage";
+		return "doubled: must be a percentage";
 	return NULL;
 }
 
@@ -486,21 +501,21 @@
 		       char **error)
 {
 	struct soak_fault fault;
-	const char *wrong;
+	const char *reason;
 	char line[LINE];
 
 	for (unsigned number = 1; fgets(line, sizeof(line), stream) != NULL;
 	     number++) {
 		if (line[0] == '#' || line[0] == '\n')
 			continue;
-		wrong = line_parse(line, plan, &fault);
-		if (wrong != NULL) {
+		reason = line_parse(line, plan, &fault);
+		if (reason != NULL) {
 			*error = talloc_asprintf(talloc_parent(schedule),
 						 "%s: line %u: %s", file,
-						 number, wrong);
+						 number, reason);
 			return false;
 		}
-		add(schedule, fault);
+		fault_add(schedule, fault);
 	}
 	return true;
 }
@@ -522,7 +537,7 @@
 	if (!lines_read(schedule, stream, file, plan, error))
 		TALLOC_FREE(schedule);
 	else
-		sort(schedule);
+		sort_faults(schedule);
 	fclose(stream);
 	return schedule;
 }
--- a/tests/soak/soak_stalls.c
+++ b/tests/soak/soak_stalls.c
@@ -1,8 +1,8 @@
 /*
- * Times in which this process stood still. It plays routers, the store, callers
- * and endpoints: while it stands still, all of these do, which no node can tell
- * from a fault. What the kernel counts tells a wait for a processor from one
- * for the disk or for memory, and whether the nodes waited as well.
+ * Detection of stalls of this process. It plays routers, the store, clients and
+ * endpoints, all of which stall with it, which nodes can't tell from a fault.
+ * Kernel counters show whether it waited for a processor, the disk or memory,
+ * and whether the nodes waited as well.
  */
 #include "soak.h"
 
@@ -12,35 +12,35 @@
 #include <unistd.h>
 
 enum {
-	STALL_MS = 100, /* between two ticks: worth a line */
-	CALL_MS = 50,	/* the same of one call */
-	NAME = 64,
-	LINE = 1024,
-	/* Field of /proc/PID/stat: time waited for the disk, in ticks. */
+	STALL_MS = 100, /* least time between two ticks that is logged */
+	CALL_MS = 50,	/* least duration of a call that is logged */
+	NAME_SIZE = 64,
+	LINE_SIZE = 1024,
+	/* Field of /proc/PID/stat: time waited for the disk, in clock ticks. */
 	STAT_DISK_FIELD = 42,
 };
 
-/* What the kernel has counted for a process up to now. */
+/* Counters of a process so far. */
 struct usage {
 	uint64_t run_ms;
-	uint64_t wait_ms; /* for a processor, though it could have run */
+	uint64_t wait_ms; /* runnable, but waiting for a processor */
 	uint64_t disk_ms;
-	uint64_t faults;    /* of pages that came from the disk */
-	uint64_t events_ms; /* that writing events took */
-	uint64_t steal_ms;  /* that the host took from all processors */
+	uint64_t faults;    /* major page faults */
+	uint64_t events_ms; /* time spent writing events */
+	uint64_t steal_ms;  /* stolen by the host from all processors */
 };
 
 struct soak_stalls {
 	struct soak *soak;
-	uint64_t ticked_ms;
+	uint64_t last_tick_ms;
 	struct usage own;
-	uint64_t node_waited_ms[SOAK_NODES_MOST];
+	uint64_t node_wait_ms[SOAK_NODES_MAX];
 };
 
-static void schedule_read(const char *process, struct usage *usage)
+static void schedstat_read(const char *process, struct usage *usage)
 {
 	uint64_t run_ns = 0, wait_ns = 0;
-	char name[NAME];
+	char name[NAME_SIZE];
 	FILE *file;
 
 	snprintf(name, sizeof(name), "/proc/%s/schedstat", process);
@@ -59,10 +59,10 @@
 	return ticks * 1000 / (uint64_t)sysconf(_SC_CLK_TCK);
 }
 
-static uint64_t disk_read(void)
+static uint64_t disk_wait_read(void)
 {
 	FILE *file = fopen("/proc/self/stat", "r");
-	char line[LINE] = "";
+	char line[LINE_SIZE] = "";
 	unsigned long long ticks = 0;
 	char *field, *rest = NULL;
 
@@ -96,33 +96,34 @@
 	struct rusage counted;
 
 	usage.steal_ms = steal_read();
-	schedule_read("self", &usage);
-	usage.disk_ms = disk_read();
+	schedstat_read("self", &usage);
+	usage.disk_ms = disk_wait_read();
 	if (getrusage(RUSAGE_SELF, &counted) == 0)
 		usage.faults = (uint64_t)counted.ru_majflt;
 	return usage;
 }
 
-/* The longest that a node has waited for a processor since the last stall. */
-static uint64_t nodes_waited_ms(struct soak_stalls *stalls)
+/* Returns the longest time that a node has waited for a processor since the
+ * last stall. */
+static uint64_t nodes_max_wait_ms(struct soak_stalls *stalls)
 {
 	const struct soak *soak = stalls->soak;
-	uint64_t most_ms = 0;
+	uint64_t max_wait_ms = 0;
 
 	for (int i = 0; i < soak->node_count; i++) {
 		struct usage usage = {0};
-		char process[NAME];
+		char process[NAME_SIZE];
 
 		if (soak->nodes[i].pid == 0)
 			continue;
 		snprintf(process, sizeof(process), "%d",
 			 (int)soak->nodes[i].pid);
-		schedule_read(process, &usage);
-		if (usage.wait_ms > stalls->node_waited_ms[i] + most_ms)
-			most_ms = usage.wait_ms - stalls->node_waited_ms[i];
-		stalls->node_waited_ms[i] = usage.wait_ms;
+		schedstat_read(process, &usage);
+		if (usage.wait_ms > stalls->node_wait_ms[i] + max_wait_ms)
+			max_wait_ms = usage.wait_ms - stalls->node_wait_ms[i];
+		stalls->node_wait_ms[i] = usage.wait_ms;
 	}
-	return most_ms;
+	return max_wait_ms;
 }
 
 struct soak_stalls *soak_stalls_create(struct soak *soak)
@@ -136,35 +137,35 @@
 	return stalls;
 }
 
-static void stall_note(struct soak_stalls *stalls, uint64_t stood_ms)
+static void stall_log(struct soak_stalls *stalls, uint64_t stall_ms)
 {
 	struct usage now = usage_read(stalls->soak);
-	const struct usage *then = &stalls->own;
-
-	soak_note(stalls->soak,
-		  "stall: the soak stood still for %" PRIu64
-		  " ms; since the one before: run_ms=%" PRIu64
-		  " wait_ms=%" PRIu64 " disk_ms=%" PRIu64
-		  " page_faults=%" PRIu64 " events_ms=%" PRIu64
-		  " steal_ms=%" PRIu64 " node_wait_ms=%" PRIu64,
-		  stood_ms, now.run_ms - then->run_ms,
-		  now.wait_ms - then->wait_ms, now.disk_ms - then->disk_ms,
-		  now.faults - then->faults, now.events_ms - then->events_ms,
-		  now.steal_ms - then->steal_ms, nodes_waited_ms(stalls));
+	const struct usage *before = &stalls->own;
+
+	soak_log(stalls->soak,
+		 "stall: this process stalled for %" PRIu64
+		 " ms; since the previous stall: run_ms=%" PRIu64
+		 " wait_ms=%" PRIu64 " disk_ms=%" PRIu64 " page_faults=%" PRIu64
+		 " events_ms=%" PRIu64 " steal_ms=%" PRIu64
+		 " node_wait_ms=%" PRIu64,
+		 stall_ms, now.run_ms - before->run_ms,
+		 now.wait_ms - before->wait_ms, now.disk_ms - before->disk_ms,
+		 now.faults - before->faults, now.events_ms - before->events_ms,
+		 now.steal_ms - before->steal_ms, nodes_max_wait_ms(stalls));
 	stalls->own = now;
 }
 
 void soak_stalls_tick(struct soak_stalls *stalls, uint64_t now_ms)
 {
 	struct soak *soak = stalls->soak;
-	uint64_t stood_ms =
-		stalls->ticked_ms != 0 ? now_ms - stalls->ticked_ms : 0;
-
-	stalls->ticked_ms = now_ms;
-	if (stood_ms > soak->lag_ms)
-		soak->lag_ms = stood_ms;
-	if (stood_ms >= STALL_MS)
-		stall_note(stalls, stood_ms);
+	uint64_t stall_ms =
+		stalls->last_tick_ms != 0 ? now_ms - stalls->last_tick_ms : 0;
+
+	stalls->last_tick_ms = now_ms;
+	if (stall_ms > soak->lag_ms)
+		soak->lag_ms = stall_ms;
+	if (stall_ms >= STALL_MS)
+		stall_log(stalls, stall_ms);
 }
 
 void soak_stalls_call(struct soak *soak, const char *call, uint64_t began_ms)
@@ -172,5 +173,5 @@
 	uint64_t took_ms = jt_clock_ms() - began_ms;
 
 	if (took_ms >= CALL_MS)
-		soak_note(soak, "stall: %s took %" PRIu64 " ms", call, took_ms);
+		soak_log(soak, "stall: %s took %" PRIu64 " ms", call, took_ms);
 }
--- a/tests/soak/soak_store.c
+++ b/tests/soak/soak_store.c
@@ -1,4 +1,4 @@
-/* The platform's store, as far as nodes use it: ranges and watches. */
+/* The part of the platform's store that nodes use: ranges and watches. */
 #include "soak.h"
 
 #include <jansson.h>
@@ -6,11 +6,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-enum { ITEMS = 512, HISTORY = 4096, WATCHES = 1024, VALUE = 8192 };
+enum {
+	ITEM_LIMIT = 512,
+	HISTORY_LIMIT = 4096,
+	WATCH_LIMIT = 1024,
+	VALUE_SIZE = 8192
+};
 
 struct item {
 	char key[64];
-	char *value; /* base64; NULL: gone */
+	char *value; /* base64; NULL: removed */
 	uint64_t revision;
 };
 
@@ -23,16 +28,16 @@
 
 struct soak_store {
 	struct soak *soak;
-	struct item items[ITEMS];
+	struct item items[ITEM_LIMIT];
 	size_t item_count;
-	struct item history[HISTORY];
+	struct item history[HISTORY_LIMIT];
 	size_t history_count;
-	uint64_t forgotten; /* history up to there is gone */
+	uint64_t compacted_revision; /* newest discarded revision */
 	uint64_t revision;
-	struct watch *watches[WATCHES]; /* each lives as long as its request */
+	struct watch *watches[WATCH_LIMIT]; /* owned by their requests */
 	uint64_t down_until_ms;
 	uint64_t disturbed_ms;
-	uint64_t throttled_until_ms[SOAK_NODES_MOST];
+	uint64_t throttled_until_ms[SOAK_NODES_MAX];
 	struct jt_http_server *server;
 	struct jt_timer *timer;
 };
@@ -62,8 +67,8 @@
 	reply(request, status, json_pack("{s:s}", "error", "not now"));
 }
 
-static void range_answer(struct soak_store *store,
-			 struct jt_http_request *request)
+static void range_reply(struct soak_store *store,
+			struct jt_http_request *request)
 {
 	const char *prefix = jt_http_query(request, "pathPrefix");
 	json_t *items = json_array();
@@ -80,13 +85,13 @@
 			(json_int_t)store->revision));
 }
 
-static bool watch_answer(struct soak_store *store,
-			 struct jt_http_request *request, uint64_t after,
-			 bool due)
+static bool watch_reply(struct soak_store *store,
+			struct jt_http_request *request, uint64_t after,
+			bool due)
 {
 	json_t *events;
 
-	if (after < store->forgotten) {
+	if (after < store->compacted_revision) {
 		reply_error(request, 410);
 		return true;
 	}
@@ -108,24 +113,24 @@
 {
 	struct watch *watch = private_data;
 
-	for (int i = 0; i < WATCHES; i++) {
+	for (int i = 0; i < WATCH_LIMIT; i++) {
 		if (watch->store->watches[i] == watch)
 			watch->store->watches[i] = NULL;
 	}
 	talloc_free(watch);
 }
 
-static void watch_take(struct soak_store *store,
-		       struct jt_http_request *request)
+static void watch_start(struct soak_store *store,
+			struct jt_http_request *request)
 {
 	const char *after = jt_http_query(request, "after");
 	const char *wait = jt_http_query(request, "waitMs");
 	uint64_t from = after ? strtoull(after, NULL, 10) : 0;
 	uint64_t wait_ms = wait ? strtoull(wait, NULL, 10) : 0;
 
-	if (watch_answer(store, request, from, wait_ms == 0))
+	if (watch_reply(store, request, from, wait_ms == 0))
 		return;
-	for (int i = 0; i < WATCHES; i++) {
+	for (int i = 0; i < WATCH_LIMIT; i++) {
 		struct watch *watch;
 
 		if (store->watches[i] != NULL)
@@ -140,10 +145,10 @@
 	reply_error(request, 503);
 }
 
-/* Each node reaches the store at an address of its own, a proxy's, and names
- * it as the host; -1 for any other. */
-static int node_of(const struct soak *soak,
-		   const struct jt_http_request *request)
+/* Returns the node that sent the request, or -1. Each node reaches the store
+ * through its own proxy, whose address is the Host header. */
+static int request_node(const struct soak *soak,
+			const struct jt_http_request *request)
 {
 	const char *host = jt_http_header(request, "Host");
 	struct jt_address address;
@@ -157,7 +162,7 @@
 {
 	struct soak_store *store = private_data;
 	const char *path = jt_http_path(request);
-	int node = node_of(store->soak, request);
+	int node = request_node(store->soak, request);
 	uint64_t now_ms = jt_clock_ms();
 
 	if (now_ms < store->down_until_ms)
@@ -166,19 +171,19 @@
 		 now_ms < store->throttled_until_ms[node])
 		reply_error(request, 429);
 	else if (strcmp(path, "/kv-range") == 0)
-		range_answer(store, request);
+		range_reply(store, request);
 	else if (strcmp(path, "/kv-watch") == 0)
-		watch_take(store, request);
+		watch_start(store, request);
 	else
 		reply_error(request, 404);
 }
 
-/* Answer what is due; all watches when @all. */
+/* Answers the watches that are due, or all if @all. */
 static void watches_serve(struct soak_store *store, bool all)
 {
 	uint64_t now_ms = jt_clock_ms();
 
-	for (int i = 0; i < WATCHES; i++) {
+	for (int i = 0; i < WATCH_LIMIT; i++) {
 		struct watch *watch = store->watches[i];
 
 		if (watch == NULL)
@@ -186,8 +191,8 @@
 		if (now_ms < store->down_until_ms) {
 			store->watches[i] = NULL;
 			reply_error(watch->request, 503);
-		} else if (watch_answer(store, watch->request, watch->after,
-					all || now_ms >= watch->due_ms)) {
+		} else if (watch_reply(store, watch->request, watch->after,
+				       all || now_ms >= watch->due_ms)) {
 			store->watches[i] = NULL;
 		}
 	}
@@ -226,19 +231,20 @@
 		if (strcmp(store->items[i].key, key) == 0)
 			return &store->items[i];
 	}
-	if (store->item_count == ITEMS)
+	if (store->item_count == ITEM_LIMIT)
 		return NULL;
 	snprintf(store->items[store->item_count].key,
 		 sizeof(store->items[0].key), "%s", key);
 	return &store->items[store->item_count++];
 }
 
-/* Long runs change more than is kept. */
-static void history_halve(struct soak_store *store)
+/* Discards the older half of a full history. */
+static void history_compact_half(struct soak_store *store)
 {
-	store->history_count = HISTORY / 2;
-	store->forgotten = store->history[HISTORY / 2 - 1].revision;
-	memmove(store->history, store->history + HISTORY / 2,
+	store->history_count = HISTORY_LIMIT / 2;
+	store->compacted_revision =
+		store->history[HISTORY_LIMIT / 2 - 1].revision;
+	memmove(store->history, store->history + HISTORY_LIMIT / 2,
 		store->history_count * sizeof(store->history[0]));
 }
 
@@ -246,12 +252,12 @@
 			const char *value)
 {
 	struct item *item = item_find(store, key);
-	char text[VALUE];
+	char text[VALUE_SIZE];
 
 	if (item == NULL)
 		abort();
-	if (store->history_count == HISTORY)
-		history_halve(store);
+	if (store->history_count == HISTORY_LIMIT)
+		history_compact_half(store);
 	item->revision = ++store->revision;
 	item->value = NULL;
 	if (value != NULL) {
@@ -279,10 +285,10 @@
 
 void soak_store_compact(struct soak_store *store)
 {
-	store->forgotten = store->revision;
+	store->compacted_revision = store->revision;
 	store->history_count = 0;
 	store->disturbed_ms = jt_clock_ms();
-	for (int i = 0; i < WATCHES; i++) {
+	for (int i = 0; i < WATCH_LIMIT; i++) {
 		struct watch *watch = store->watches[i];
 
 		if (watch == NULL)
--- a/tests/test_soak_oracle.c
+++ b/tests/test_soak_oracle.c
@@ -40,9 +40,9 @@
 	return 0;
 }
 
-bool soak_node_in_touch(const struct soak *soak, int node, uint64_t since_ms)
+bool soak_node_undisturbed(const struct soak *soak, int node, uint64_t since_ms)
 {
-	return soak->nodes[node].disturbed_ms + SOAK_CONTACT_MS <= since_ms;
+	return soak->nodes[node].disturbed_ms + SOAK_SETTLE_MS <= since_ms;
 }
 
 /* An endpoint of each service and one version, all known for long. */
@@ -52,10 +52,10 @@
 
 	soak->events = fopen("/dev/null", "w");
 	assert_non_null(soak->events);
-	soak->node_count = SOAK_NODES_LEAST;
+	soak->node_count = SOAK_NODES_MIN;
 	for (int i = 0; i < soak->node_count; i++)
-		soak->nodes[i] =
-			(struct soak_node){.pid = 1, .gone_ms = LONG_AGO_MS};
+		soak->nodes[i] = (struct soak_node){
+			.pid = 1, .last_down_ms = LONG_AGO_MS};
 	soak->endpoint_count = SOAK_SERVICES;
 	for (uint32_t i = 0; i < SOAK_SERVICES; i++) {
 		soak->endpoints[i] = (struct soak_endpoint){
@@ -90,7 +90,7 @@
 	soak->endpoints[soak->endpoint_count] = *ended;
 	soak->endpoints[soak->endpoint_count].id = soak->endpoint_count + 1;
 	soak->endpoint_count++;
-	ended->life = SOAK_ENDED;
+	ended->state = SOAK_ENDED;
 	ended->end_ms = end_ms;
 }
 
@@ -113,7 +113,7 @@
 {
 	struct soak *soak = *state;
 
-	soak->endpoints[OTHER_ENDPOINT].life = SOAK_DRAINING;
+	soak->endpoints[OTHER_ENDPOINT].state = SOAK_DRAINING;
 	assert_false(refusal_breaks(soak, SOAK_SWITCH_PORT));
 	assert_true(refusal_breaks(soak, SOAK_STEADY_PORT));
 }
@@ -190,8 +190,8 @@
 {
 	unsigned broken = soak->broken;
 
-	soak_check_taken_twice(soak, OTHER_ENDPOINT, 0, 0x7f490002, 10000,
-			       SENT_MS);
+	soak_check_second_endpoint(soak, OTHER_ENDPOINT, 0, 0x7f490002, 10000,
+				   SENT_MS);
 	return soak->broken > broken;
 }
 
@@ -221,8 +221,8 @@
 {
 	struct soak *soak = *state;
 
-	soak_check_taken_twice(soak, OTHER_ENDPOINT, OTHER_ENDPOINT, 0x7f490002,
-			       10000, SENT_MS);
+	soak_check_second_endpoint(soak, OTHER_ENDPOINT, OTHER_ENDPOINT,
+				   0x7f490002, 10000, SENT_MS);
 	assert_int_equal(soak->broken, 0);
 }
 
@@ -230,11 +230,11 @@
 {
 	struct soak *soak = *state;
 
-	soak->nodes[NODE].gone_ms = JUST_BEFORE_MS;
+	soak->nodes[NODE].last_down_ms = JUST_BEFORE_MS;
 	assert_false(taken_twice_breaks(soak));
-	soak->nodes[NODE].gone_ms = SENT_MS - SOAK_CONTACT_MS;
+	soak->nodes[NODE].last_down_ms = SENT_MS - SOAK_SETTLE_MS;
 	assert_true(taken_twice_breaks(soak));
-	soak->nodes[NODE].stopped = true;
+	soak->nodes[NODE].paused = true;
 	assert_false(taken_twice_breaks(soak));
 }
 
