--- a/fuzz/fuzz_director.c
+++ b/fuzz/fuzz_director.c
@@ -13,10 +13,11 @@
  * - a duplicated first packet opens no flow at a second endpoint;
  * - the packets of a flow reach only its own endpoint;
  * - a first packet reaches only a service that some configuration allowed;
- * - a node sends no first packet to an endpoint that it was told is leaving;
- * - a node sends none to an endpoint of a zone that it was told is drained,
- *   until it is told that the drain has ended;
- * - a node sends none to an endpoint whose newest entry is unreadable to it;
+ * - a node forwards no first packet to an endpoint after receiving an entry
+ *   that marks it as leaving;
+ * - a node forwards none to an endpoint of a zone while the newest state that
+ *   it received for the zone is a drain;
+ * - a node forwards none to an endpoint whose newest entry is unreadable to it;
  * - a first packet goes to the address in the newest entry that the node was
  *   sent, never to that of an earlier incarnation;
  * - a flow that has an endpoint is never refused for lack of capacity, nor is a
--- a/tests/soak/soak_oracle.c
+++ b/tests/soak/soak_oracle.c
@@ -99,8 +99,9 @@
 	return disturbed_ms == 0 || disturbed_ms + SOAK_SETTLE_MS <= at_ms;
 }
 
-/* Returns true if the time bound applies to a packet sent at @sent_ms: node
- * and store had no fault for SOAK_SETTLE_MS before the bound began. */
+/* Returns true if the time bound applies to a packet sent at @sent_ms: the node
+ * had no fault for SOAK_SETTLE_MS before it, the store none for as long before
+ * the bound began. */
 static bool bound_applies(const struct soak *soak, int node, uint64_t sent_ms,
 			  uint64_t bound_ms)
 {
