--- a/bench/bench.c
+++ b/bench/bench.c
@@ -1,12 +1,13 @@
 /*
- * Benchmarks: JSON lines, each a ratio or a cost from one run.
+ * Benchmarks. Each prints a JSON line:
  *
- * forward_ratio       packets a second of one traffic thread over a bare
- *                     recvmmsg()/sendmmsg() forwarder, in turns
- * decide_ns           one first packet, at 10 thousand to 1 million records
+ * forward_ratio       throughput of one traffic thread relative to a plain
+ *                     recvmmsg()/sendmmsg() forwarder, measured alternately
+ * decide_ns           placement of a new flow, at 10,000 to 1,000,000 records
  * bytes_per_flow_record
- * table_apply_ms      the next cell state after an endpoint change
- * tick_cpu_part       part of a core that ticks take while records are held
+ * table_apply_ms      computation of the next cell state after an endpoint
+ *                     change
+ * tick_cpu_part       fraction of a core used by ticks while records are held
  */
 #include "jaspertrack/cell.h"
 #include "jt_cluster.h"
@@ -32,7 +33,7 @@
 #include <unistd.h>
 
 enum {
-	ROUNDS = 7,
+	ROUND_COUNT = 7,
 	ROUND_MS = 700,
 	BATCH = 64,
 	PACKET = 200,
@@ -45,7 +46,7 @@
 static const struct jt_address forwarder = {0x7f460001, 6080};
 static const struct jt_address sink = {0x7f460002, 6080};
 static atomic_bool sending, receiving;
-static _Atomic uint64_t arrived;
+static _Atomic uint64_t received_count;
 
 static double now_s(void)
 {
@@ -97,15 +98,15 @@
 		int got = recvmmsg(fd, messages, BATCH, MSG_DONTWAIT, NULL);
 
 		if (got > 0)
-			atomic_fetch_add(&arrived, (uint64_t)got);
+			atomic_fetch_add(&received_count, (uint64_t)got);
 		else
 			poll(&wait, 1, 10);
 	}
 	return NULL;
 }
 
-/* The bare forwarder: the same batches and buffers, and nothing decided. */
-static void *bare_main(void *argument)
+/* Forwards with the same batches and buffers, but without any decision. */
+static void *plain_forwarder_main(void *argument)
 {
 	static uint8_t data[BATCH][JT_PACKET_MAX];
 	struct mmsghdr in[BATCH], out[BATCH];
@@ -147,8 +148,9 @@
 	return NULL;
 }
 
-/* Packets that arrive in one round while senders flood the forwarder. */
-static double flood(void)
+/* Returns the packets per second that arrive while senders flood the forwarder.
+ */
+static double measure_throughput(void)
 {
 	pthread_t senders[SENDERS];
 	uint64_t before;
@@ -158,11 +160,11 @@
 	for (int i = 0; i < SENDERS; i++)
 		pthread_create(&senders[i], NULL, send_main, NULL);
 	usleep(100000);
-	before = atomic_load(&arrived);
+	before = atomic_load(&received_count);
 	started = now_s();
 	usleep(ROUND_MS * 1000);
 	started = now_s() - started;
-	before = atomic_load(&arrived) - before;
+	before = atomic_load(&received_count) - before;
 	atomic_store(&sending, false);
 	for (int i = 0; i < SENDERS; i++)
 		pthread_join(senders[i], NULL);
@@ -195,21 +197,21 @@
 	jt_actions_clear(actions);
 }
 
-static double flood_bare(void)
+static double measure_plain_forwarder(void)
 {
 	int fd = jt_udp_open(forwarder, false);
 	pthread_t thread;
 	double rate;
 
 	atomic_store(&sending, true);
-	pthread_create(&thread, NULL, bare_main, &fd);
-	rate = flood();
+	pthread_create(&thread, NULL, plain_forwarder_main, &fd);
+	rate = measure_throughput();
 	pthread_join(thread, NULL);
 	close(fd);
 	return rate;
 }
 
-static double flood_traffic(const struct jt_core *core, unsigned threads)
+static double measure_traffic(const struct jt_core *core, unsigned threads)
 {
 	TALLOC_CTX *frame = talloc_new(NULL);
 	int wake_fd = eventfd(0, EFD_NONBLOCK);
@@ -219,7 +221,7 @@
 
 	jt_traffic_publish(traffic, core);
 	jt_traffic_set_lease(traffic, UINT64_MAX);
-	rate = flood();
+	rate = measure_throughput();
 	talloc_free(frame);
 	close(wake_fd);
 	return rate;
@@ -236,7 +238,8 @@
 	TALLOC_CTX *frame = talloc_new(NULL);
 	struct jt_actions *actions = jt_actions_create(frame);
 	struct jt_core *core = make_core(frame, actions, 0);
-	double bare[ROUNDS], one[ROUNDS], ratio[ROUNDS], two[ROUNDS];
+	double plain[ROUND_COUNT], one[ROUND_COUNT], ratio[ROUND_COUNT],
+		two[ROUND_COUNT];
 	int sink_fd = jt_udp_open(sink, false);
 	pthread_t sink_thread;
 
@@ -244,11 +247,11 @@
 		open_flow(core, actions, i);
 	atomic_store(&receiving, true);
 	pthread_create(&sink_thread, NULL, sink_main, &sink_fd);
-	for (int r = 0; r < ROUNDS; r++) {
-		bare[r] = flood_bare();
-		one[r] = flood_traffic(core, 1);
-		two[r] = flood_traffic(core, 2);
-		ratio[r] = one[r] / bare[r];
+	for (int r = 0; r < ROUND_COUNT; r++) {
+		plain[r] = measure_plain_forwarder();
+		one[r] = measure_traffic(core, 1);
+		two[r] = measure_traffic(core, 2);
+		ratio[r] = one[r] / plain[r];
 	}
 	atomic_store(&receiving, false);
 	pthread_join(sink_thread, NULL);
@@ -256,8 +259,9 @@
 	printf("{\"bench\":\"forward_ratio\",\"value\":%.3f,"
 	       "\"bare_per_s\":%.0f,\"thread_per_s\":%.0f,"
 	       "\"two_threads_over_one\":%.3f,\"records_held\":%zu}\n",
-	       median(ratio, ROUNDS), median(bare, ROUNDS), median(one, ROUNDS),
-	       median(two, ROUNDS) / median(one, ROUNDS),
+	       median(ratio, ROUND_COUNT), median(plain, ROUND_COUNT),
+	       median(one, ROUND_COUNT),
+	       median(two, ROUND_COUNT) / median(one, ROUND_COUNT),
 	       jt_core_flow_count(core));
 	talloc_free(frame);
 }
@@ -268,16 +272,16 @@
 	TALLOC_CTX *frame = talloc_new(NULL);
 	struct jt_actions *actions = jt_actions_create(frame);
 	struct jt_core *core = make_core(frame, actions, 200);
-	double started, opened;
+	double started, elapsed;
 
 	for (uint32_t i = 0; i < records; i++)
 		open_flow(core, actions, i);
 	started = now_s();
 	for (uint32_t i = 0; i < SAMPLES; i++)
 		open_flow(core, actions, records + i);
-	opened = now_s() - started;
+	elapsed = now_s() - started;
 	printf("{\"bench\":\"decide_ns\",\"records\":%u,\"value\":%.0f}\n",
-	       records, opened / SAMPLES * 1e9);
+	       records, elapsed / SAMPLES * 1e9);
 	talloc_free(frame);
 }
 
@@ -326,7 +330,7 @@
 	talloc_free(frame);
 }
 
-/* A tick of a node that is alone, with so many records. */
+/* Measures the ticks of a single-node cell that holds @records. */
 static void bench_tick(uint32_t records)
 {
 	enum { TICKS = 4000 };
--- a/src/lab/baseline.c
+++ b/src/lab/baseline.c
@@ -1,14 +1,14 @@
 /*
- * Baselines on the same fabric, callers and endpoints:
+ * Baseline policies with the same fabric, clients and endpoints:
  *
- * modulo      hash over the live endpoints, no state
- * maglev      a consistent table and a flow table in each node
- *             (after Eisenbud et al., "Maglev", NSDI 2016, by rendezvous)
- * full-relay  every packet through its owner, which places new flows on the
- *             least loaded endpoint and keeps the only record
+ * modulo      hash over the live endpoints, stateless
+ * maglev      consistent hashing and a flow table in each node (after
+ *             Eisenbud et al., "Maglev", NSDI 2016, with rendezvous hashing)
+ * full-relay  every packet is relayed to its owner node, which places new
+ *             flows on the least loaded endpoint and keeps the only record
  *
- * They know live endpoints and nodes as late as the health pages and the
- * machine list are, and admit everyone.
+ * Their view of endpoints and nodes has the lag of the health pages and the
+ * machine list. They have no admission control.
  */
 #include "world_private.h"
 
@@ -19,11 +19,12 @@
 #include <xxhash.h>
 
 enum {
-	VIEW_US = 1000000, /* between two looks at the platform */
+	HEALTH_POLL_US =
+		1000000, /* interval of health and machine list polls */
 	PROBE_BYTES = 260,
 	LIST_BYTES = 260,
 	FLOW_LIMIT = 1 << 22,
-	CRASH_SEEN_US = 2000000, /* peers notice a dead node */
+	CRASH_DETECTION_US = 2000000, /* failure detection time for a node */
 };
 
 struct baseline_node {
@@ -34,17 +35,17 @@
 	uint64_t started_us;
 	struct jt_flow_table *flows;
 	uint64_t bytes;
-	uint32_t *open; /* of flows this node owns, by endpoint */
+	uint32_t *open; /* open flows that this node owns, by endpoint */
 	size_t open_count;
 };
 
 struct baseline {
 	struct baseline_node nodes[JT_CLUSTER_NODES];
-	bool *usable; /* endpoint is up, as seen by health pages */
+	bool *usable; /* by endpoint: up according to its health page */
 	size_t usable_count;
 };
 
-static void look(void *object, uint64_t argument)
+static void on_health_poll(void *object, uint64_t argument)
 {
 	struct world *world = object;
 	struct baseline *baseline = world->baseline;
@@ -70,7 +71,8 @@
 				PROBE_BYTES * world->endpoint_count +
 				LIST_BYTES;
 	}
-	jt_scheduler_after(world->scheduler, VIEW_US, look, world, 0);
+	jt_scheduler_after(world->scheduler, HEALTH_POLL_US, on_health_poll,
+			   world, 0);
 }
 
 struct baseline *baseline_create(struct world *world)
@@ -80,7 +82,7 @@
 		return NULL;
 	}
 	world->baseline = talloc_zero(world, struct baseline);
-	look(world, 0);
+	on_health_poll(world, 0);
 	return world->baseline;
 }
 
@@ -156,8 +158,8 @@
 	return world->demands[key->destination - 0x0a140000u].service;
 }
 
-static bool candidate(const struct world *world, size_t endpoint,
-		      unsigned service)
+static bool is_candidate(const struct world *world, size_t endpoint,
+			 unsigned service)
 {
 	return endpoint < world->baseline->usable_count &&
 	       world->baseline->usable[endpoint] &&
@@ -172,12 +174,12 @@
 	size_t count = 0;
 
 	for (size_t i = 0; i < world->endpoint_count; i++)
-		count += candidate(world, i, service);
+		count += is_candidate(world, i, service);
 	if (count == 0)
 		return UINT32_MAX;
 	hash %= count;
 	for (size_t i = 0; i < world->endpoint_count; i++) {
-		if (candidate(world, i, service) && hash-- == 0)
+		if (is_candidate(world, i, service) && hash-- == 0)
 			return (uint32_t)i;
 	}
 	return UINT32_MAX;
@@ -195,7 +197,7 @@
 		uint64_t input[2] = {bucket, world->endpoints[i]->id};
 		uint64_t weight;
 
-		if (!candidate(world, i, service))
+		if (!is_candidate(world, i, service))
 			continue;
 		weight = XXH64(input, sizeof(input), 0);
 		if (best == UINT32_MAX || weight > best_weight) {
@@ -222,7 +224,7 @@
 		node->open_count = world->endpoint_count;
 	}
 	for (size_t i = 0; i < world->endpoint_count; i++) {
-		if (!candidate(world, i, service))
+		if (!is_candidate(world, i, service))
 			continue;
 		if (best == UINT32_MAX || node->open[i] < node->open[best])
 			best = (uint32_t)i;
@@ -230,9 +232,9 @@
 	return best;
 }
 
-static void tell(struct world *world, uint16_t node,
-		 const struct jt_flow_key *key, uint64_t packet,
-		 uint32_t endpoint, uint8_t hops)
+static void report_verdict(struct world *world, uint16_t node,
+			   const struct jt_flow_key *key, uint64_t packet,
+			   uint32_t endpoint, uint8_t hops)
 {
 	struct jt_verdict verdict = {
 		.node = node, .packet = packet, .key = *key, .hops = hops};
@@ -243,13 +245,15 @@
 		verdict.kind = JT_VERDICT_FORWARD;
 		verdict.endpoint = world->endpoints[endpoint]->address;
 	}
-	flows_verdict(world, &verdict);
+	flows_on_verdict(world, &verdict);
 }
 
-/* The flow's record in this node, made by @choose if there is none. */
-static uint32_t recorded(struct world *world, struct baseline_node *node,
-			 const struct jt_flow_key *key, uint8_t tcp_flags,
-			 bool least_loaded)
+/* Returns the endpoint of a flow from its record, or chooses one and records
+ * it. */
+static uint32_t find_or_choose_endpoint(struct world *world,
+					struct baseline_node *node,
+					const struct jt_flow_key *key,
+					uint8_t tcp_flags, bool least_loaded)
 {
 	struct jt_flow *flow = jt_flow_table_find(node->flows, key);
 	bool ends = tcp_flags & (JT_TCP_FIN | JT_TCP_RST);
@@ -279,8 +283,8 @@
 	return endpoint;
 }
 
-static uint16_t relay_owner(const struct world *world,
-			    const struct jt_flow_key *key)
+static uint16_t find_relay_owner(const struct world *world,
+				 const struct jt_flow_key *key)
 {
 	uint64_t now = world_now(world);
 	uint64_t list_lag =
@@ -292,12 +296,13 @@
 		const struct baseline_node *node = &world->baseline->nodes[n];
 		uint64_t input[2] = {key_hash(key, 0) % JT_BUCKETS, n};
 		uint64_t weight = XXH64(input, sizeof(input), 1);
-		bool listed = node->running
-				      ? now >= node->started_us + list_lag ||
-						node->started_us < BOOT_US
-				      : node->stopped_us != 0 &&
-						now < node->stopped_us +
-								CRASH_SEEN_US;
+		bool listed =
+			node->running
+				? now >= node->started_us + list_lag ||
+					  node->started_us < BOOT_US
+				: node->stopped_us != 0 &&
+					  now < node->stopped_us +
+							  CRASH_DETECTION_US;
 
 		if (!listed || (best != JT_NO_NODE && weight <= best_weight))
 			continue;
@@ -323,22 +328,26 @@
 		return;
 	switch (world->options.policy) {
 	case POLICY_MODULO:
-		tell(world, index, key, packet, choose_modulo(world, key), 0);
+		report_verdict(world, index, key, packet,
+			       choose_modulo(world, key), 0);
 		break;
 	case POLICY_MAGLEV:
-		tell(world, index, key, packet,
-		     recorded(world, node, key, tcp_flags, false), 0);
+		report_verdict(world, index, key, packet,
+			       find_or_choose_endpoint(world, node, key,
+						       tcp_flags, false),
+			       0);
 		break;
 	default:
-		owner = relay_owner(world, key);
+		owner = find_relay_owner(world, key);
 		if (owner == JT_NO_NODE)
 			return;
 		node = &world->baseline->nodes[owner];
 		if (!node->running || node->paused)
 			return;
-		tell(world, owner, key, packet,
-		     recorded(world, node, key, tcp_flags, true),
-		     owner != index);
+		report_verdict(world, owner, key, packet,
+			       find_or_choose_endpoint(world, node, key,
+						       tcp_flags, true),
+			       owner != index);
 		break;
 	}
 }
--- a/src/lab/endpoints.c
+++ b/src/lab/endpoints.c
@@ -1,4 +1,4 @@
-/* Back ends: connections, slots, and health pages that lag or lie. */
+/* Endpoints: connections, request slots and health pages. */
 #include "world_private.h"
 
 #include "jt_net.h"
@@ -7,11 +7,11 @@
 #include <string.h>
 
 enum {
-	HALF_OPEN_US = 10000000,
+	HALF_OPEN_TIMEOUT_US = 10000000,
 	PART_RETRY_US = 300000,
-	PART_TRIES = 60,
-	LEAVING_GRACE_US = 3000000,
-	COLD_FACTOR = 3, /* a cold endpoint works this much longer */
+	PART_SEND_LIMIT = 60,
+	DRAIN_GRACE_US = 3000000,
+	COLD_FACTOR = 3, /* service time of a cold endpoint, relative */
 };
 
 struct endpoint *endpoint_add(struct world *world, unsigned service,
@@ -34,7 +34,7 @@
 	e->alive = true;
 	e->configured = true;
 	e->incarnation = 1;
-	e->lie = -1;
+	e->load_override = -1;
 	e->queue_tail = &e->queue;
 	return e;
 }
@@ -85,7 +85,7 @@
 		       : e->open;
 }
 
-bool endpoint_takes_flows(const struct world *world, const struct endpoint *e)
+bool endpoint_accepts_flows(const struct world *world, const struct endpoint *e)
 {
 	uint64_t now = world_now(world);
 
@@ -93,13 +93,14 @@
 	       now >= e->shed_until_us && now >= e->cold_until_us;
 }
 
-static struct flow_seen *find_seen(const struct world *world, struct flow *flow,
-				   const struct endpoint *e)
+static struct endpoint_connection *find_connection(const struct world *world,
+						   struct flow *flow,
+						   const struct endpoint *e)
 {
-	for (unsigned i = 0; i < flow->seen_count; i++) {
-		if (world->endpoints[flow->seen[i].endpoint] == e &&
-		    flow->seen[i].incarnation == e->incarnation)
-			return &flow->seen[i];
+	for (unsigned i = 0; i < flow->connection_count; i++) {
+		if (world->endpoints[flow->connections[i].endpoint] == e &&
+		    flow->connections[i].incarnation == e->incarnation)
+			return &flow->connections[i];
 	}
 	return NULL;
 }
@@ -114,11 +115,11 @@
 	return UINT32_MAX;
 }
 
-/* Answers go straight to the caller, as small messages with a name. */
+/* Replies, sent directly to the client (direct server return) */
 
 enum reply_kind {
-	REPLY_SYN,
-	REPLY_MESSAGE,
+	REPLY_SYN_ACK,
+	REPLY_ACK,
 	REPLY_PART,
 	REPLY_CLOSED,
 	REPLY_RESET
@@ -132,7 +133,7 @@
 	uint32_t value;
 };
 
-static void reply_arrives(void *object, uint64_t argument)
+static void on_reply_arrival(void *object, uint64_t argument)
 {
 	struct reply *reply = object;
 	struct flow *flow = reply->flow;
@@ -141,28 +142,28 @@
 	(void)argument;
 	if (flow->generation == reply->generation && flow->step != FLOW_FREE) {
 		switch (reply->kind) {
-		case REPLY_SYN:
-			flow_syn_answered(world, flow, reply->value);
+		case REPLY_SYN_ACK:
+			flow_on_syn_ack(world, flow, reply->value);
 			break;
-		case REPLY_MESSAGE:
-			flow_message_answered(world, flow, reply->value);
+		case REPLY_ACK:
+			flow_on_ack(world, flow, reply->value);
 			break;
 		case REPLY_PART:
-			flow_part_came(world, flow, reply->value);
+			flow_on_response_part(world, flow, reply->value);
 			break;
 		case REPLY_CLOSED:
-			flow_closed(world, flow);
+			flow_on_closed(world, flow);
 			break;
 		case REPLY_RESET:
-			flow_reset(world, flow);
+			flow_on_reset(world, flow);
 			break;
 		}
 	}
 	talloc_free(reply);
 }
 
-static void reply_to(struct world *world, struct flow *flow,
-		     enum reply_kind kind, uint32_t value, uint64_t after_us)
+static void send_reply(struct world *world, struct flow *flow,
+		       enum reply_kind kind, uint32_t value, uint64_t after_us)
 {
 	struct reply *reply;
 
@@ -175,12 +176,13 @@
 	reply->kind = kind;
 	reply->value = value;
 	jt_scheduler_after(world->scheduler, client_delay(world) + after_us,
-			   reply_arrives, reply, 0);
+			   on_reply_arrival, reply, 0);
 }
 
-/* Requests and their slots */
+/* Requests and slots */
 
-struct service_end {
+/* A pending timer of a flow at an endpoint. */
+struct flow_task {
 	struct world *world;
 	struct endpoint *endpoint;
 	uint32_t incarnation;
@@ -189,10 +191,10 @@
 	unsigned tries;
 };
 
-static void start_serving(struct world *world, struct endpoint *endpoint,
+static void start_request(struct world *world, struct endpoint *endpoint,
 			  struct flow *flow);
 
-static void next_in_queue(struct world *world, struct endpoint *endpoint)
+static void serve_queue(struct world *world, struct endpoint *endpoint)
 {
 	while (endpoint->queue != NULL &&
 	       endpoint->slots_used < endpoint_capacity(world, endpoint)) {
@@ -204,73 +206,74 @@
 			endpoint->queue_tail = &endpoint->queue;
 		if (flow->generation == ref->generation &&
 		    flow->step != FLOW_FREE)
-			start_serving(world, endpoint, flow);
+			start_request(world, endpoint, flow);
 		talloc_free(ref);
 	}
 }
 
-static void send_parts(void *object, uint64_t argument)
+static void send_response_parts(void *object, uint64_t argument)
 {
-	struct service_end *end = object;
-	struct flow *flow = end->flow;
+	struct flow_task *task = object;
+	struct flow *flow = task->flow;
 
 	(void)argument;
-	if (flow->generation != end->generation || flow->step != FLOW_OPEN ||
-	    flow->parts_acked == (1u << ANSWER_PARTS) - 1 ||
-	    !end->endpoint->alive ||
-	    end->endpoint->incarnation != end->incarnation ||
-	    end->tries++ >= PART_TRIES) {
-		talloc_free(end);
+	if (flow->generation != task->generation || flow->step != FLOW_OPEN ||
+	    flow->parts_acked == (1u << RESPONSE_PARTS) - 1 ||
+	    !task->endpoint->alive ||
+	    task->endpoint->incarnation != task->incarnation ||
+	    task->tries++ >= PART_SEND_LIMIT) {
+		talloc_free(task);
 		return;
 	}
-	for (unsigned i = 0; i < ANSWER_PARTS; i++) {
+	for (unsigned i = 0; i < RESPONSE_PARTS; i++) {
 		if (!(flow->parts_acked >> i & 1))
-			reply_to(end->world, flow, REPLY_PART, i,
-				 (uint64_t)(world_uniform(end->world) * 4000));
+			send_reply(
+				task->world, flow, REPLY_PART, i,
+				(uint64_t)(world_uniform(task->world) * 4000));
 	}
-	jt_scheduler_after(end->world->scheduler, PART_RETRY_US, send_parts,
-			   end, 0);
+	jt_scheduler_after(task->world->scheduler, PART_RETRY_US,
+			   send_response_parts, task, 0);
 }
 
-static void service_ends(void *object, uint64_t argument)
+static void on_service_end(void *object, uint64_t argument)
 {
-	struct service_end *end = object;
+	struct flow_task *task = object;
 
 	(void)argument;
-	if (end->endpoint->incarnation == end->incarnation) {
-		end->endpoint->slots_used--;
-		next_in_queue(end->world, end->endpoint);
+	if (task->endpoint->incarnation == task->incarnation) {
+		task->endpoint->slots_used--;
+		serve_queue(task->world, task->endpoint);
 	}
-	send_parts(end, 0);
+	send_response_parts(task, 0);
 }
 
-static void start_serving(struct world *world, struct endpoint *endpoint,
+static void start_request(struct world *world, struct endpoint *endpoint,
 			  struct flow *flow)
 {
 	const struct scenario_service *service =
 		&world->scenario->services[endpoint->service];
-	struct service_end *end = talloc_zero(world, struct service_end);
+	struct flow_task *task = talloc_zero(world, struct flow_task);
 	double ms = service->service_time_ms * (0.5 + world_uniform(world));
 
 	if (world_now(world) < endpoint->cold_until_us)
 		ms *= COLD_FACTOR;
 	endpoint->slots_used++;
-	end->world = world;
-	end->endpoint = endpoint;
-	end->incarnation = endpoint->incarnation;
-	end->flow = flow;
-	end->generation = flow->generation;
+	task->world = world;
+	task->endpoint = endpoint;
+	task->incarnation = endpoint->incarnation;
+	task->flow = flow;
+	task->generation = flow->generation;
 	jt_scheduler_after(world->scheduler, (uint64_t)(ms * 1000),
-			   service_ends, end, 0);
+			   on_service_end, task, 0);
 }
 
-static void run_request(struct world *world, struct endpoint *endpoint,
-			struct flow *flow)
+static void accept_request(struct world *world, struct endpoint *endpoint,
+			   struct flow *flow)
 {
 	struct flow_ref *ref;
 
 	if (endpoint->slots_used < endpoint_capacity(world, endpoint)) {
-		start_serving(world, endpoint, flow);
+		start_request(world, endpoint, flow);
 		return;
 	}
 	ref = talloc_zero(world, struct flow_ref);
@@ -280,114 +283,120 @@
 	endpoint->queue_tail = &ref->next;
 }
 
-static void run_message(struct world *world, struct endpoint *endpoint,
-			struct flow *flow, struct flow_seen *seen,
-			uint32_t message)
+static void handle_message(struct world *world, struct endpoint *endpoint,
+			   struct flow *flow,
+			   struct endpoint_connection *connection,
+			   uint32_t message)
 {
-	if (message <= seen->ran)
+	if (message <= connection->last_message)
 		return;
-	for (unsigned i = 0; i < flow->seen_count; i++) {
-		if (&flow->seen[i] == seen || flow->seen[i].ran < message)
+	for (unsigned i = 0; i < flow->connection_count; i++) {
+		if (&flow->connections[i] == connection ||
+		    flow->connections[i].last_message < message)
 			continue;
-		world->figures.run_twice++;
+		world->metrics.executed_twice++;
 		oracle_violation(world, "runs at most once",
 				 "message %u of flow %u/%u on %s", message,
 				 flow->index, flow->generation, endpoint->name);
 	}
-	seen->ran = message;
+	connection->last_message = message;
 	if (world->scenario->services[flow->service].kind == JT_SERVICE_REQUEST)
-		run_request(world, endpoint, flow);
+		accept_request(world, endpoint, flow);
 }
 
 /* Packets */
 
-static void half_open_ends(void *object, uint64_t argument)
+static void on_half_open_timeout(void *object, uint64_t argument)
 {
-	struct service_end *end = object;
-	struct flow_seen *seen;
+	struct flow_task *task = object;
+	struct endpoint_connection *connection;
 
 	(void)argument;
-	if (end->flow->generation == end->generation &&
-	    end->flow->step != FLOW_FREE) {
-		seen = find_seen(end->world, end->flow, end->endpoint);
-		if (seen != NULL && seen->open && !seen->established) {
-			seen->open = false;
-			end->endpoint->open--;
+	if (task->flow->generation == task->generation &&
+	    task->flow->step != FLOW_FREE) {
+		connection = find_connection(task->world, task->flow,
+					     task->endpoint);
+		if (connection != NULL && connection->open &&
+		    !connection->established) {
+			connection->open = false;
+			task->endpoint->open--;
 		}
 	}
-	talloc_free(end);
+	talloc_free(task);
 }
 
 static void check_placement(struct world *world, struct endpoint *endpoint,
 			    struct flow *flow)
 {
-	for (unsigned i = 0; i < flow->seen_count; i++) {
+	for (unsigned i = 0; i < flow->connection_count; i++) {
 		const struct endpoint *other =
-			world->endpoints[flow->seen[i].endpoint];
+			world->endpoints[flow->connections[i].endpoint];
 
 		if (other == endpoint || !other->alive ||
-		    other->incarnation != flow->seen[i].incarnation)
+		    other->incarnation != flow->connections[i].incarnation)
 			continue;
-		world->figures.two_endpoints++;
+		world->metrics.at_two_endpoints++;
 		oracle_violation(world, "one endpoint for a flow",
 				 "flow %u/%u reached %s after %s", flow->index,
 				 flow->generation, endpoint->name, other->name);
 	}
 	if (endpoint->drain_since_us == 0 ||
-	    world_now(world) < endpoint->drain_since_us + LEAVING_GRACE_US)
+	    world_now(world) < endpoint->drain_since_us + DRAIN_GRACE_US)
 		return;
-	world->figures.new_to_leaving++;
+	world->metrics.new_flows_to_draining++;
 	oracle_violation(world, "no new flows to leaving endpoints",
 			 "flow %u/%u to %s", flow->index, flow->generation,
 			 endpoint->name);
 }
 
-static void open_half(struct world *world, struct endpoint *endpoint,
-		      struct flow *flow, struct flow_seen *seen)
+static void start_half_open(struct world *world, struct endpoint *endpoint,
+			    struct flow *flow,
+			    struct endpoint_connection *connection)
 {
-	struct service_end *end = talloc_zero(world, struct service_end);
+	struct flow_task *task = talloc_zero(world, struct flow_task);
 
-	seen->open = true;
+	connection->open = true;
 	endpoint->open++;
-	end->world = world;
-	end->endpoint = endpoint;
-	end->flow = flow;
-	end->generation = flow->generation;
-	jt_scheduler_after(world->scheduler, HALF_OPEN_US, half_open_ends, end,
-			   0);
+	task->world = world;
+	task->endpoint = endpoint;
+	task->flow = flow;
+	task->generation = flow->generation;
+	jt_scheduler_after(world->scheduler, HALF_OPEN_TIMEOUT_US,
+			   on_half_open_timeout, task, 0);
 }
 
-/* A SYN after the half-open connection was given up opens it again. */
+/* A SYN reopens a half-open connection that timed out. */
 static void endpoint_syn(struct world *world, struct endpoint *endpoint,
 			 struct flow *flow)
 {
-	struct flow_seen *seen = find_seen(world, flow, endpoint);
+	struct endpoint_connection *connection =
+		find_connection(world, flow, endpoint);
 
-	if (seen == NULL) {
+	if (connection == NULL) {
 		check_placement(world, endpoint, flow);
-		if (flow->seen_count == FLOW_SEEN)
+		if (flow->connection_count == FLOW_ENDPOINTS_MAX)
 			return;
-		seen = &flow->seen[flow->seen_count++];
-		*seen = (struct flow_seen){
+		connection = &flow->connections[flow->connection_count++];
+		*connection = (struct endpoint_connection){
 			.endpoint = endpoint_index(world, endpoint),
 			.incarnation = endpoint->incarnation,
 		};
-		open_half(world, endpoint, flow, seen);
-	} else if (!seen->open && !seen->established) {
-		open_half(world, endpoint, flow, seen);
+		start_half_open(world, endpoint, flow, connection);
+	} else if (!connection->open && !connection->established) {
+		start_half_open(world, endpoint, flow, connection);
 	}
-	reply_to(world, flow, REPLY_SYN, seen->endpoint, 0);
+	send_reply(world, flow, REPLY_SYN_ACK, connection->endpoint, 0);
 }
 
 void endpoint_packet(struct world *world, struct endpoint *endpoint,
 		     struct flow *flow, enum packet_kind kind, uint32_t message)
 {
-	struct flow_seen *seen;
+	struct endpoint_connection *connection;
 
 	if (!endpoint->alive)
 		return;
 	if (endpoint->service != flow->service) {
-		world->figures.misdelivered++;
+		world->metrics.misdelivered++;
 		oracle_violation(world, "packets stay in their service",
 				 "flow %u/%u of %s reached %s", flow->index,
 				 flow->generation,
@@ -398,22 +407,23 @@
 		endpoint_syn(world, endpoint, flow);
 		return;
 	}
-	seen = find_seen(world, flow, endpoint);
-	if (seen == NULL || !seen->open) {
-		reply_to(world, flow,
-			 kind == PACKET_FIN ? REPLY_CLOSED : REPLY_RESET, 0, 0);
+	connection = find_connection(world, flow, endpoint);
+	if (connection == NULL || !connection->open) {
+		send_reply(world, flow,
+			   kind == PACKET_FIN ? REPLY_CLOSED : REPLY_RESET, 0,
+			   0);
 		return;
 	}
-	seen->established = true;
+	connection->established = true;
 	if (kind == PACKET_FIN) {
-		seen->open = false;
+		connection->open = false;
 		endpoint->open--;
-		reply_to(world, flow, REPLY_CLOSED, 0, 0);
+		send_reply(world, flow, REPLY_CLOSED, 0, 0);
 	} else if (message & 0x80000u) {
-		flow->parts_acked |= message & ((1u << ANSWER_PARTS) - 1);
+		flow->parts_acked |= message & ((1u << RESPONSE_PARTS) - 1);
 	} else {
-		run_message(world, endpoint, flow, seen, message);
-		reply_to(world, flow, REPLY_MESSAGE, message, 0);
+		handle_message(world, endpoint, flow, connection, message);
+		send_reply(world, flow, REPLY_ACK, message, 0);
 	}
 }
 
@@ -461,8 +471,9 @@
 			sample->flags |= JT_REPORT_SHEDDING;
 		if (now < e->cold_until_us)
 			sample->flags |= JT_REPORT_COLD;
-		sample->load = e->lie >= 0 ? (uint32_t)e->lie
-					   : endpoint_load(world, e);
+		sample->load = e->load_override >= 0
+				       ? (uint32_t)e->load_override
+				       : endpoint_load(world, e);
 	}
 }
 
@@ -471,7 +482,7 @@
 {
 	struct world *world = private_data;
 	struct endpoint *e = NULL;
-	uint64_t back;
+	uint64_t age_samples;
 
 	for (size_t i = 0; i < world->endpoint_count; i++) {
 		if (world->endpoints[i]->id == endpoint_id)
@@ -481,19 +492,20 @@
 		return false;
 	*health = (struct jt_health){.endpoint_id = endpoint_id};
 	if (!e->alive || e->released || e->history_count == 0)
-		return true; /* the page does not answer */
-	back = (uint64_t)(world->health_lag_s[e->service] * SECOND_US /
-			  HEALTH_SAMPLE_US);
-	if (back >= HEALTH_SAMPLES)
-		back = HEALTH_SAMPLES - 1;
-	if (back >= e->history_count)
-		back = e->history_count - 1;
-	*health = e->history[(e->history_count - 1 - back) % HEALTH_SAMPLES];
+		return true; /* the health page does not respond */
+	age_samples = (uint64_t)(world->health_lag_s[e->service] * SECOND_US /
+				 HEALTH_SAMPLE_US);
+	if (age_samples >= HEALTH_SAMPLES)
+		age_samples = HEALTH_SAMPLES - 1;
+	if (age_samples >= e->history_count)
+		age_samples = e->history_count - 1;
+	*health = e->history[(e->history_count - 1 - age_samples) %
+			     HEALTH_SAMPLES];
 	return true;
 }
 
-/* Pages go into a trace when anything but their load has changed. */
-static void trace_page(struct world *world, struct endpoint *e)
+/* Writes a health page to the trace if more than its load has changed. */
+static void trace_health_page(struct world *world, struct endpoint *e)
 {
 	struct jt_health page = {0};
 
@@ -513,5 +525,5 @@
 {
 	for (size_t i = 0; world->options.trace && i < world->endpoint_count;
 	     i++)
-		trace_page(world, world->endpoints[i]);
+		trace_health_page(world, world->endpoints[i]);
 }
--- a/src/lab/flows.c
+++ b/src/lab/flows.c
@@ -1,9 +1,8 @@
 /*
- * Callers: flows open, send messages with retransmission, and close.
+ * Clients: open flows, send messages with retransmission, and close them.
  *
- * A model of TCP that keeps what matters here: every packet may reach any
- * balancer, is lost or late, and is sent again; an endpoint that does not
- * know a flow resets it.
+ * A simplified model of TCP: each packet may reach any balancer, may be lost
+ * or delayed, and is retransmitted; an endpoint resets unknown flows.
  */
 #include "world_private.h"
 
@@ -11,19 +10,20 @@
 #include <string.h>
 
 enum {
-	SYN_TRIES = 5,
+	SYN_SEND_LIMIT = 5,
 	FIRST_RETRY_US = 300000,
 	SYN_RETRY_US = 1000000,
 	RETRY_MAX_US = 5000000,
-	CUT_AFTER_US = 20000000, /* an unanswered message: the flow is cut */
-	FIN_TRIES = 6,
+	RESPONSE_TIMEOUT_US =
+		20000000, /* the flow breaks if a message stays unanswered */
+	FIN_SEND_LIMIT = 6,
 };
 
-enum timer_kind { TIMER_RETRY, TIMER_MESSAGE, TIMER_CUT };
+enum timer_kind { TIMER_RETRY, TIMER_MESSAGE, TIMER_RESPONSE };
 
-/* A packet's name: flow, its generation, kind and message. */
-static uint64_t packet_name(const struct flow *flow, enum packet_kind kind,
-			    uint32_t message)
+/* Encodes flow index, generation, kind and message as a packet id. */
+static uint64_t packet_id(const struct flow *flow, enum packet_kind kind,
+			  uint32_t message)
 {
 	return (uint64_t)flow->index << 36 |
 	       (uint64_t)(flow->generation & 0xfff) << 24 |
@@ -35,20 +35,20 @@
 	return (uint64_t)(world->scenario->client_ms * 1000);
 }
 
-static void flow_timer(void *object, uint64_t argument);
+static void on_flow_timer(void *object, uint64_t argument);
 
 /* argument: flow index, timer number, kind */
 static void set_timer(struct world *world, struct flow *flow,
 		      enum timer_kind kind, uint64_t delay_us)
 {
 	flow->timer++;
-	jt_scheduler_after(world->scheduler, delay_us, flow_timer, world,
+	jt_scheduler_after(world->scheduler, delay_us, on_flow_timer, world,
 			   (uint64_t)flow->index << 32 |
 				   (uint64_t)(flow->timer & 0xffffff) << 8 |
 				   kind);
 }
 
-static struct flow *flow_take(struct world *world)
+static struct flow *flow_allocate(struct world *world)
 {
 	struct flow *flow;
 
@@ -72,8 +72,8 @@
 	return flow;
 }
 
-static struct demand_state *demand_of(struct world *world,
-				      const struct flow *flow)
+static struct demand_state *flow_demand(struct world *world,
+					const struct flow *flow)
 {
 	return &world->demands[flow->demand];
 }
@@ -85,54 +85,60 @@
 	world->free_flows[world->free_count++] = flow->index;
 }
 
-/* The flow is over for its caller; endpoints forget it by themselves. */
+/* Ends a flow and releases its connections at the endpoints. */
 static void flow_end(struct world *world, struct flow *flow)
 {
 	if (flow->endpoint != UINT32_MAX)
-		demand_of(world, flow)->open--;
+		flow_demand(world, flow)->open--;
 	flow->endpoint = UINT32_MAX;
-	for (unsigned i = 0; i < flow->seen_count; i++) {
-		struct flow_seen *seen = &flow->seen[i];
-		struct endpoint *endpoint = world->endpoints[seen->endpoint];
+	for (unsigned i = 0; i < flow->connection_count; i++) {
+		struct endpoint_connection *connection = &flow->connections[i];
+		struct endpoint *endpoint =
+			world->endpoints[connection->endpoint];
 
-		if (seen->open && endpoint->incarnation == seen->incarnation)
+		if (connection->open &&
+		    endpoint->incarnation == connection->incarnation)
 			endpoint->open--;
-		seen->open = false;
+		connection->open = false;
 	}
 	flow_free(world, flow);
 }
 
-static bool endpoint_lives(const struct world *world, const struct flow *flow)
+static bool flow_endpoint_alive(const struct world *world,
+				const struct flow *flow)
 {
-	for (unsigned i = 0; i < flow->seen_count; i++) {
-		const struct flow_seen *seen = &flow->seen[i];
+	for (unsigned i = 0; i < flow->connection_count; i++) {
+		const struct endpoint_connection *connection =
+			&flow->connections[i];
 		const struct endpoint *endpoint =
-			world->endpoints[seen->endpoint];
+			world->endpoints[connection->endpoint];
 
-		if (seen->endpoint == flow->endpoint && endpoint->alive &&
-		    endpoint->incarnation == seen->incarnation)
+		if (connection->endpoint == flow->endpoint && endpoint->alive &&
+		    endpoint->incarnation == connection->incarnation)
 			return true;
 	}
 	return false;
 }
 
-/* An established flow that ended against its caller's will. */
-static void flow_cut(struct world *world, struct flow *flow, const char *how)
+/* Ends an established flow that failed, and counts it as broken or lost. */
+static void flow_break(struct world *world, struct flow *flow,
+		       const char *reason)
 {
 	bool request = world->scenario->services[flow->service].kind ==
 		       JT_SERVICE_REQUEST;
 
-	if (!endpoint_lives(world, flow)) {
-		world->figures.flows_lost_to_endpoint++;
+	if (!flow_endpoint_alive(world, flow)) {
+		world->metrics.flows_lost_to_endpoint++;
 	} else {
-		world->figures.flows_broken++;
+		world->metrics.flows_broken++;
 		oracle_violation(world, "established flows stay",
 				 "flow %u/%u of %s on %s: %s", flow->index,
 				 flow->generation,
 				 world->scenario->services[flow->service].name,
-				 world->endpoints[flow->endpoint]->name, how);
-		if (flow->awaiting && (request || !flow->answered))
-			world->figures.unresolved++;
+				 world->endpoints[flow->endpoint]->name,
+				 reason);
+		if (flow->awaiting_response && (request || !flow->acknowledged))
+			world->metrics.unresolved++;
 	}
 	flow_end(world, flow);
 }
@@ -158,14 +164,14 @@
 	set_timer(world, flow, TIMER_RETRY, retry_delay(flow));
 }
 
-static void new_message(struct world *world, struct flow *flow)
+static void send_next_message(struct world *world, struct flow *flow)
 {
 	flow->message++;
 	flow->tries = 0;
-	flow->awaiting = true;
-	flow->answered = false;
-	flow->waiting_us = world_now(world);
-	world->figures.requests_sent++;
+	flow->awaiting_response = true;
+	flow->acknowledged = false;
+	flow->first_sent_us = world_now(world);
+	world->metrics.requests_sent++;
 	send_message(world, flow);
 }
 
@@ -180,15 +186,15 @@
 {
 	flow->step = FLOW_CLOSING;
 	flow->tries = 0;
-	flow->waiting_us = world_now(world);
+	flow->first_sent_us = world_now(world);
 	send_fin(world, flow);
 }
 
 static void open_flow(struct world *world, struct demand_state *demand)
 {
-	const struct scenario_demand *wanted =
+	const struct scenario_demand *spec =
 		&world->scenario->groups[demand->group].demands[demand->index];
-	struct flow *flow = flow_take(world);
+	struct flow *flow = flow_allocate(world);
 	uint64_t number = world->next_key++;
 
 	flow->group = demand->group;
@@ -201,17 +207,17 @@
 	flow->key.destination_port = 80;
 	flow->key.protocol = JT_PROTOCOL_TCP;
 	flow->step = FLOW_CONNECTING;
-	flow->end_us = world_now(world) +
-		       (uint64_t)(world_exponential(world, wanted->flow_s) *
-				  SECOND_US);
-	if (flow->end_us > world->load_end_us + QUIET_US / 2)
-		flow->end_us = world->load_end_us + QUIET_US / 2;
+	flow->end_us =
+		world_now(world) +
+		(uint64_t)(world_exponential(world, spec->flow_s) * SECOND_US);
+	if (flow->end_us > world->load_end_us + COOLDOWN_US / 2)
+		flow->end_us = world->load_end_us + COOLDOWN_US / 2;
 	send_syn(world, flow);
 }
 
-static void next_flow(void *object, uint64_t argument);
+static void on_next_flow(void *object, uint64_t argument);
 
-static void schedule_next(struct world *world, struct demand_state *demand)
+static void schedule_next_flow(struct world *world, struct demand_state *demand)
 {
 	uint32_t index = (uint32_t)(demand - world->demands);
 	uint64_t delay;
@@ -220,11 +226,11 @@
 		return;
 	delay = (uint64_t)(world_exponential(world, 1 / demand->rate) *
 			   SECOND_US);
-	jt_scheduler_after(world->scheduler, delay, next_flow, world,
+	jt_scheduler_after(world->scheduler, delay, on_next_flow, world,
 			   (uint64_t)index << 32 | demand->timer);
 }
 
-static void next_flow(void *object, uint64_t argument)
+static void on_next_flow(void *object, uint64_t argument)
 {
 	struct world *world = object;
 	struct demand_state *demand = &world->demands[argument >> 32];
@@ -233,25 +239,25 @@
 	    world_now(world) >= world->load_end_us)
 		return;
 	open_flow(world, demand);
-	schedule_next(world, demand);
+	schedule_next_flow(world, demand);
 }
 
 void flows_demand_changed(struct world *world, struct demand_state *demand)
 {
 	demand->timer++;
-	schedule_next(world, demand);
+	schedule_next_flow(world, demand);
 }
 
 void flows_start(struct world *world)
 {
 	for (size_t i = 0; i < world->demand_count; i++)
-		schedule_next(world, &world->demands[i]);
+		schedule_next_flow(world, &world->demands[i]);
 }
 
 static void retry_connect(struct world *world, struct flow *flow)
 {
-	if (++flow->tries >= SYN_TRIES) {
-		world->figures.connects_timed_out++;
+	if (++flow->tries >= SYN_SEND_LIMIT) {
+		world->metrics.connects_timed_out++;
 		flow_end(world, flow);
 		return;
 	}
@@ -260,11 +266,11 @@
 
 static void retry_message(struct world *world, struct flow *flow)
 {
-	if (!flow->awaiting)
+	if (!flow->awaiting_response)
 		return;
 	flow->tries++;
-	if (world_now(world) > flow->waiting_us + CUT_AFTER_US) {
-		flow_cut(world, flow, "no answer");
+	if (world_now(world) > flow->first_sent_us + RESPONSE_TIMEOUT_US) {
+		flow_break(world, flow, "no answer");
 		return;
 	}
 	send_message(world, flow);
@@ -272,14 +278,14 @@
 
 static void retry_fin(struct world *world, struct flow *flow)
 {
-	if (++flow->tries >= FIN_TRIES) {
+	if (++flow->tries >= FIN_SEND_LIMIT) {
 		flow_end(world, flow);
 		return;
 	}
 	send_fin(world, flow);
 }
 
-static void flow_timer(void *object, uint64_t argument)
+static void on_flow_timer(void *object, uint64_t argument)
 {
 	struct world *world = object;
 	struct flow *flow = world->flows[argument >> 32];
@@ -292,11 +298,11 @@
 		if (world_now(world) >= flow->end_us)
 			start_closing(world, flow);
 		else
-			new_message(world, flow);
+			send_next_message(world, flow);
 		return;
 	}
-	if (kind == TIMER_CUT) {
-		flow_cut(world, flow, "the answer never came whole");
+	if (kind == TIMER_RESPONSE) {
+		flow_break(world, flow, "the answer never came whole");
 		return;
 	}
 	if (flow->step == FLOW_CONNECTING)
@@ -307,75 +313,76 @@
 		retry_fin(world, flow);
 }
 
-void flow_syn_answered(struct world *world, struct flow *flow,
-		       uint32_t endpoint)
+void flow_on_syn_ack(struct world *world, struct flow *flow, uint32_t endpoint)
 {
 	if (flow->step != FLOW_CONNECTING)
 		return;
 	flow->step = FLOW_OPEN;
 	flow->endpoint = endpoint;
 	flow->label_incarnation = world->endpoints[endpoint]->incarnation;
-	demand_of(world, flow)->open++;
-	world->figures.flows_opened++;
-	new_message(world, flow);
+	flow_demand(world, flow)->open++;
+	world->metrics.flows_opened++;
+	send_next_message(world, flow);
 }
 
-static void wait_for_next(struct world *world, struct flow *flow)
+static void schedule_next_message(struct world *world, struct flow *flow)
 {
 	double mean = world->scenario->packet_interval_s;
-	uint64_t pause = (uint64_t)(world_exponential(world, mean) * SECOND_US);
+	uint64_t interval =
+		(uint64_t)(world_exponential(world, mean) * SECOND_US);
 	uint64_t now = world_now(world);
 
-	if (now + pause > flow->end_us)
-		pause = flow->end_us > now ? flow->end_us - now : 0;
-	set_timer(world, flow, TIMER_MESSAGE, pause);
+	if (now + interval > flow->end_us)
+		interval = flow->end_us > now ? flow->end_us - now : 0;
+	set_timer(world, flow, TIMER_MESSAGE, interval);
 }
 
-void flow_message_answered(struct world *world, struct flow *flow,
-			   uint32_t message)
+void flow_on_ack(struct world *world, struct flow *flow, uint32_t message)
 {
-	if (flow->step != FLOW_OPEN || !flow->awaiting ||
+	if (flow->step != FLOW_OPEN || !flow->awaiting_response ||
 	    message != (flow->message & 0xfffff))
 		return;
 	if (world->scenario->services[flow->service].kind ==
 	    JT_SERVICE_REQUEST) {
-		/* Taken in; the answer comes when it has run. */
-		flow->answered = true;
-		set_timer(world, flow, TIMER_CUT, 3 * CUT_AFTER_US);
+		/* Acknowledged; the response follows after execution. */
+		flow->acknowledged = true;
+		set_timer(world, flow, TIMER_RESPONSE, 3 * RESPONSE_TIMEOUT_US);
 		return;
 	}
-	flow->awaiting = false;
-	flow->answered = true;
-	world->figures.answered_whole++;
-	wait_for_next(world, flow);
+	flow->awaiting_response = false;
+	flow->acknowledged = true;
+	world->metrics.responses_complete++;
+	schedule_next_message(world, flow);
 }
 
-void flow_part_came(struct world *world, struct flow *flow, unsigned part)
+void flow_on_response_part(struct world *world, struct flow *flow,
+			   unsigned part)
 {
 	if (flow->step != FLOW_OPEN)
 		return;
 	flow->parts |= 1u << part;
-	/* Acknowledge what has come; this passes through the balancers. */
+	/* Acknowledges the received segments, through a balancer. */
 	fabric_send(world, flow, JT_TCP_ACK, PACKET_DATA,
 		    0x80000u | flow->parts);
-	if (flow->parts != (1u << ANSWER_PARTS) - 1 || !flow->awaiting)
+	if (flow->parts != (1u << RESPONSE_PARTS) - 1 ||
+	    !flow->awaiting_response)
 		return;
-	flow->awaiting = false;
-	world->figures.answered_whole++;
+	flow->awaiting_response = false;
+	world->metrics.responses_complete++;
 	start_closing(world, flow);
 }
 
-void flow_closed(struct world *world, struct flow *flow)
+void flow_on_closed(struct world *world, struct flow *flow)
 {
 	if (flow->step == FLOW_CLOSING)
 		flow_end(world, flow);
 }
 
-void flow_reset(struct world *world, struct flow *flow)
+void flow_on_reset(struct world *world, struct flow *flow)
 {
 	switch (flow->step) {
 	case FLOW_OPEN:
-		flow_cut(world, flow, "reset");
+		flow_break(world, flow, "reset");
 		break;
 	case FLOW_CLOSING:
 	case FLOW_CONNECTING:
@@ -388,40 +395,40 @@
 
 static void flow_refused(struct world *world, struct flow *flow)
 {
-	bool ran = false;
+	bool delivered = false;
 
 	if (flow->step != FLOW_CONNECTING)
 		return;
-	world->figures.refused++;
-	demand_of(world, flow)->refused_lately++;
-	for (unsigned i = 0; i < flow->seen_count; i++)
-		ran = true;
-	if (ran) {
-		world->figures.refused_but_run++;
+	world->metrics.refused++;
+	flow_demand(world, flow)->refused_since_sample++;
+	for (unsigned i = 0; i < flow->connection_count; i++)
+		delivered = true;
+	if (delivered) {
+		world->metrics.refused_after_delivery++;
 		oracle_violation(
 			world, "refused means not run",
 			"flow %u/%u had reached %s", flow->index,
 			flow->generation,
-			world->endpoints[flow->seen[0].endpoint]->name);
+			world->endpoints[flow->connections[0].endpoint]->name);
 	}
 	flow_end(world, flow);
 }
 
-/* Packets on their way from a balancer. */
+/* Packets in transit from a balancer. */
 
-struct arrival {
+struct packet_arrival {
 	struct world *world;
 	struct flow *flow;
 	uint32_t generation;
 	enum packet_kind kind;
 	uint32_t message;
 	struct jt_address address;
-	bool refusal;
+	bool is_refusal;
 };
 
-static void packet_arrives(void *object, uint64_t argument)
+static void on_packet_arrival(void *object, uint64_t argument)
 {
-	struct arrival *arrival = object;
+	struct packet_arrival *arrival = object;
 	struct flow *flow = arrival->flow;
 	struct world *world = arrival->world;
 	struct endpoint *endpoint;
@@ -432,7 +439,7 @@
 		talloc_free(arrival);
 		return;
 	}
-	if (arrival->refusal) {
+	if (arrival->is_refusal) {
 		flow_refused(world, flow);
 	} else {
 		endpoint = endpoint_at(world, arrival->address);
@@ -443,36 +450,37 @@
 	talloc_free(arrival);
 }
 
-void flows_verdict(void *private_data, const struct jt_verdict *verdict)
+void flows_on_verdict(void *private_data, const struct jt_verdict *verdict)
 {
 	struct world *world = private_data;
 	struct flow *flow = world->flows[verdict->packet >> 36];
-	struct arrival *arrival;
+	struct packet_arrival *arrival;
 	uint64_t delay;
 
-	world->figures.packets++;
-	world->figures.relayed += verdict->hops > 0;
+	world->metrics.packets++;
+	world->metrics.relayed += verdict->hops > 0;
 	if (verdict->kind == JT_VERDICT_DROP ||
 	    (flow->generation & 0xfff) != (verdict->packet >> 24 & 0xfff))
 		return;
-	arrival = talloc_zero(world, struct arrival);
+	arrival = talloc_zero(world, struct packet_arrival);
 	arrival->world = world;
 	arrival->flow = flow;
 	arrival->generation = flow->generation;
 	arrival->kind = verdict->packet >> 20 & 0xf;
 	arrival->message = verdict->packet & 0xfffff;
 	arrival->address = verdict->endpoint;
-	arrival->refusal = verdict->kind == JT_VERDICT_REFUSE;
-	delay = arrival->refusal
+	arrival->is_refusal = verdict->kind == JT_VERDICT_REFUSE;
+	delay = arrival->is_refusal
 			? client_delay(world)
 			: (uint64_t)(world->scenario->zone_to_zone_ms * 700);
-	jt_scheduler_after(world->scheduler, delay, packet_arrives, arrival, 0);
+	jt_scheduler_after(world->scheduler, delay, on_packet_arrival, arrival,
+			   0);
 }
 
 void fabric_send(struct world *world, struct flow *flow, uint8_t tcp_flags,
 		 enum packet_kind kind, uint32_t message)
 {
-	uint64_t name = packet_name(flow, kind, message);
+	uint64_t id = packet_id(flow, kind, message);
 	uint16_t node;
 
 	if (world->live_count == 0 ||
@@ -489,9 +497,9 @@
 			tcp_flags);
 	if (world->cluster != NULL)
 		jt_cluster_packet(world->cluster, node, &flow->key, tcp_flags,
-				  name);
+				  id);
 	else
-		baseline_packet(world, node, &flow->key, tcp_flags, name);
+		baseline_packet(world, node, &flow->key, tcp_flags, id);
 }
 
 void flows_finish(struct world *world)
@@ -499,8 +507,8 @@
 	for (size_t i = 0; i < world->flow_count; i++) {
 		struct flow *flow = world->flows[i];
 
-		if (flow->step == FLOW_OPEN && flow->awaiting &&
-		    endpoint_lives(world, flow))
-			world->figures.unresolved++;
+		if (flow->step == FLOW_OPEN && flow->awaiting_response &&
+		    flow_endpoint_alive(world, flow))
+			world->metrics.unresolved++;
 	}
 }
--- a/src/lab/lab.h
+++ b/src/lab/lab.h
@@ -1,10 +1,11 @@
-/* Commands of jaspertrack-lab; each parses its own arguments. */
+/* Commands of jaspertrack-lab. Each parses its arguments and returns an exit
+ * code. */
 #ifndef LAB_H
 #define LAB_H
 
 enum { LAB_DONE = 0, LAB_FAILED = 1, LAB_USAGE = 2 };
 
-/* Print what --help shows of a command's argtable; LAB_DONE. */
+/* Prints the usage of a command from its argtable; returns LAB_DONE. */
 int lab_help(const char *command, void **table);
 
 int lab_run(int argc, char **argv);
--- a/src/lab/label.c
+++ b/src/lab/label.c
@@ -1,10 +1,10 @@
 /*
- * Placement by flow label in the emulated world: each node is a director, on
- * the same fabric, callers and endpoints as the other policies.
+ * Placement by flow label in the emulated world: each node runs a director,
+ * with the same fabric, clients and endpoints as the other policies.
  *
- * Discovery is told as late as the health pages are, an endpoint that crashes
- * goes from it after DISCOVERY_LAPSE_US, and a node that starts lists what
- * there is. Probes take a moment and see what is true then.
+ * Discovery is polled every LOOK_US, the entry of a crashed endpoint expires
+ * after DISCOVERY_LAPSE_US, and a node that starts gets the full listing. A
+ * probe returns the state of the endpoint at the time of its completion.
  */
 #include "world_private.h"
 
@@ -15,22 +15,23 @@
 #include <string.h>
 
 enum {
-	LOOK_US = 500000,	      /* between two looks at discovery */
-	PROBE_US = 3000,	      /* until a connection is there, or not */
-	PROBE_SILENT_US = 250000,     /* until silence is an answer */
-	DISCOVERY_LAPSE_US = 3600000, /* three beats of an endpoint */
-	REPORT_BYTES = 1100, /* digest and loads to two peers, each look */
-	CALL_BYTES = 260,    /* a store call */
-	QUESTION_BYTES = 90, /* where a flow is; the answer has as many */
-	MESSAGE_SPAN = 4096, /* sequence numbers of one message */
+	DISCOVERY_POLL_US =
+		500000,		   /* interval of discovery updates and ticks */
+	PROBE_CONNECT_US = 3000,   /* duration of a probe of a live endpoint */
+	PROBE_TIMEOUT_US = 250000, /* timeout of a probe */
+	DISCOVERY_EXPIRY_US = 3600000, /* three announcement intervals */
+	REPORT_BYTES = 1100,	       /* digest and loads to two peers */
+	STORE_CALL_BYTES = 260,	       /* store call or probe */
+	FLOW_LOOKUP_BYTES = 90, /* flow lookup; same size for the response */
+	MESSAGE_SPAN = 4096,	/* sequence numbers per message */
 };
 
-/* A packet that a node holds until peers have answered. */
-struct label_held {
+/* A packet held by a node until its peers have responded. */
+struct label_held_packet {
 	struct world *world;
 	uint16_t node;
 	struct jt_flow_key key;
-	uint32_t sequence; /* of the flow's first packet */
+	uint32_t sequence; /* initial sequence number of the flow */
 	uint8_t tcp_flags;
 	uint64_t packet;
 	uint64_t since_us;
@@ -42,11 +43,11 @@
 	uint64_t bytes;
 };
 
-/* What discovery holds of an endpoint. */
+/* Discovery entry of an endpoint. */
 struct label_entry {
 	struct jt_endpoint_entry entry;
 	bool listed;
-	uint64_t crashed_us; /* seen so, 0: alive */
+	uint64_t crashed_us; /* when the crash was observed; 0: alive */
 };
 
 struct label_world {
@@ -54,16 +55,17 @@
 	struct label_entry *entries;
 	size_t entry_count;
 	uint64_t revision;
-	uint64_t routed; /* revision of the configuration that is routed */
+	uint64_t routed_revision; /* configuration revision last sent as routing
+				   */
 	struct jt_director_actions *actions;
 	uint64_t node_ids[JT_CLUSTER_NODES];
-	/* The packet in hand. */
+	/* The packet being processed. */
 	uint16_t node;
 	uint64_t packet;
 	uint8_t tcp_flags;
 	struct jt_flow_key key;
-	bool in_hand;
-	bool held; /* the packet that was last in hand */
+	bool processing;
+	bool packet_held; /* the director holds the packet processed last */
 };
 
 struct label_probe {
@@ -73,16 +75,16 @@
 	bool identify;
 };
 
-static void label_event(struct world *world, uint16_t index,
-			struct jt_director_event *event);
+static void handle_event(struct world *world, uint16_t index,
+			 struct jt_director_event *event);
 
 static uint64_t incarnation_id(const struct endpoint *endpoint)
 {
 	return (uint64_t)endpoint->id << 16 | (endpoint->incarnation & 0xffff);
 }
 
-/* The endpoint that an incarnation is, NULL once there is a later one. */
-static struct endpoint *incarnation_find(const struct world *world, uint64_t id)
+/* Returns the endpoint of an incarnation, or NULL if it was restarted. */
+static struct endpoint *find_incarnation(const struct world *world, uint64_t id)
 {
 	for (size_t i = 0; i < world->endpoint_count; i++) {
 		if (incarnation_id(world->endpoints[i]) == id)
@@ -93,8 +95,8 @@
 
 /* Routing and discovery */
 
-static struct jt_routing *routing_of(TALLOC_CTX *mem_ctx,
-				     const struct world *world)
+static struct jt_routing *create_routing(TALLOC_CTX *mem_ctx,
+					 const struct world *world)
 {
 	const struct jt_config *config = world->config;
 	struct jt_routing *routing = talloc_zero(mem_ctx, struct jt_routing);
@@ -132,44 +134,45 @@
 	return routing;
 }
 
-static void tell_routing(struct world *world, uint16_t index)
+static void send_routing(struct world *world, uint16_t index)
 {
 	struct label_node *node = &world->label->nodes[index];
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
-	struct jt_routing *routing = routing_of(world->label, world);
+	struct jt_routing *routing = create_routing(world->label, world);
 
 	event.u.routing = routing;
-	label_event(world, index, &event);
+	handle_event(world, index, &event);
 	if (jt_director_routing(node->director) != routing)
 		talloc_free(routing);
 }
 
-static void tell_entry(struct world *world, uint16_t index,
+static void send_entry(struct world *world, uint16_t index,
 		       const struct label_entry *entry)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ENDPOINT};
 
 	event.u.endpoint = entry->entry;
-	label_event(world, index, &event);
+	handle_event(world, index, &event);
 }
 
-static void tell_all(struct world *world, const struct label_entry *entry)
+static void broadcast_entry(struct world *world,
+			    const struct label_entry *entry)
 {
 	for (uint16_t n = 0; n < world->scenario->node_count; n++) {
 		if (world->label->nodes[n].director == NULL)
 			continue;
-		world->label->nodes[n].bytes += CALL_BYTES;
-		tell_entry(world, n, entry);
+		world->label->nodes[n].bytes += STORE_CALL_BYTES;
+		send_entry(world, n, entry);
 	}
 }
 
-/* What discovery holds of the endpoint now; true when that has changed. */
-static bool entry_look(struct world *world, size_t index)
+/* Updates the discovery entry of an endpoint; returns true if it changed. */
+static bool update_entry(struct world *world, size_t index)
 {
 	const struct endpoint *endpoint = world->endpoints[index];
 	struct label_entry *entry = &world->label->entries[index];
 	uint64_t id = incarnation_id(endpoint), now = world_now(world);
-	bool there = endpoint->configured && !endpoint->released;
+	bool present = endpoint->configured && !endpoint->released;
 	struct jt_endpoint_entry next;
 
 	if (endpoint->alive)
@@ -177,9 +180,9 @@
 	else if (entry->crashed_us == 0)
 		entry->crashed_us = now;
 	if (entry->crashed_us != 0 &&
-	    now - entry->crashed_us >= DISCOVERY_LAPSE_US)
-		there = false;
-	if (!there) {
+	    now - entry->crashed_us >= DISCOVERY_EXPIRY_US)
+		present = false;
+	if (!present) {
 		if (!entry->listed)
 			return false;
 		entry->listed = false;
@@ -202,7 +205,7 @@
 	if (entry->listed && entry->entry.id == id &&
 	    entry->entry.draining == next.draining)
 		return false;
-	/* A crashed process writes nothing new. */
+	/* A crashed endpoint does not update its entry. */
 	if (!endpoint->alive)
 		return false;
 	next.revision = ++world->label->revision;
@@ -211,8 +214,8 @@
 	return true;
 }
 
-/* Each node tells two others its share of the endpoints' flows. */
-static void loads_tell(struct world *world)
+/* Sends the endpoint loads of each node to up to two random peers. */
+static void send_loads(struct world *world)
 {
 	uint16_t count = (uint16_t)world->scenario->node_count;
 	struct label_world *label = world->label;
@@ -232,12 +235,12 @@
 			uint16_t to = (uint16_t)(world_uniform(world) * count);
 
 			if (to != n && label_ready(world, to))
-				label_event(world, to, &event);
+				handle_event(world, to, &event);
 		}
 	}
 }
 
-static void look(void *object, uint64_t argument)
+static void on_discovery_poll(void *object, uint64_t argument)
 {
 	struct world *world = object;
 	struct label_world *label = world->label;
@@ -253,8 +256,8 @@
 		label->entry_count = world->endpoint_count;
 	}
 	for (size_t i = 0; i < world->endpoint_count; i++) {
-		if (entry_look(world, i))
-			tell_all(world, &label->entries[i]);
+		if (update_entry(world, i))
+			broadcast_entry(world, &label->entries[i]);
 	}
 	for (uint16_t n = 0; n < world->scenario->node_count; n++) {
 		struct jt_director_event tick = {.kind = JT_DIRECTOR_TICK};
@@ -262,17 +265,18 @@
 		if (label->nodes[n].director == NULL || label->nodes[n].paused)
 			continue;
 		label->nodes[n].bytes += REPORT_BYTES;
-		if (label->routed != world->revision)
-			tell_routing(world, n);
+		if (label->routed_revision != world->revision)
+			send_routing(world, n);
 		tick.u.tick.nodes = world->scenario->node_count;
 		tick.u.tick.node_id = n + 1u;
 		tick.u.tick.peers = label->node_ids;
 		tick.u.tick.peer_count = world->scenario->node_count;
-		label_event(world, n, &tick);
+		handle_event(world, n, &tick);
 	}
-	label->routed = world->revision;
-	loads_tell(world);
-	jt_scheduler_after(world->scheduler, LOOK_US, look, world, 0);
+	label->routed_revision = world->revision;
+	send_loads(world);
+	jt_scheduler_after(world->scheduler, DISCOVERY_POLL_US,
+			   on_discovery_poll, world, 0);
 }
 
 void label_create(struct world *world)
@@ -281,7 +285,7 @@
 	world->label->actions = jt_director_actions_create(world->label);
 	for (uint64_t n = 0; n < JT_CLUSTER_NODES; n++)
 		world->label->node_ids[n] = n + 1;
-	look(world, 0);
+	on_discovery_poll(world, 0);
 }
 
 /* Nodes */
@@ -289,7 +293,7 @@
 void label_start(struct world *world, uint16_t index)
 {
 	struct label_node *node = &world->label->nodes[index];
-	/* Discovery misses nothing here. */
+	/* The full listing is complete: there is no gap. */
 	struct jt_director_event event = {.kind = JT_DIRECTOR_INFORMED};
 	struct jt_director_options options;
 
@@ -302,14 +306,14 @@
 	options.break_mechanism = world->options.break_mechanism;
 	node->director = jt_director_create(world->label, &options);
 	node->paused = false;
-	node->bytes += CALL_BYTES;
-	tell_routing(world, index);
+	node->bytes += STORE_CALL_BYTES;
+	send_routing(world, index);
 	for (size_t i = 0; i < world->label->entry_count; i++) {
 		if (world->label->entries[i].listed)
-			tell_entry(world, index, &world->label->entries[i]);
+			send_entry(world, index, &world->label->entries[i]);
 	}
 	event.u.listed.revision = world->label->revision;
-	label_event(world, index, &event);
+	handle_event(world, index, &event);
 }
 
 void label_stop(struct world *world, uint16_t index)
@@ -336,11 +340,11 @@
 
 /* Actions */
 
-static void probe_done(void *object, uint64_t argument)
+static void on_probe_done(void *object, uint64_t argument)
 {
 	struct label_probe *probe = object;
 	struct world *world = probe->world;
-	struct endpoint *endpoint = incarnation_find(world, probe->endpoint_id);
+	struct endpoint *endpoint = find_incarnation(world, probe->endpoint_id);
 	bool alive = endpoint != NULL && endpoint->alive && !endpoint->released;
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PROBED};
 
@@ -355,7 +359,7 @@
 			alive ? JT_PROBE_CONNECTED : JT_PROBE_SILENT;
 	}
 	if (label_ready(world, probe->node))
-		label_event(world, probe->node, &event);
+		handle_event(world, probe->node, &event);
 	talloc_free(probe);
 }
 
@@ -364,16 +368,17 @@
 {
 	struct label_probe *probe = talloc_zero(world, struct label_probe);
 	struct endpoint *endpoint =
-		incarnation_find(world, action->endpoint_id);
+		find_incarnation(world, action->endpoint_id);
 	bool alive = endpoint != NULL && endpoint->alive;
 
 	probe->world = world;
 	probe->node = index;
 	probe->endpoint_id = action->endpoint_id;
 	probe->identify = action->kind == JT_DIRECTOR_IDENTIFY;
-	world->label->nodes[index].bytes += CALL_BYTES;
-	jt_scheduler_after(world->scheduler, alive ? PROBE_US : PROBE_SILENT_US,
-			   probe_done, probe, 0);
+	world->label->nodes[index].bytes += STORE_CALL_BYTES;
+	jt_scheduler_after(world->scheduler,
+			   alive ? PROBE_CONNECT_US : PROBE_TIMEOUT_US,
+			   on_probe_done, probe, 0);
 }
 
 static bool same_key(const struct jt_flow_key *a, const struct jt_flow_key *b)
@@ -384,12 +389,12 @@
 }
 
 /*
- * A reset of a flow that is not the packet in hand. A caller takes one of an
- * open flow only near what it has acknowledged: a reset meant for its first
- * packet, which went to another endpoint than the one that answered, is not.
+ * Delivers a reset of a flow other than that of the current packet. An open
+ * flow ignores a reset with sequence 0: it is for a SYN that was placed on
+ * another endpoint, and lies outside the client's window.
  */
-static void reset_other(struct world *world, const struct jt_flow_key *key,
-			uint32_t sequence)
+static void reset_other_flow(struct world *world, const struct jt_flow_key *key,
+			     uint32_t sequence)
 {
 	for (size_t i = 0; i < world->flow_count; i++) {
 		struct flow *flow = world->flows[i];
@@ -398,76 +403,80 @@
 			continue;
 		if (flow->step == FLOW_CONNECTING ||
 		    (flow->step == FLOW_OPEN && sequence != 0))
-			flow_reset(world, flow);
+			flow_on_reset(world, flow);
 	}
 }
 
-/* Questions about flows: all other nodes answer, and the packet is offered
- * again; once more when those that are down have had their time. */
+/*
+ * Flow lookups. The packet is processed again after the responses of all live
+ * peers, and once more after JT_FLOW_LOOKUP_MS if it is still held.
+ */
 
-static void packet_offer(struct world *world, uint16_t index,
-			 const struct jt_flow_key *key, uint8_t tcp_flags,
-			 uint64_t packet, uint32_t held_ms);
+static void process_packet(struct world *world, uint16_t index,
+			   const struct jt_flow_key *key, uint8_t tcp_flags,
+			   uint64_t packet, uint32_t held_ms);
 
-static void held_offer(struct label_held *held)
+static void process_held_packet(struct label_held_packet *held)
 {
 	uint64_t held_us = world_now(held->world) - held->since_us;
 
-	packet_offer(held->world, held->node, &held->key, held->tcp_flags,
-		     held->packet, (uint32_t)(held_us / 1000) + 1);
+	process_packet(held->world, held->node, &held->key, held->tcp_flags,
+		       held->packet, (uint32_t)(held_us / 1000) + 1);
 }
 
-static void lookup_over(void *object, uint64_t argument)
+static void on_lookup_timeout(void *object, uint64_t argument)
 {
-	struct label_held *held = object;
+	struct label_held_packet *held = object;
 
 	(void)argument;
-	held_offer(held);
+	process_held_packet(held);
 	talloc_free(held);
 }
 
-static void peer_answers(const struct label_held *held, uint16_t index)
+static void handle_peer_response(const struct label_held_packet *held,
+				 uint16_t index)
 {
 	struct label_world *label = held->world->label;
 	struct jt_director_event event = {.kind = JT_DIRECTOR_FLOW_TOLD};
 
-	label->nodes[index].bytes += QUESTION_BYTES;
+	label->nodes[index].bytes += FLOW_LOOKUP_BYTES;
 	event.u.flow_told.key = held->key;
 	event.u.flow_told.sequence = held->sequence;
 	event.u.flow_told.label = jt_director_flow_label(
 		label->nodes[index].director, &held->key, held->sequence);
-	label_event(held->world, held->node, &event);
+	handle_event(held->world, held->node, &event);
 }
 
-static void peers_answer(void *object, uint64_t argument)
+static void on_peer_responses(void *object, uint64_t argument)
 {
-	struct label_held *held = object;
+	struct label_held_packet *held = object;
 	struct world *world = held->world;
 
 	(void)argument;
 	for (uint16_t n = 0; n < world->scenario->node_count; n++) {
 		if (n != held->node && label_ready(world, n) &&
 		    label_ready(world, held->node))
-			peer_answers(held, n);
+			handle_peer_response(held, n);
 	}
-	world->label->held = false;
-	held_offer(held);
-	if (world->label->held)
+	world->label->packet_held = false;
+	process_held_packet(held);
+	if (world->label->packet_held)
 		jt_scheduler_after(world->scheduler, JT_FLOW_LOOKUP_MS * 1000,
-				   lookup_over, held, 0);
+				   on_lookup_timeout, held, 0);
 	else
 		talloc_free(held);
 }
 
-/* Of the packet in hand, which is held meanwhile. */
-static void peers_ask(struct world *world, uint16_t index,
-		      const struct jt_director_action *action)
+/* Looks up the flow of the current packet at all peers and holds the packet. */
+static void query_peers(struct world *world, uint16_t index,
+			const struct jt_director_action *action)
 {
 	struct label_world *label = world->label;
-	struct label_held *held = talloc_zero(world, struct label_held);
+	struct label_held_packet *held =
+		talloc_zero(world, struct label_held_packet);
 	size_t peers = world->scenario->node_count - 1;
 
-	*held = (struct label_held){
+	*held = (struct label_held_packet){
 		.world = world,
 		.node = index,
 		.key = action->key,
@@ -476,16 +485,16 @@
 		.packet = label->packet,
 		.since_us = world_now(world),
 	};
-	label->nodes[index].bytes += peers * QUESTION_BYTES;
+	label->nodes[index].bytes += peers * FLOW_LOOKUP_BYTES;
 	jt_director_flow_asked(label->nodes[index].director, &action->key,
 			       peers, world_now(world) / 1000);
 	jt_scheduler_after(world->scheduler,
 			   (uint64_t)(world->scenario->zone_to_zone_ms * 2000),
-			   peers_answer, held, 0);
+			   on_peer_responses, held, 0);
 }
 
-static void verdict_tell(struct world *world, enum jt_verdict_kind kind,
-			 struct jt_address endpoint)
+static void report_verdict(struct world *world, enum jt_verdict_kind kind,
+			   struct jt_address endpoint)
 {
 	struct jt_verdict verdict = {
 		.kind = kind,
@@ -495,31 +504,33 @@
 		.endpoint = endpoint,
 	};
 
-	flows_verdict(world, &verdict);
+	flows_on_verdict(world, &verdict);
 }
 
-static void label_act(struct world *world, uint16_t index,
-		      const struct jt_director_action *action)
+static void perform_action(struct world *world, uint16_t index,
+			   const struct jt_director_action *action)
 {
 	struct label_world *label = world->label;
-	bool in_hand = label->in_hand && same_key(&action->key, &label->key);
+	bool processing =
+		label->processing && same_key(&action->key, &label->key);
 
 	switch (action->kind) {
 	case JT_DIRECTOR_FORWARD:
-		verdict_tell(world, JT_VERDICT_FORWARD, action->address);
+		report_verdict(world, JT_VERDICT_FORWARD, action->address);
 		break;
 	case JT_DIRECTOR_RESET:
-		if (in_hand)
-			verdict_tell(world, JT_VERDICT_REFUSE, action->address);
+		if (processing)
+			report_verdict(world, JT_VERDICT_REFUSE,
+				       action->address);
 		else
-			reset_other(world, &action->key,
-				    action->reset_sequence);
+			reset_other_flow(world, &action->key,
+					 action->reset_sequence);
 		break;
 	case JT_DIRECTOR_HOLD:
-		label->held = true;
+		label->packet_held = true;
 		break;
 	case JT_DIRECTOR_FLOW_ASK:
-		peers_ask(world, index, action);
+		query_peers(world, index, action);
 		break;
 	case JT_DIRECTOR_PROBE:
 	case JT_DIRECTOR_IDENTIFY:
@@ -530,8 +541,8 @@
 	}
 }
 
-static void label_event(struct world *world, uint16_t index,
-			struct jt_director_event *event)
+static void handle_event(struct world *world, uint16_t index,
+			 struct jt_director_event *event)
 {
 	struct label_world *label = world->label;
 	struct jt_director_action *items;
@@ -540,20 +551,20 @@
 	event->now_ms = world_now(world) / 1000;
 	jt_director_actions_clear(label->actions);
 	jt_director_handle(label->nodes[index].director, event, label->actions);
-	/* What is done may bring the next event. */
+	/* An action may trigger further events, which reuse the list. */
 	count = label->actions->count;
 	if (count == 0)
 		return;
 	items = talloc_memdup(label, label->actions->items,
 			      count * sizeof(*items));
 	for (size_t i = 0; i < count; i++)
-		label_act(world, index, &items[i]);
+		perform_action(world, index, &items[i]);
 	talloc_free(items);
 }
 
 /* Packets */
 
-/* The caller's label: what its endpoint's packets carried. */
+/* Returns the label that the client echoes; 0 before the flow is open. */
 static uint32_t flow_label(const struct world *world, const struct flow *flow)
 {
 	const struct endpoint *endpoint;
@@ -565,9 +576,9 @@
 			     (flow->label_incarnation & 0xffff));
 }
 
-static void packet_offer(struct world *world, uint16_t index,
-			 const struct jt_flow_key *key, uint8_t tcp_flags,
-			 uint64_t packet, uint32_t held_ms)
+static void process_packet(struct world *world, uint16_t index,
+			   const struct jt_flow_key *key, uint8_t tcp_flags,
+			   uint64_t packet, uint32_t held_ms)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PACKET};
 	struct flow *flow = world->flows[packet >> 36];
@@ -588,7 +599,8 @@
 			tcp_flags & JT_TCP_SYN ? 0 : message * MESSAGE_SPAN + 1,
 		.acknowledged = tcp_flags & JT_TCP_SYN
 					? flow->tries
-					: (message - (flow->awaiting && data)) *
+					: (message -
+					   (flow->awaiting_response && data)) *
 							  MESSAGE_SPAN +
 						  flow->parts + 1,
 		.length = data ? 100 : 0,
@@ -598,14 +610,14 @@
 	label->packet = packet;
 	label->tcp_flags = tcp_flags;
 	label->key = *key;
-	label->in_hand = true;
-	label_event(world, index, &event);
-	label->in_hand = false;
+	label->processing = true;
+	handle_event(world, index, &event);
+	label->processing = false;
 }
 
 void label_packet(struct world *world, uint16_t index,
 		  const struct jt_flow_key *key, uint8_t tcp_flags,
 		  uint64_t packet)
 {
-	packet_offer(world, index, key, tcp_flags, packet, 0);
+	process_packet(world, index, key, tcp_flags, packet, 0);
 }
--- a/src/lab/main.c
+++ b/src/lab/main.c
@@ -1,4 +1,4 @@
-/* jaspertrack-lab: emulator and experiments in virtual time. */
+/* jaspertrack-lab: emulation and experiments in virtual time. */
 #include "jt_version.h"
 #include "lab.h"
 
@@ -9,15 +9,17 @@
 static const char usage[] =
 	"Usage: jaspertrack-lab COMMAND [OPTIONS]\n"
 	"\n"
-	"  run SCENARIO      one scenario, one JSON object\n"
-	"  sweep SCENARIO    one scenario over a range of a parameter\n"
-	"  record SCENARIO   a run's packets and faults as a trace\n"
-	"  replay TRACE      the trace again, against its stated outcome\n"
-	"  report TIMELINE   plots of a run as one HTML file\n"
-	"  plan              what a deployment of a given size needs\n"
+	"  run SCENARIO      run one scenario and print a JSON object\n"
+	"  sweep SCENARIO    run a scenario over a range of a parameter\n"
+	"  record SCENARIO   write the packets and faults of a run as a trace\n"
+	"  replay TRACE      replay a trace and check its expected outcome\n"
+	"  report TIMELINE   write plots of a run as one HTML file\n"
+	"  plan              estimate the needs of a deployment of a given "
+	"size\n"
 	"\n"
-	"Each command explains itself with --help.\n"
-	"Exit: 0 done, 1 a property failed, 2 bad usage or input.\n";
+	"COMMAND --help shows the options of a command.\n"
+	"Exit status: 0 success, 1 a property was violated, 2 wrong usage or "
+	"input.\n";
 
 int lab_help(const char *command, void **table)
 {
--- a/src/lab/oracle.c
+++ b/src/lab/oracle.c
@@ -1,6 +1,6 @@
 /*
- * The oracle: what must hold, judged from callers and endpoints only, and
- * the figures of a run.
+ * The oracle: checks properties as observed by clients and endpoints, and
+ * collects the metrics of a run.
  */
 #include "world_private.h"
 
@@ -11,9 +11,9 @@
 #include <string.h>
 
 enum {
-	WARM_UP_PART = 4, /* no imbalance before this part of a run */
-	FEW_FLOWS = 10,	  /* an endpoint's mean, to say anything */
-	CONFIG_LIMIT_MS = 6000,
+	WARM_UP_DIVISOR = 4, /* no imbalance samples in the first quarter */
+	MIN_MEAN_FLOWS = 10, /* least mean of flows for an imbalance sample */
+	CONFIG_LAG_LIMIT_MS = 6000,
 };
 
 void oracle_violation(struct world *world, const char *property,
@@ -30,12 +30,12 @@
 	va_end(arguments);
 	json_array_append_new(world->violations,
 			      json_pack("{s:s,s:f,s:s}", "property", property,
-					"at_s", world_second(world), "detail",
+					"at_s", world_time_s(world), "detail",
 					detail));
 	if (world->options.timeline != NULL)
 		fprintf(world->options.timeline,
 			"{\"at_s\":%.3f,\"violation\":\"%s\"}\n",
-			world_second(world), property);
+			world_time_s(world), property);
 }
 
 void samples_add(struct samples *samples, TALLOC_CTX *mem_ctx, double value)
@@ -49,19 +49,19 @@
 	samples->values[samples->count++] = value;
 }
 
-static double quantile(struct samples *samples, double part)
+static double quantile(struct samples *samples, double fraction)
 {
 	if (samples->count == 0)
 		return 0;
 	gsl_sort(samples->values, 1, samples->count);
 	return gsl_stats_quantile_from_sorted_data(samples->values, 1,
-						   samples->count, part);
+						   samples->count, fraction);
 }
 
 static void sample_service(struct world *world, unsigned service)
 {
 	const struct scenario_service *s = &world->scenario->services[service];
-	double sum = 0, most = 0, least = INFINITY;
+	double sum = 0, max = 0, min = INFINITY;
 	unsigned count = 0;
 
 	for (size_t i = 0; i < world->endpoint_count; i++) {
@@ -71,25 +71,25 @@
 		if (e->service != service)
 			continue;
 		if (load > endpoint_capacity(world, e))
-			world->figures.overloaded_seconds += 1;
-		if (!endpoint_takes_flows(world, e))
+			world->metrics.overloaded_seconds += 1;
+		if (!endpoint_accepts_flows(world, e))
 			continue;
 		count++;
 		sum += load;
-		most = fmax(most, load);
-		least = fmin(least, load);
+		max = fmax(max, load);
+		min = fmin(min, load);
 	}
 	if (count < 2 ||
-	    world_second(world) < world->scenario->duration_s / WARM_UP_PART)
+	    world_time_s(world) < world->scenario->duration_s / WARM_UP_DIVISOR)
 		return;
 	if (s->kind == JT_SERVICE_REQUEST) {
-		world->figures.slot_spread_max =
-			fmax(world->figures.slot_spread_max, most - least);
+		world->metrics.slot_spread_max =
+			fmax(world->metrics.slot_spread_max, max - min);
 		return;
 	}
-	if (sum / count >= FEW_FLOWS)
-		samples_add(&world->figures.imbalance, world,
-			    most * count / sum);
+	if (sum / count >= MIN_MEAN_FLOWS)
+		samples_add(&world->metrics.imbalance, world,
+			    max * count / sum);
 }
 
 static double service_capacity(const struct world *world, unsigned service)
@@ -107,32 +107,33 @@
 }
 
 /*
- * A group's deficit: the part of its share that it asked for and did not
- * get. It counts only while the group is being refused.
+ * Samples the deficit of a group: the part of its share that it does not get
+ * although it has demand for it, i.e. while its flows are being refused.
  */
 static void sample_share(struct world *world, struct demand_state *demand)
 {
-	double weights = 0, capacity, owed;
+	double weights = 0, capacity, entitled;
 
 	for (size_t i = 0; i < world->demand_count; i++) {
 		if (world->demands[i].service == demand->service)
 			weights += world->demands[i].share;
 	}
 	capacity = service_capacity(world, demand->service);
-	owed = floor(capacity * demand->share / weights);
-	if (demand->refused_lately > 0 && owed > 0 && world_second(world) > 5) {
-		double got = demand->open;
-
-		samples_add(&world->figures.deficit, world,
-			    got >= owed ? 0 : (owed - got) / owed);
+	entitled = floor(capacity * demand->share / weights);
+	if (demand->refused_since_sample > 0 && entitled > 0 &&
+	    world_time_s(world) > 5) {
+		double open = demand->open;
+
+		samples_add(&world->metrics.deficit, world,
+			    open >= entitled ? 0
+					     : (entitled - open) / entitled);
 	} else if (demand->rate > 0) {
-		samples_add(&world->figures.deficit, world, 0);
+		samples_add(&world->metrics.deficit, world, 0);
 	}
-	demand->refused_lately = 0;
+	demand->refused_since_sample = 0;
 }
 
-/* An operator is told that a revision is accepted. */
-void oracle_accepted(void *object, uint64_t revision)
+void oracle_on_accepted(void *object, uint64_t revision)
 {
 	struct world *world = object;
 
@@ -146,7 +147,7 @@
 	}
 }
 
-static void watch_revision(struct world *world, struct pending_revision *r)
+static void check_revision(struct world *world, struct pending_revision *r)
 {
 	size_t ready = 0, in_force = 0;
 	uint64_t now = world_now(world);
@@ -165,16 +166,16 @@
 		return;
 	r->in_force = true;
 	lag_ms = (double)(now - r->accepted_us) / 1000;
-	samples_add(&world->figures.config_lags, world, lag_ms);
-	if (lag_ms > world->figures.config_lag_max_ms)
-		world->figures.config_lag_max_ms = lag_ms;
-	if (lag_ms > CONFIG_LIMIT_MS)
+	samples_add(&world->metrics.config_lags, world, lag_ms);
+	if (lag_ms > world->metrics.config_lag_max_ms)
+		world->metrics.config_lag_max_ms = lag_ms;
+	if (lag_ms > CONFIG_LAG_LIMIT_MS)
 		oracle_violation(world, "accepted is in force within seconds",
 				 "revision %llu took %.0f ms",
 				 (unsigned long long)r->revision, lag_ms);
 }
 
-static void watch_reverts(struct world *world)
+static void check_reverts(struct world *world)
 {
 	for (size_t n = 0; n < jt_cluster_node_count(world->cluster); n++) {
 		struct jt_cluster_node_info info;
@@ -183,7 +184,7 @@
 		if (!info.ready)
 			continue;
 		if (info.revision < world->node_revision[n]) {
-			world->figures.config_reverts++;
+			world->metrics.config_reverts++;
 			oracle_violation(
 				world, "a configuration never reverts",
 				"node %zu serves %llu after %llu", n,
@@ -194,8 +195,7 @@
 	}
 }
 
-/* Revisions are watched more often than once a second. */
-void oracle_configuration(struct world *world)
+void oracle_check_config(struct world *world)
 {
 	uint64_t when, stored;
 
@@ -207,20 +207,20 @@
 
 		if (r->in_force)
 			continue;
-		/* The lag runs from when the store took it, which is before
-		 * the operator is told. */
+		/* The lag starts when the store accepted the revision,
+		 * before the operator gets the response. */
 		if (r->accepted_us == 0 && stored >= r->revision)
 			r->accepted_us = when;
 		if (r->accepted_us != 0)
-			watch_revision(world, r);
+			check_revision(world, r);
 	}
-	watch_reverts(world);
+	check_reverts(world);
 }
 
-static void count_bytes(struct world *world)
+static void sample_control_bytes(struct world *world)
 {
-	double busiest = 0;
-	bool minute = (uint64_t)world_second(world) % 60 == 59;
+	double max_rate = 0;
+	bool minute = (uint64_t)world_time_s(world) % 60 == 59;
 
 	for (uint16_t n = 0; n < world->scenario->node_count; n++) {
 		struct jt_cluster_node_info info = {0};
@@ -232,10 +232,10 @@
 			bytes = info.control_bytes;
 			alive = info.life == JT_NODE_RUNNING ||
 				info.life == JT_NODE_LEAVING;
-			if (world_second(world) <= 0)
+			if (world_time_s(world) <= 0)
 				world->node_bytes[n + JT_CLUSTER_NODES] =
 					info.store_operations;
-			world->figures.store_operations +=
+			world->metrics.store_operations +=
 				info.store_operations -
 				world->node_bytes[n + JT_CLUSTER_NODES];
 			world->node_bytes[n + JT_CLUSTER_NODES] =
@@ -244,8 +244,8 @@
 			bytes = baseline_bytes(world, n);
 			alive = baseline_ready(world, n);
 		}
-		/* The cell's beginning is no part of the scenario. */
-		if (world_second(world) <= 0) {
+		/* Start-up is not measured. */
+		if (world_time_s(world) <= 0) {
 			world->node_bytes[n] = bytes;
 			world->bytes_at_minute[n] = bytes;
 		}
@@ -254,14 +254,14 @@
 		world->node_seconds += alive;
 		if (!minute)
 			continue;
-		busiest =
-			fmax(busiest,
+		max_rate =
+			fmax(max_rate,
 			     (double)(bytes - world->bytes_at_minute[n]) / 60);
 		world->bytes_at_minute[n] = bytes;
 	}
 	if (minute)
-		world->figures.control_max_minute =
-			fmax(world->figures.control_max_minute, busiest);
+		world->metrics.control_max_minute =
+			fmax(world->metrics.control_max_minute, max_rate);
 }
 
 static void write_timeline(struct world *world)
@@ -287,10 +287,10 @@
 		json_object_set_new(shares, name, json_integer(d->open));
 	}
 	row = json_pack("{s:f,s:o,s:o,s:I,s:I,s:f}", "at_s",
-			world_second(world), "endpoints", endpoints, "shares",
+			world_time_s(world), "endpoints", endpoints, "shares",
 			shares, "broken",
-			(json_int_t)world->figures.flows_broken, "refused",
-			(json_int_t)world->figures.refused, "control_bytes",
+			(json_int_t)world->metrics.flows_broken, "refused",
+			(json_int_t)world->metrics.refused, "control_bytes",
 			(double)world->bytes_total);
 	text = json_dumps(row, JSON_COMPACT | JSON_REAL_PRECISION(8));
 	fprintf(world->options.timeline, "%s\n", text);
@@ -298,10 +298,10 @@
 	json_decref(row);
 }
 
-void oracle_second(struct world *world)
+void oracle_sample(struct world *world)
 {
-	if (world_second(world) >= 0) {
-		count_bytes(world);
+	if (world_time_s(world) >= 0) {
+		sample_control_bytes(world);
 		if (world_now(world) <= world->load_end_us) {
 			for (unsigned s = 0; s < world->scenario->service_count;
 			     s++)
@@ -320,12 +320,12 @@
 
 static void add_real(json_t *result, const char *name, double value)
 {
-	/* Rounded, so that the text of a figure is short and stable. */
+	/* Rounded to keep the output short and stable. */
 	json_object_set_new(result, name, json_real(round(value * 1e4) / 1e4));
 }
 
-/* Where the control bytes go, by kind of message. */
-static void add_kinds(const struct world *world, json_t *result)
+/* Adds the control bytes per node and second by kind of message. */
+static void add_bytes_by_kind(const struct world *world, json_t *result)
 {
 	static const char *const names[JT_CLUSTER_KINDS] = {
 		"platform",    "heartbeat",	"counts",	  "join",
@@ -354,7 +354,7 @@
 
 json_t *oracle_result(struct world *world)
 {
-	struct figures *f = &world->figures;
+	struct metrics *f = &world->metrics;
 	json_t *r = json_object();
 
 	json_object_set_new(r, "scenario", json_string(world->scenario->name));
@@ -364,16 +364,16 @@
 	add_count(r, "flows_opened", f->flows_opened);
 	add_count(r, "flows_broken", f->flows_broken);
 	add_count(r, "flows_lost_to_endpoint", f->flows_lost_to_endpoint);
-	add_count(r, "flows_at_two_endpoints", f->two_endpoints);
+	add_count(r, "flows_at_two_endpoints", f->at_two_endpoints);
 	add_count(r, "connects_timed_out", f->connects_timed_out);
 	add_count(r, "packets_misdelivered", f->misdelivered);
 	add_count(r, "requests_sent", f->requests_sent);
-	add_count(r, "requests_answered_whole", f->answered_whole);
+	add_count(r, "requests_answered_whole", f->responses_complete);
 	add_count(r, "requests_refused", f->refused);
-	add_count(r, "refused_but_run", f->refused_but_run);
-	add_count(r, "requests_run_twice", f->run_twice);
+	add_count(r, "refused_but_run", f->refused_after_delivery);
+	add_count(r, "requests_run_twice", f->executed_twice);
 	add_count(r, "requests_unresolved", f->unresolved);
-	add_count(r, "new_flows_to_leaving", f->new_to_leaving);
+	add_count(r, "new_flows_to_leaving", f->new_flows_to_draining);
 	add_real(r, "config_lag_p50_ms", quantile(&f->config_lags, 0.5));
 	add_real(r, "config_lag_p99_ms", quantile(&f->config_lags, 0.99));
 	add_real(r, "config_lag_max_ms", f->config_lag_max_ms);
@@ -390,7 +390,7 @@
 			 ? (double)world->bytes_total / world->node_seconds
 			 : 0);
 	add_real(r, "control_bytes_per_node_s_max", f->control_max_minute);
-	add_kinds(world, r);
+	add_bytes_by_kind(world, r);
 	add_real(r, "store_operations_per_s",
 		 (double)f->store_operations / world->scenario->duration_s);
 	add_count(r, "violation_count", world->violation_count);
--- a/src/lab/plan.c
+++ b/src/lab/plan.c
@@ -1,9 +1,8 @@
 /*
- * jaspertrack-lab plan: what a deployment of a given size needs.
+ * jaspertrack-lab plan: estimates what a deployment of a given size needs.
  *
- * The size is divided over cells; one cell is then emulated for two minutes
- * with the real decision library and the real messages, so that the figures
- * come from a run and not from constants.
+ * The size is divided over cells, and one cell is emulated for DURATION_S with
+ * the production decision library and messages.
  */
 #include "lab.h"
 #include "world.h"
@@ -19,9 +18,10 @@
 enum {
 	DURATION_S = 240,
 	GROUPS = 3,
-	STATES_IN_PLAY = 3,
+	LIVE_CELL_STATES = 3,
 	MAX_CELL_NODES = 200,
-	TABLE_SLACK = 8, /* thirds of a record: the table at its emptiest */
+	TABLE_SIZE_THIRDS =
+		8, /* thirds of a record per flow, at the lowest load factor */
 };
 
 struct size {
@@ -29,20 +29,20 @@
 	double cell_nodes;
 };
 
-static unsigned whole(double value, unsigned least)
+static unsigned round_up(double value, unsigned min)
 {
 	unsigned rounded = (unsigned)ceil(value);
 
-	return rounded < least ? least : rounded;
+	return rounded < min ? min : rounded;
 }
 
-/* The scenario of one cell: streams only, evenly loaded. */
+/* Returns the scenario of one cell: streams only, evenly loaded. */
 static struct scenario *cell_scenario(TALLOC_CTX *mem_ctx,
 				      const struct size *size, double cells)
 {
 	struct scenario *s = talloc_zero(mem_ctx, struct scenario);
-	unsigned services = whole(size->addresses / cells / GROUPS, 1);
-	unsigned endpoints = whole(size->endpoints / cells / services, 2);
+	unsigned services = round_up(size->addresses / cells / GROUPS, 1);
+	unsigned endpoints = round_up(size->endpoints / cells / services, 2);
 	double rate = size->new_flows_per_s / cells / services / GROUPS;
 
 	s->name = "plan";
@@ -50,7 +50,7 @@
 	s->zone_count = 3;
 	for (unsigned z = 0; z < 3; z++) {
 		s->zones[z].name = talloc_asprintf(s, "zone-%u", z);
-		s->zones[z].nodes = whole(size->cell_nodes / 3, 1);
+		s->zones[z].nodes = round_up(size->cell_nodes / 3, 1);
 		s->node_count += s->zones[z].nodes;
 	}
 	s->zone_to_zone_ms = 1.5;
@@ -101,17 +101,17 @@
 	return (double)now.tv_sec + (double)now.tv_nsec / 1e9;
 }
 
-static double figure(const json_t *result, const char *name)
+static double metric(const json_t *result, const char *name)
 {
 	return json_number_value(json_object_get(result, name));
 }
 
-/* Memory of one node's decision library, worked out from its types. */
+/* Returns the computed memory in MB of one node's decision library. */
 static double memory_mb(const struct scenario *s, double flows_per_node)
 {
-	double records =
-		flows_per_node * 2 * sizeof(struct jt_flow) * TABLE_SLACK / 3;
-	double tables = (double)s->service_count * STATES_IN_PLAY *
+	double records = flows_per_node * 2 * sizeof(struct jt_flow) *
+			 TABLE_SIZE_THIRDS / 3;
+	double tables = (double)s->service_count * LIVE_CELL_STATES *
 			sizeof(struct jt_table);
 
 	return (records + tables) / 1e6;
@@ -137,14 +137,14 @@
 		size->open_flows / size->nodes, "new_flows_a_node_s",
 		size->new_flows_per_s / size->nodes,
 		"control_bytes_a_node_s_mean",
-		figure(result, "control_bytes_per_node_s_mean"),
+		metric(result, "control_bytes_per_node_s_mean"),
 		"control_bytes_a_node_s_busiest_minute",
-		figure(result, "control_bytes_per_node_s_max"),
+		metric(result, "control_bytes_per_node_s_max"),
 		"core_part_a_node_at_most", cpu, "decision_memory_mb",
 		memory_mb(s, size->open_flows / size->nodes),
 		"store_operations_s_all_cells",
-		figure(result, "store_operations_per_s") * cells,
-		"relayed_packets_part", figure(result, "relayed_packets_part"),
+		metric(result, "store_operations_per_s") * cells,
+		"relayed_packets_part", metric(result, "relayed_packets_part"),
 		"violations",
 		(int)json_array_size(json_object_get(result, "violations")));
 	text = json_dumps(row, JSON_INDENT(2) | JSON_REAL_PRECISION(5));
@@ -156,12 +156,12 @@
 	return LAB_DONE;
 }
 
-/* Name the flag that is out of its range. */
+/* Checks the ranges of all options; reports the first invalid one. */
 static int check(const struct size *size)
 {
 	const struct {
 		const char *flag;
-		double value, least, most;
+		double value, min, max;
 	} checks[] = {
 		{"nodes", size->nodes, 1, 1e6},
 		{"endpoints", size->endpoints, 1, 1e7},
@@ -172,30 +172,32 @@
 	};
 
 	for (size_t i = 0; i < sizeof(checks) / sizeof(checks[0]); i++) {
-		if (checks[i].value >= checks[i].least &&
-		    checks[i].value <= checks[i].most)
+		if (checks[i].value >= checks[i].min &&
+		    checks[i].value <= checks[i].max)
 			continue;
 		fprintf(stderr, "plan: --%s: is %g, allowed are %g to %g\n",
-			checks[i].flag, checks[i].value, checks[i].least,
-			checks[i].most);
+			checks[i].flag, checks[i].value, checks[i].min,
+			checks[i].max);
 		return LAB_USAGE;
 	}
 	return LAB_DONE;
 }
 
-static double value_of(const struct arg_dbl *argument, double fallback)
+static double argument_or_default(const struct arg_dbl *argument,
+				  double fallback)
 {
 	return argument->count ? argument->dval[0] : fallback;
 }
 
 int lab_plan(int argc, char **argv)
 {
-	struct arg_dbl *nodes = arg_dbl0(NULL, "nodes", "N", "balancers");
+	struct arg_dbl *nodes = arg_dbl0(NULL, "nodes", "N", "balancer nodes");
 	struct arg_dbl *endpoints = arg_dbl0(NULL, "endpoints", "N", NULL);
 	struct arg_dbl *addresses =
 		arg_dbl0(NULL, "addresses", "N", "service addresses");
 	struct arg_dbl *flows = arg_dbl0(NULL, "open-flows", "N", NULL);
-	struct arg_dbl *rate = arg_dbl0(NULL, "new-flows-per-s", "N", "in all");
+	struct arg_dbl *rate = arg_dbl0(NULL, "new-flows-per-s", "N",
+					"total rate of new flows");
 	struct arg_dbl *cell = arg_dbl0(NULL, "cell-nodes", "N", "default 12");
 	struct arg_lit *help = arg_lit0("h", "help", "this text");
 	struct arg_end *end = arg_end(4);
@@ -203,9 +205,12 @@
 			 rate,	cell,	   help,      end};
 	int errors = arg_parse(argc, argv, table);
 	struct size size = {
-		value_of(nodes, 6),	value_of(endpoints, 19),
-		value_of(addresses, 6), value_of(flows, 30000),
-		value_of(rate, 125),	value_of(cell, 12),
+		argument_or_default(nodes, 6),
+		argument_or_default(endpoints, 19),
+		argument_or_default(addresses, 6),
+		argument_or_default(flows, 30000),
+		argument_or_default(rate, 125),
+		argument_or_default(cell, 12),
 	};
 	int result = LAB_USAGE;
 
--- a/src/lab/record.c
+++ b/src/lab/record.c
@@ -1,4 +1,4 @@
-/* jaspertrack-lab record: a run's packets and faults as a trace. */
+/* jaspertrack-lab record: writes the packets and faults of a run as a trace. */
 #include "lab.h"
 #include "world.h"
 
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 
 /*
- * The outcome is stated from what must hold, not from what happened: no flow
- * moved, none refused and forwarded, and nearly every packet forwarded.
+ * Writes the expected outcome, from the properties rather than from the run:
+ * no flow moved, none both refused and forwarded, and nearly all opened.
  */
 static void write_outcome(FILE *file, const json_t *result, double end_s)
 {
@@ -64,7 +64,7 @@
 		arg_file0(NULL, NULL, "SCENARIO", "libconfig file");
 	struct arg_int *seed = arg_int0(NULL, "seed", "N", "default 1");
 	struct arg_file *output =
-		arg_file0("o", "output", "FILE", "where the trace goes");
+		arg_file0("o", "output", "FILE", "trace file to write");
 	struct arg_lit *help = arg_lit0("h", "help", "this text");
 	struct arg_end *end = arg_end(4);
 	void *table[] = {scenario, seed, output, help, end};
@@ -74,7 +74,7 @@
 	if (help->count > 0) {
 		result = lab_help("record", table);
 	} else if (errors > 0 || scenario->count == 0 || output->count == 0) {
-		fprintf(stderr, "record: SCENARIO and --output are needed\n");
+		fprintf(stderr, "record: SCENARIO and --output are required\n");
 	} else {
 		result = record(scenario->filename[0],
 				seed->count ? (uint64_t)seed->ival[0] : 1,
--- a/src/lab/report.c
+++ b/src/lab/report.c
@@ -1,6 +1,6 @@
 /*
- * jaspertrack-lab report: the timeline of a run as one HTML file with plots
- * in SVG; nothing is fetched from anywhere.
+ * jaspertrack-lab report: writes the timeline of a run as one self-contained
+ * HTML file with SVG plots.
  */
 #include "lab.h"
 
@@ -20,7 +20,7 @@
 	HEIGHT = 260,
 	LEFT = 60,
 	BOTTOM = 30,
-	TOP = 50, /* for the labels of events */
+	TOP = 50, /* space for event labels */
 	COLOURS = 8,
 	LABEL_ROWS = 4,
 };
@@ -32,7 +32,7 @@
 
 struct series {
 	char name[96];
-	double *values; /* one for each row */
+	double *values; /* one per row */
 };
 
 struct event {
@@ -60,8 +60,8 @@
 	series->values = talloc_zero_array(t, double, ROW_LIMIT);
 }
 
-static void take_group(struct timeline *t, const json_t *object,
-		       struct series *list, size_t *count)
+static void add_samples(struct timeline *t, const json_t *object,
+			struct series *list, size_t *count)
 {
 	const char *name;
 	json_t *value;
@@ -81,39 +81,40 @@
 	}
 }
 
-static void take_event(struct timeline *t, const json_t *row)
+static void add_event(struct timeline *t, const json_t *row)
 {
 	const char *event = json_string_value(json_object_get(row, "event"));
 	const char *target = json_string_value(json_object_get(row, "target"));
 	const char *violation =
 		json_string_value(json_object_get(row, "violation"));
-	struct event *to = &t->events[t->event_count];
+	struct event *event_slot = &t->events[t->event_count];
 
 	if (t->event_count == EVENT_LIMIT)
 		return;
-	to->at_s = json_number_value(json_object_get(row, "at_s"));
-	to->violation = violation != NULL;
+	event_slot->at_s = json_number_value(json_object_get(row, "at_s"));
+	event_slot->violation = violation != NULL;
 	if (violation != NULL)
-		snprintf(to->label, sizeof(to->label), "%s", violation);
+		snprintf(event_slot->label, sizeof(event_slot->label), "%s",
+			 violation);
 	else
-		snprintf(to->label, sizeof(to->label), "%s %s",
+		snprintf(event_slot->label, sizeof(event_slot->label), "%s %s",
 			 event ? event : "", target ? target : "");
 	t->event_count++;
 }
 
-static void take_row(struct timeline *t, const json_t *row)
+static void add_row(struct timeline *t, const json_t *row)
 {
 	if (json_object_get(row, "endpoints") == NULL) {
-		take_event(t, row);
+		add_event(t, row);
 		return;
 	}
 	if (t->rows == ROW_LIMIT)
 		return;
 	t->at_s[t->rows] = json_number_value(json_object_get(row, "at_s"));
-	take_group(t, json_object_get(row, "endpoints"), t->endpoints,
-		   &t->endpoint_count);
-	take_group(t, json_object_get(row, "shares"), t->shares,
-		   &t->share_count);
+	add_samples(t, json_object_get(row, "endpoints"), t->endpoints,
+		    &t->endpoint_count);
+	add_samples(t, json_object_get(row, "shares"), t->shares,
+		    &t->share_count);
 	t->broken.values[t->rows] =
 		json_number_value(json_object_get(row, "broken"));
 	t->refused.values[t->rows] =
@@ -123,7 +124,7 @@
 	t->rows++;
 }
 
-static double x_of(const struct timeline *t, double at_s)
+static double x_position(const struct timeline *t, double at_s)
 {
 	double span = t->at_s[t->rows - 1] - t->at_s[0];
 
@@ -131,17 +132,17 @@
 			      (WIDTH - LEFT - 10);
 }
 
-static double y_of(double part)
+static double y_position(double part)
 {
 	return TOP + (HEIGHT - BOTTOM - TOP) * (1 - part);
 }
 
-/* Labels stand in the first plot only; all lines tell theirs when touched. */
+/* Prints event lines with tooltips; labels only if @labels is set. */
 static void print_events(FILE *out, const struct timeline *t, bool labels)
 {
 	for (size_t i = 0; i < t->event_count; i++) {
 		const struct event *event = &t->events[i];
-		double x = x_of(t, event->at_s);
+		double x = x_position(t, event->at_s);
 
 		fprintf(out,
 			"<line x1='%.1f' x2='%.1f' y1='0' y2='%d' "
@@ -158,22 +159,22 @@
 	}
 }
 
-static void print_axes(FILE *out, const struct timeline *t, double most)
+static void print_axes(FILE *out, const struct timeline *t, double max)
 {
 	for (int i = 0; i <= 4; i++) {
-		double y = y_of(i / 4.0);
+		double y = y_position(i / 4.0);
 
 		fprintf(out,
 			"<line x1='%d' x2='%d' y1='%.1f' y2='%.1f' "
 			"stroke='#eee'/><text x='2' y='%.1f'>%.4g</text>\n",
-			LEFT, WIDTH - 10, y, y, y + 4, most * i / 4);
+			LEFT, WIDTH - 10, y, y, y + 4, max * i / 4);
 	}
 	for (int i = 0; i <= 10; i++) {
 		double at = t->at_s[0] +
 			    (t->at_s[t->rows - 1] - t->at_s[0]) * i / 10;
 
 		fprintf(out, "<text x='%.1f' y='%d'>%.0f s</text>\n",
-			x_of(t, at), HEIGHT - 8, at);
+			x_position(t, at), HEIGHT - 8, at);
 	}
 }
 
@@ -181,25 +182,25 @@
 		       const char *unit, const struct series *list,
 		       size_t count, bool labels)
 {
-	double most = 1;
+	double max = 1;
 
 	for (size_t s = 0; s < count; s++) {
 		for (size_t r = 0; r < t->rows; r++) {
-			if (list[s].values[r] > most)
-				most = list[s].values[r];
+			if (list[s].values[r] > max)
+				max = list[s].values[r];
 		}
 	}
 	fprintf(out,
 		"<h2>%s</h2><p class='u'>%s</p>\n<svg viewBox='0 0 %d %d'>\n",
 		title, unit, WIDTH, HEIGHT);
-	print_axes(out, t, most);
+	print_axes(out, t, max);
 	print_events(out, t, labels);
 	for (size_t s = 0; s < count; s++) {
 		fprintf(out, "<polyline fill='none' stroke='%s' points='",
 			colours[s % COLOURS]);
 		for (size_t r = 0; r < t->rows; r++)
-			fprintf(out, "%.1f,%.1f ", x_of(t, t->at_s[r]),
-				y_of(list[s].values[r] / most));
+			fprintf(out, "%.1f,%.1f ", x_position(t, t->at_s[r]),
+				y_position(list[s].values[r] / max));
 		fprintf(out, "'><title>%s</title></polyline>\n", list[s].name);
 	}
 	fputs("</svg><p>", out);
@@ -209,8 +210,10 @@
 	fputs("</p>\n", out);
 }
 
-/* Occupancy service by service: endpoints share the name before the last
- * dash. */
+/*
+ * Prints a plot of occupancy for each service. The service of an endpoint is
+ * its name up to the last dash.
+ */
 static void print_services(FILE *out, const struct timeline *t)
 {
 	bool done[SERIES_LIMIT] = {false};
@@ -237,13 +240,13 @@
 		snprintf(title, sizeof(title), "Occupancy of %.*s", (int)length,
 			 t->endpoints[i].name);
 		print_plot(out, t, title,
-			   "open connections, or slots in use, by endpoint",
+			   "open connections or slots in use, by endpoint",
 			   list, count, i == 0);
 	}
 }
 
-/* Bytes since the row before. */
-static void make_rate(struct timeline *t)
+/* Replaces the running total of control bytes by the increase per row. */
+static void convert_to_rate(struct timeline *t)
 {
 	double last = 0;
 
@@ -264,11 +267,11 @@
 		"text{font-size:11px;fill:#555}.e{font-size:9px;fill:#999}"
 		".u{color:#777;margin:0}span{margin-right:8px;"
 		"white-space:nowrap}</style><h1>%s</h1>\n"
-		"<p>%zu seconds, %zu events. Dashed lines are events; red ones "
-		"are properties that failed. Hold the pointer over a line for "
+		"<p>%zu seconds, %zu events. Dashed lines are events; red "
+		"lines are violated properties. Hover over a line to see "
 		"its name.</p>\n",
 		name, name, t->rows, t->event_count);
-	make_rate(t);
+	convert_to_rate(t);
 	print_services(out, t);
 	print_plot(out, t, "Open flows by group and service", "flows",
 		   t->shares, t->share_count, false);
@@ -276,7 +279,7 @@
 		   false);
 	print_plot(out, t, "Refused flows", "since the start", &t->refused, 1,
 		   false);
-	print_plot(out, t, "Control bytes", "all nodes together, a second",
+	print_plot(out, t, "Control bytes", "bytes per second, all nodes",
 		   &t->control, 1, false);
 	fputs("</html>\n", out);
 }
@@ -298,12 +301,12 @@
 	series_init(t, &t->refused, "refused");
 	series_init(t, &t->control, "control bytes");
 	while ((row = json_loadf(in, JSON_DISABLE_EOF_CHECK, &error))) {
-		take_row(t, row);
+		add_row(t, row);
 		json_decref(row);
 	}
 	fclose(in);
 	if (t->rows == 0) {
-		fprintf(stderr, "report: %s is no timeline of a run\n", input);
+		fprintf(stderr, "report: %s has no timeline samples\n", input);
 		goto out;
 	}
 	out = fopen(output, "w");
@@ -322,7 +325,8 @@
 int lab_report(int argc, char **argv)
 {
 	struct arg_file *timeline =
-		arg_file0(NULL, NULL, "TIMELINE", "of jaspertrack-lab run");
+		arg_file0(NULL, NULL, "TIMELINE",
+			  "timeline written by jaspertrack-lab run");
 	struct arg_file *output =
 		arg_file0("o", "output", "FILE", "HTML, default report.html");
 	struct arg_lit *help = arg_lit0("h", "help", "this text");
@@ -334,7 +338,7 @@
 	if (help->count > 0) {
 		result = lab_help("report", table);
 	} else if (errors > 0 || timeline->count == 0) {
-		fprintf(stderr, "report: a TIMELINE is needed\n");
+		fprintf(stderr, "report: TIMELINE is required\n");
 	} else {
 		result = report(timeline->filename[0],
 				output->count ? output->filename[0]
--- a/src/lab/run.c
+++ b/src/lab/run.c
@@ -1,4 +1,4 @@
-/* jaspertrack-lab run: one scenario, one policy, one seed. */
+/* jaspertrack-lab run: runs one scenario with one policy and one seed. */
 #include "lab.h"
 #include "world.h"
 
@@ -15,7 +15,7 @@
 static const struct {
 	const char *name;
 	unsigned flag;
-} breaks[] = {
+} feature_flags[] = {
 	{"replica", JT_BREAK_NO_REPLICA},
 	{"barrier", JT_BREAK_NO_BARRIER},
 	{"lease", JT_BREAK_NO_LEASE},
@@ -27,17 +27,18 @@
 	{"vote", JT_BREAK_SPLIT_VOTE},
 };
 
-static unsigned break_parse(const char *name)
+static unsigned parse_feature(const char *name)
 {
-	for (size_t i = 0; i < sizeof(breaks) / sizeof(breaks[0]); i++) {
-		if (strcmp(breaks[i].name, name) == 0)
-			return breaks[i].flag;
+	for (size_t i = 0; i < sizeof(feature_flags) / sizeof(feature_flags[0]);
+	     i++) {
+		if (strcmp(feature_flags[i].name, name) == 0)
+			return feature_flags[i].flag;
 	}
 	return 0;
 }
 
-/* Returns an exit code; *go true when there is something to run. */
-static int parse(int argc, char **argv, struct run_arguments *a, bool *go)
+/* Parses the arguments; returns an exit code, and sets *go if a run follows. */
+static int parse(int argc, char **argv, struct run_arguments *a, bool *proceed)
 {
 	struct arg_file *scenario =
 		arg_file0(NULL, NULL, "SCENARIO", "libconfig file");
@@ -46,13 +47,14 @@
 		arg_str0(NULL, "policy", "NAME",
 			 "jaspertrack, label, modulo, maglev or full-relay");
 	struct arg_lit *json =
-		arg_lit0(NULL, "json", "one JSON object (always)");
-	struct arg_file *timeline = arg_file0(NULL, "timeline", "FILE",
-					      "samples and events, for report");
+		arg_lit0(NULL, "json", "no effect: the output is always JSON");
+	struct arg_file *timeline =
+		arg_file0(NULL, "timeline", "FILE",
+			  "samples and events, input of report");
 	struct arg_str *broken = arg_strn(
 		NULL, "break", "MECHANISM", 0, 9,
 		"replica, barrier, lease, sticky, quarantine, defaults, "
-		"handover, admission, vote: run without it");
+		"handover, admission or vote: feature to switch off");
 	struct arg_lit *help = arg_lit0("h", "help", "this text");
 	struct arg_end *end = arg_end(8);
 	void *table[] = {scenario, seed,   policy, json,
@@ -60,7 +62,7 @@
 	int errors = arg_parse(argc, argv, table);
 	int result = LAB_USAGE;
 
-	*go = false;
+	*proceed = false;
 	a->options.seed = seed->count ? (uint64_t)seed->ival[0] : 1;
 	if (help->count > 0) {
 		result = lab_help("run", table);
@@ -69,7 +71,7 @@
 	if (errors > 0 || scenario->count == 0) {
 		arg_print_errors(stderr, end, "jaspertrack-lab run");
 		if (scenario->count == 0)
-			fprintf(stderr, "run: a SCENARIO is needed\n");
+			fprintf(stderr, "run: SCENARIO is required\n");
 		goto out;
 	}
 	if (policy->count > 0)
@@ -80,7 +82,7 @@
 		goto out;
 	}
 	for (int i = 0; i < broken->count; i++) {
-		unsigned flag = break_parse(broken->sval[i]);
+		unsigned flag = parse_feature(broken->sval[i]);
 
 		if (flag == 0) {
 			fprintf(stderr, "run: --break: unknown '%s'\n",
@@ -91,7 +93,7 @@
 	}
 	a->scenario = scenario->filename[0];
 	a->timeline = timeline->count ? timeline->filename[0] : NULL;
-	*go = true;
+	*proceed = true;
 	result = LAB_DONE;
 out:
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
@@ -105,10 +107,10 @@
 	TALLOC_CTX *frame;
 	json_t *result;
 	char *error, *text;
-	bool go;
-	int code = parse(argc, argv, &arguments, &go);
+	bool proceed;
+	int code = parse(argc, argv, &arguments, &proceed);
 
-	if (!go)
+	if (!proceed)
 		return code;
 	frame = talloc_new(NULL);
 	scenario = scenario_load(frame, arguments.scenario, &error);
--- a/src/lab/scenario.c
+++ b/src/lab/scenario.c
@@ -16,7 +16,7 @@
 	[EVENT_ENDPOINT_COLD_START] = "endpoint_cold_start",
 	[EVENT_ENDPOINT_SHED] = "endpoint_shed",
 	[EVENT_ENDPOINT_MOVE] = "endpoint_move",
-	[EVENT_ENDPOINT_LIE] = "endpoint_lie",
+	[EVENT_ENDPOINT_FALSE_LOAD] = "endpoint_lie",
 	[EVENT_STORE_DOWN] = "store_down",
 	[EVENT_STORE_SLOW] = "store_slow",
 	[EVENT_STORE_ANSWER_LOST] = "store_answer_lost",
@@ -39,38 +39,38 @@
 }
 
 static int read_real(struct reader *r, const config_setting_t *group,
-		     const char *key, double least, double most,
-		     double fallback, double *value)
+		     const char *key, double min, double max,
+		     double default_value, double *value)
 {
-	const config_setting_t *at = config_setting_get_member(group, key);
+	const config_setting_t *setting = config_setting_get_member(group, key);
 	char problem[96];
 
-	*value = fallback;
-	if (at == NULL) {
-		if (fallback >= least)
+	*value = default_value;
+	if (setting == NULL) {
+		if (default_value >= min)
 			return 0;
 		return jt_settings_wrong(&r->input, group, key, "is missing");
 	}
-	if (!config_setting_is_number(at))
-		return jt_settings_wrong(&r->input, at, key,
+	if (!config_setting_is_number(setting))
+		return jt_settings_wrong(&r->input, setting, key,
 					 "must be a number");
-	*value = config_setting_type(at) == CONFIG_TYPE_FLOAT
-			 ? config_setting_get_float(at)
-			 : (double)config_setting_get_int64(at);
-	if (*value >= least && *value <= most)
+	*value = config_setting_type(setting) == CONFIG_TYPE_FLOAT
+			 ? config_setting_get_float(setting)
+			 : (double)config_setting_get_int64(setting);
+	if (*value >= min && *value <= max)
 		return 0;
 	snprintf(problem, sizeof(problem), "is %g, allowed are %g to %g",
-		 *value, least, most);
-	return jt_settings_wrong(&r->input, at, key, problem);
+		 *value, min, max);
+	return jt_settings_wrong(&r->input, setting, key, problem);
 }
 
 static int read_count(struct reader *r, const config_setting_t *group,
-		      const char *key, double least, double most,
-		      double fallback, unsigned *value)
+		      const char *key, double min, double max,
+		      double default_value, unsigned *value)
 {
 	double real;
 
-	if (read_real(r, group, key, least, most, fallback, &real) != 0)
+	if (read_real(r, group, key, min, max, default_value, &real) != 0)
 		return -1;
 	*value = (unsigned)real;
 	if ((double)*value != real)
@@ -80,15 +80,15 @@
 	return 0;
 }
 
-static const config_setting_t *need_list(struct reader *r,
-					 const config_setting_t *root,
-					 const char *key, int most)
+static const config_setting_t *require_list(struct reader *r,
+					    const config_setting_t *root,
+					    const char *key, int max)
 {
 	const config_setting_t *list = config_setting_get_member(root, key);
 
 	if (list == NULL || !config_setting_is_list(list) ||
 	    config_setting_length(list) < 1 ||
-	    config_setting_length(list) > most) {
+	    config_setting_length(list) > max) {
 		jt_settings_wrong(&r->input, list ? list : root, key,
 				  "must be a list of at least one group");
 		return NULL;
@@ -98,23 +98,25 @@
 
 static int read_zones(struct reader *r, const config_setting_t *root)
 {
-	static const char *const known[] = {"name", "nodes", NULL};
+	static const char *const known_keys[] = {"name", "nodes", NULL};
 	const config_setting_t *list =
-		need_list(r, root, "zones", SCENARIO_ZONES);
+		require_list(r, root, "zones", SCENARIO_ZONES);
 	struct scenario *s = r->scenario;
 
 	for (int i = 0; list && i < config_setting_length(list); i++) {
-		const config_setting_t *at =
+		const config_setting_t *setting =
 			config_setting_get_elem(list, (unsigned)i);
 		struct scenario_zone *zone = &s->zones[s->zone_count];
 
-		if (!config_setting_is_group(at))
-			return jt_settings_wrong(&r->input, at, "zones",
+		if (!config_setting_is_group(setting))
+			return jt_settings_wrong(&r->input, setting, "zones",
 						 "must hold groups");
-		if (jt_settings_check_keys(&r->input, at, known) != 0 ||
-		    jt_settings_read_text(&r->input, at, "name", true,
+		if (jt_settings_check_keys(&r->input, setting, known_keys) !=
+			    0 ||
+		    jt_settings_read_text(&r->input, setting, "name", true,
 					  &zone->name) != 0 ||
-		    read_count(r, at, "nodes", 0, 2000, -1, &zone->nodes) != 0)
+		    read_count(r, setting, "nodes", 0, 2000, -1,
+			       &zone->nodes) != 0)
 			return -1;
 		s->node_count += zone->nodes;
 		s->zone_count++;
@@ -122,7 +124,7 @@
 	return list ? 0 : -1;
 }
 
-static int read_surroundings(struct reader *r, const config_setting_t *root)
+static int read_environment(struct reader *r, const config_setting_t *root)
 {
 	static const char *const net[] = {"zone_to_zone_ms", "client_ms",
 					  "loss", "reorder", NULL};
@@ -156,37 +158,38 @@
 	return 0;
 }
 
-static int read_service(struct reader *r, const config_setting_t *at,
+static int read_service(struct reader *r, const config_setting_t *setting,
 			struct scenario_service *service)
 {
-	static const char *const known[] = {"name",
-					    "kind",
-					    "endpoints",
-					    "slots",
-					    "connections",
-					    "health_lag_s",
-					    "service_time_ms",
-					    "free_permille",
-					    NULL};
+	static const char *const known_keys[] = {"name",
+						 "kind",
+						 "endpoints",
+						 "slots",
+						 "connections",
+						 "health_lag_s",
+						 "service_time_ms",
+						 "free_permille",
+						 NULL};
 	const char *kind = "";
 
-	if (!config_setting_is_group(at))
-		return jt_settings_wrong(&r->input, at, "services",
+	if (!config_setting_is_group(setting))
+		return jt_settings_wrong(&r->input, setting, "services",
 					 "must hold groups");
-	if (jt_settings_check_keys(&r->input, at, known) != 0 ||
-	    jt_settings_read_text(&r->input, at, "name", true,
+	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
+	    jt_settings_read_text(&r->input, setting, "name", true,
 				  &service->name) != 0 ||
-	    jt_settings_read_text(&r->input, at, "kind", true, &kind) != 0 ||
-	    read_count(r, at, "endpoints", 1, 100000, -1,
+	    jt_settings_read_text(&r->input, setting, "kind", true, &kind) !=
+		    0 ||
+	    read_count(r, setting, "endpoints", 1, 100000, -1,
 		       &service->endpoints) != 0 ||
-	    read_count(r, at, "slots", 1, 1e6, 2, &service->slots) != 0 ||
-	    read_count(r, at, "connections", 1, 1e7, 2000,
+	    read_count(r, setting, "slots", 1, 1e6, 2, &service->slots) != 0 ||
+	    read_count(r, setting, "connections", 1, 1e7, 2000,
 		       &service->connections) != 0 ||
-	    read_real(r, at, "health_lag_s", 0, 3600, 2,
+	    read_real(r, setting, "health_lag_s", 0, 3600, 2,
 		      &service->health_lag_s) != 0 ||
-	    read_real(r, at, "service_time_ms", 1, 3.6e6, 500,
+	    read_real(r, setting, "service_time_ms", 1, 3.6e6, 500,
 		      &service->service_time_ms) != 0 ||
-	    read_count(r, at, "free_permille", 0, 1000, 200,
+	    read_count(r, setting, "free_permille", 0, 1000, 200,
 		       &service->free_permille) != 0)
 		return -1;
 	if (strcmp(kind, "stream") == 0)
@@ -195,7 +198,7 @@
 		service->kind = JT_SERVICE_REQUEST;
 	else
 		return jt_settings_wrong(
-			&r->input, config_setting_get_member(at, "kind"),
+			&r->input, config_setting_get_member(setting, "kind"),
 			"kind", "allowed are \"stream\" and \"request\"");
 	return 0;
 }
@@ -203,7 +206,7 @@
 static int read_services(struct reader *r, const config_setting_t *root)
 {
 	const config_setting_t *list =
-		need_list(r, root, "services", SCENARIO_SERVICES);
+		require_list(r, root, "services", SCENARIO_SERVICES);
 	struct scenario *s = r->scenario;
 	int count = list ? config_setting_length(list) : 0;
 
@@ -253,32 +256,34 @@
 	return UINT32_MAX;
 }
 
-static int read_demand(struct reader *r, const config_setting_t *at,
+static int read_demand(struct reader *r, const config_setting_t *setting,
 		       struct scenario_demand *demand)
 {
-	static const char *const known[] = {"service",	       "share",
-					    "new_flows_per_s", "flow_s",
-					    "repeatable",      NULL};
+	static const char *const known_keys[] = {"service",	    "share",
+						 "new_flows_per_s", "flow_s",
+						 "repeatable",	    NULL};
 	const config_setting_t *repeatable;
 	const char *service = "";
 
-	if (!config_setting_is_group(at))
-		return jt_settings_wrong(&r->input, at, "demand",
+	if (!config_setting_is_group(setting))
+		return jt_settings_wrong(&r->input, setting, "demand",
 					 "must hold groups");
-	if (jt_settings_check_keys(&r->input, at, known) != 0 ||
-	    jt_settings_read_text(&r->input, at, "service", true, &service) !=
-		    0 ||
-	    read_count(r, at, "share", 1, 1e6, -1, &demand->share) != 0 ||
-	    read_real(r, at, "new_flows_per_s", 0, 1e7, -1,
+	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
+	    jt_settings_read_text(&r->input, setting, "service", true,
+				  &service) != 0 ||
+	    read_count(r, setting, "share", 1, 1e6, -1, &demand->share) != 0 ||
+	    read_real(r, setting, "new_flows_per_s", 0, 1e7, -1,
 		      &demand->new_flows_per_s) != 0 ||
-	    read_real(r, at, "flow_s", 0.001, 1e7, 60, &demand->flow_s) != 0)
+	    read_real(r, setting, "flow_s", 0.001, 1e7, 60, &demand->flow_s) !=
+		    0)
 		return -1;
 	demand->service = find_service(r->scenario, service, strlen(service));
 	if (demand->service == UINT32_MAX)
 		return jt_settings_wrong(
-			&r->input, config_setting_get_member(at, "service"),
+			&r->input,
+			config_setting_get_member(setting, "service"),
 			"service", "there is no such service");
-	repeatable = config_setting_get_member(at, "repeatable");
+	repeatable = config_setting_get_member(setting, "repeatable");
 	if (repeatable != NULL &&
 	    config_setting_type(repeatable) != CONFIG_TYPE_BOOL)
 		return jt_settings_wrong(&r->input, repeatable, "repeatable",
@@ -288,21 +293,21 @@
 	return 0;
 }
 
-static int read_group(struct reader *r, const config_setting_t *at,
+static int read_group(struct reader *r, const config_setting_t *setting,
 		      struct scenario_group *group)
 {
-	static const char *const known[] = {"name", "demand", NULL};
+	static const char *const known_keys[] = {"name", "demand", NULL};
 	const config_setting_t *list;
 	int count;
 
-	if (!config_setting_is_group(at))
-		return jt_settings_wrong(&r->input, at, "groups",
+	if (!config_setting_is_group(setting))
+		return jt_settings_wrong(&r->input, setting, "groups",
 					 "must hold groups");
-	if (jt_settings_check_keys(&r->input, at, known) != 0 ||
-	    jt_settings_read_text(&r->input, at, "name", true, &group->name) !=
-		    0)
+	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
+	    jt_settings_read_text(&r->input, setting, "name", true,
+				  &group->name) != 0)
 		return -1;
-	list = need_list(r, at, "demand", SCENARIO_SERVICES);
+	list = require_list(r, setting, "demand", SCENARIO_SERVICES);
 	if (list == NULL)
 		return -1;
 	count = config_setting_length(list);
@@ -320,7 +325,7 @@
 static int read_groups(struct reader *r, const config_setting_t *root)
 {
 	const config_setting_t *list =
-		need_list(r, root, "groups", SCENARIO_GROUPS);
+		require_list(r, root, "groups", SCENARIO_GROUPS);
 	struct scenario *s = r->scenario;
 	int count = list ? config_setting_length(list) : 0;
 
@@ -368,67 +373,70 @@
 	return true;
 }
 
-/* "zone/NUMBER", or a number over all zones. */
-static bool target_node(const struct scenario *s, const char *target,
-			struct scenario_event *event)
+/* Parses ZONE/NUMBER, or a node index over all zones. */
+static bool parse_node_target(const struct scenario *s, const char *target,
+			      struct scenario_event *event)
 {
-	const char *slash = strchr(target, '/');
+	const char *separator = strchr(target, '/');
 	unsigned number;
 
-	if (slash == NULL)
+	if (separator == NULL)
 		return parse_number(target, &event->node) &&
 		       event->node < s->node_count;
-	event->zone = find_zone(s, target, (size_t)(slash - target));
-	if (event->zone == UINT32_MAX || !parse_number(slash + 1, &number) ||
+	event->zone = find_zone(s, target, (size_t)(separator - target));
+	if (event->zone == UINT32_MAX ||
+	    !parse_number(separator + 1, &number) ||
 	    number >= s->zones[event->zone].nodes)
 		return false;
 	event->node = scenario_node_index(s, event->zone, number);
 	return true;
 }
 
-static bool target_endpoint(const struct scenario *s, const char *target,
-			    bool fresh, struct scenario_event *event)
+static bool parse_endpoint_target(const struct scenario *s, const char *target,
+				  bool allow_new, struct scenario_event *event)
 {
-	const char *slash = strchr(target, '/');
-	size_t length = slash ? (size_t)(slash - target) : strlen(target);
+	const char *separator = strchr(target, '/');
+	size_t length =
+		separator ? (size_t)(separator - target) : strlen(target);
 
 	event->service = find_service(s, target, length);
 	if (event->service == UINT32_MAX)
 		return false;
-	if (slash == NULL)
-		return fresh;
-	return parse_number(slash + 1, &event->endpoint) &&
-	       (fresh ||
+	if (separator == NULL)
+		return allow_new;
+	return parse_number(separator + 1, &event->endpoint) &&
+	       (allow_new ||
 		event->endpoint < s->services[event->service].endpoints);
 }
 
-static bool target_zones(const struct scenario *s, const char *target,
-			 struct scenario_event *event)
+static bool parse_zones_target(const struct scenario *s, const char *target,
+			       struct scenario_event *event)
 {
-	const char *bar = strchr(target, '|');
+	const char *separator = strchr(target, '|');
 
-	if (bar == NULL)
+	if (separator == NULL)
 		return false;
-	event->zone = find_zone(s, target, (size_t)(bar - target));
-	event->zone_b = strcmp(bar + 1, "*") == 0
-				? SCENARIO_ZONES
-				: find_zone(s, bar + 1, strlen(bar + 1));
+	event->zone = find_zone(s, target, (size_t)(separator - target));
+	event->zone_b =
+		strcmp(separator + 1, "*") == 0
+			? SCENARIO_ZONES
+			: find_zone(s, separator + 1, strlen(separator + 1));
 	return event->zone != UINT32_MAX && event->zone_b != UINT32_MAX;
 }
 
-static bool target_demand(const struct scenario *s, const char *target,
-			  struct scenario_event *event)
+static bool parse_demand_target(const struct scenario *s, const char *target,
+				struct scenario_event *event)
 {
-	const char *slash = strchr(target, '/');
+	const char *separator = strchr(target, '/');
 
-	if (slash == NULL)
+	if (separator == NULL)
 		return false;
-	event->group = find_group(s, target, (size_t)(slash - target));
-	event->service = find_service(s, slash + 1, strlen(slash + 1));
+	event->group = find_group(s, target, (size_t)(separator - target));
+	event->service = find_service(s, separator + 1, strlen(separator + 1));
 	return event->group != UINT32_MAX && event->service != UINT32_MAX;
 }
 
-static int resolve_target(struct reader *r, const config_setting_t *at,
+static int resolve_target(struct reader *r, const config_setting_t *setting,
 			  struct scenario_event *event)
 {
 	const struct scenario *s = r->scenario;
@@ -440,14 +448,15 @@
 	    event->kind == EVENT_STORE_ANSWER_LOST ||
 	    event->kind == EVENT_MACHINE_LIST_LAG)
 		return 0;
-	if (jt_settings_read_text(&r->input, at, "target", true, &target) != 0)
+	if (jt_settings_read_text(&r->input, setting, "target", true,
+				  &target) != 0)
 		return -1;
 	switch (event->kind) {
 	case EVENT_NODE_CRASH:
 	case EVENT_NODE_JOIN:
 	case EVENT_NODE_LEAVE:
 	case EVENT_NODE_PAUSE:
-		if (!target_node(s, target, event))
+		if (!parse_node_target(s, target, event))
 			expected = "must be ZONE/NUMBER or a node's number";
 		break;
 	case EVENT_ZONE_CRASH:
@@ -456,95 +465,101 @@
 			expected = "must be a zone";
 		break;
 	case EVENT_PARTITION:
-		if (!target_zones(s, target, event))
+		if (!parse_zones_target(s, target, event))
 			expected = "must be ZONE|ZONE or ZONE|*";
 		break;
 	case EVENT_CONFIG_CHANGE:
 	case EVENT_DEMAND:
-		if (!target_demand(s, target, event))
+		if (!parse_demand_target(s, target, event))
 			expected = "must be GROUP/SERVICE";
 		break;
 	case EVENT_HEALTH_LAG:
 	case EVENT_ENDPOINT_JOIN:
-		if (!target_endpoint(s, target, true, event))
+		if (!parse_endpoint_target(s, target, true, event))
 			expected = "must be SERVICE or SERVICE/NUMBER";
 		break;
 	default:
-		if (!target_endpoint(s, target, false, event))
+		if (!parse_endpoint_target(s, target, false, event))
 			expected = "must be SERVICE/NUMBER";
 		break;
 	}
 	if (expected == NULL)
 		return 0;
 	return jt_settings_wrong(&r->input,
-				 config_setting_get_member(at, "target"),
+				 config_setting_get_member(setting, "target"),
 				 "target", expected);
 }
 
-static int read_value(struct reader *r, const config_setting_t *at,
+static int read_value(struct reader *r, const config_setting_t *setting,
 		      struct scenario_event *event)
 {
-	const char *to = "";
+	const char *target = "";
 
 	switch (event->kind) {
 	case EVENT_CONFIG_CHANGE:
-		return read_real(r, at, "share", 1, 1e6, -1, &event->value);
+		return read_real(r, setting, "share", 1, 1e6, -1,
+				 &event->value);
 	case EVENT_STORE_SLOW:
-		return read_real(r, at, "answer_ms", 0, 60000, 2000,
+		return read_real(r, setting, "answer_ms", 0, 60000, 2000,
 				 &event->value);
 	case EVENT_STORE_ANSWER_LOST:
-		return read_real(r, at, "count", 1, 1000, 1, &event->value);
+		return read_real(r, setting, "count", 1, 1000, 1,
+				 &event->value);
 	case EVENT_MACHINE_LIST_LAG:
 	case EVENT_HEALTH_LAG:
-		return read_real(r, at, "lag_s", 0, 3600, 30, &event->value);
-	case EVENT_ENDPOINT_LIE:
-		return read_real(r, at, "load", 0, 1e7, 0, &event->value);
+		return read_real(r, setting, "lag_s", 0, 3600, 30,
+				 &event->value);
+	case EVENT_ENDPOINT_FALSE_LOAD:
+		return read_real(r, setting, "load", 0, 1e7, 0, &event->value);
 	case EVENT_DEMAND:
-		return read_real(r, at, "new_flows_per_s", 0, 1e7, -1,
+		return read_real(r, setting, "new_flows_per_s", 0, 1e7, -1,
 				 &event->value);
 	case EVENT_ENDPOINT_MOVE:
-		if (jt_settings_read_text(&r->input, at, "to", true, &to) != 0)
+		if (jt_settings_read_text(&r->input, setting, "to", true,
+					  &target) != 0)
 			return -1;
-		event->to_service = find_service(r->scenario, to, strlen(to));
+		event->to_service =
+			find_service(r->scenario, target, strlen(target));
 		if (event->to_service == UINT32_MAX)
 			return jt_settings_wrong(
-				&r->input, config_setting_get_member(at, "to"),
-				"to", "there is no such service");
+				&r->input,
+				config_setting_get_member(setting, "to"), "to",
+				"there is no such service");
 		return 0;
 	default:
 		return 0;
 	}
 }
 
-static int read_event(struct reader *r, const config_setting_t *at,
+static int read_event(struct reader *r, const config_setting_t *setting,
 		      struct scenario_event *event)
 {
-	static const char *const known[] = {
+	static const char *const known_keys[] = {
 		"at_s",	 "kind",      "target",		 "for_s",
 		"share", "answer_ms", "count",		 "lag_s",
 		"load",	 "to",	      "new_flows_per_s", NULL};
 	const char *kind = "";
 	int found = 0;
 
-	if (!config_setting_is_group(at))
-		return jt_settings_wrong(&r->input, at, "events",
+	if (!config_setting_is_group(setting))
+		return jt_settings_wrong(&r->input, setting, "events",
 					 "must hold groups");
-	if (jt_settings_check_keys(&r->input, at, known) != 0 ||
-	    read_real(r, at, "at_s", 0, 1e7, -1, &event->at_s) != 0 ||
-	    read_real(r, at, "for_s", 0, 1e7, 0, &event->for_s) != 0 ||
-	    jt_settings_read_text(&r->input, at, "kind", true, &kind) != 0)
+	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
+	    read_real(r, setting, "at_s", 0, 1e7, -1, &event->at_s) != 0 ||
+	    read_real(r, setting, "for_s", 0, 1e7, 0, &event->for_s) != 0 ||
+	    jt_settings_read_text(&r->input, setting, "kind", true, &kind) != 0)
 		return -1;
 	while (found < EVENT_KINDS && strcmp(event_names[found], kind) != 0)
 		found++;
 	if (found == EVENT_KINDS)
-		return jt_settings_wrong(&r->input,
-					 config_setting_get_member(at, "kind"),
-					 "kind", "unknown kind of event");
+		return jt_settings_wrong(
+			&r->input, config_setting_get_member(setting, "kind"),
+			"kind", "unknown kind of event");
 	event->kind = found;
-	event->line = (int)config_setting_source_line(at);
-	if (resolve_target(r, at, event) != 0)
+	event->line = (int)config_setting_source_line(setting);
+	if (resolve_target(r, setting, event) != 0)
 		return -1;
-	return read_value(r, at, event);
+	return read_value(r, setting, event);
 }
 
 static int read_events(struct reader *r, const config_setting_t *root)
@@ -570,13 +585,13 @@
 
 static int read_root(struct reader *r, const config_setting_t *root)
 {
-	static const char *const known[] = {
+	static const char *const known_keys[] = {
 		"name",	  "duration_s",	       "zones",	     "network",
 		"store",  "machine_list",      "services",   "groups",
 		"events", "packet_interval_s", "cell_nodes", NULL};
 	struct scenario *s = r->scenario;
 
-	if (jt_settings_check_keys(&r->input, root, known) != 0 ||
+	if (jt_settings_check_keys(&r->input, root, known_keys) != 0 ||
 	    jt_settings_read_text(&r->input, root, "name", true, &s->name) !=
 		    0 ||
 	    read_real(r, root, "duration_s", 40, 1e6, -1, &s->duration_s) !=
@@ -585,7 +600,7 @@
 		      &s->packet_interval_s) != 0 ||
 	    read_count(r, root, "cell_nodes", 0, 500, 0, &s->cell_nodes) != 0)
 		return -1;
-	if (read_zones(r, root) != 0 || read_surroundings(r, root) != 0 ||
+	if (read_zones(r, root) != 0 || read_environment(r, root) != 0 ||
 	    read_services(r, root) != 0 || read_groups(r, root) != 0)
 		return -1;
 	return read_events(r, root);
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -1,8 +1,8 @@
 /*
- * Scenarios of the emulator, in libconfig syntax, checked as a whole.
+ * Scenarios of the emulator, in libconfig syntax.
  *
- * Times are seconds unless a name says otherwise. A wrong or unknown key is
- * an error that names file, line and key.
+ * Times are in seconds unless a name has another unit. An invalid or unknown
+ * key is an error that names file, line and key.
  */
 #ifndef SCENARIO_H
 #define SCENARIO_H
@@ -57,8 +57,8 @@
 	EVENT_ENDPOINT_JOIN,
 	EVENT_ENDPOINT_COLD_START,
 	EVENT_ENDPOINT_SHED,
-	EVENT_ENDPOINT_MOVE, /* drained, then its address goes to "to" */
-	EVENT_ENDPOINT_LIE,  /* the load page shows "load" */
+	EVENT_ENDPOINT_MOVE,	   /* drains, then moves the address to "to" */
+	EVENT_ENDPOINT_FALSE_LOAD, /* the health page reports "load" */
 	EVENT_STORE_DOWN,
 	EVENT_STORE_SLOW,
 	EVENT_STORE_ANSWER_LOST,
@@ -67,21 +67,21 @@
 	EVENT_CONFIG_CHANGE,
 	EVENT_MACHINE_LIST_LAG,
 	EVENT_HEALTH_LAG,
-	EVENT_DEMAND, /* new_flows_per_s of a group at a service */
+	EVENT_DEMAND, /* sets new_flows_per_s of a group at a service */
 	EVENT_KINDS,
 };
 
 struct scenario_event {
 	double at_s;
-	double for_s; /* 0: for good */
+	double for_s; /* 0: until the end of the run */
 	enum scenario_event_kind kind;
-	/* Resolved from the target; what counts depends on the kind. */
-	unsigned node; /* over all zones */
-	unsigned zone, zone_b;
+	/* Resolved from the target; the fields used depend on the kind. */
+	unsigned node;	       /* index over all zones */
+	unsigned zone, zone_b; /* zone_b: SCENARIO_ZONES for all others */
 	unsigned service, endpoint;
 	unsigned group;
 	unsigned to_service;
-	double value; /* share, answer_ms, count, lag_s, load, flows a second */
+	double value; /* share, answer_ms, count, lag_s, load or flows/s */
 	int line;
 };
 
@@ -98,7 +98,7 @@
 	double store_operations_per_s;
 	double store_answer_ms;
 	double machine_list_lag_s;
-	double packet_interval_s; /* mean between messages of a stream */
+	double packet_interval_s; /* mean interval of a stream's messages */
 	unsigned cell_nodes;
 	struct scenario_service *services;
 	size_t service_count;
@@ -108,13 +108,17 @@
 	size_t event_count;
 };
 
-/* NULL with a line in @error (below @mem_ctx) when anything is wrong. */
+/*
+ * Loads a scenario below @mem_ctx. On an error, returns NULL and sets @error to
+ * a message, also below @mem_ctx.
+ */
 struct scenario *scenario_load(TALLOC_CTX *mem_ctx, const char *file,
 			       char **error);
 const char *scenario_event_name(enum scenario_event_kind kind);
-/* Index of node @number of a zone over all zones. */
+/* Returns the index over all zones of node @number of a zone. */
 unsigned scenario_node_index(const struct scenario *scenario, unsigned zone,
 			     unsigned number);
+/* Returns the zone of a node, given its index over all zones. */
 unsigned scenario_node_zone(const struct scenario *scenario, unsigned node);
 
 #endif
--- a/src/lab/sweep.c
+++ b/src/lab/sweep.c
@@ -1,6 +1,6 @@
 /*
- * jaspertrack-lab sweep: one parameter of a scenario over a range, and the
- * slope of each cost by least squares (GSL), with what the line leaves over.
+ * jaspertrack-lab sweep: runs a scenario over a range of one parameter, and
+ * fits the slope of each cost by least squares, with its residual.
  */
 #include "lab.h"
 #include "world.h"
@@ -36,7 +36,7 @@
 	double memory_mb;
 };
 
-static int parameter_parse(const char *name)
+static int parse_parameter(const char *name)
 {
 	int p = 0;
 
@@ -59,7 +59,7 @@
 	}
 }
 
-/* As many services as asked for, each with one address for each group. */
+/* Sets the number of services; each has one address per group. */
 static void set_services(struct scenario *s, unsigned count)
 {
 	struct scenario_service *list =
@@ -124,7 +124,7 @@
 	}
 }
 
-/* Shares of the first group change back and forth at an even rate. */
+/* Changes the first group's share at a constant rate. */
 static void set_changes(struct scenario *s, double per_s)
 {
 	double last = s->duration_s - 40;
@@ -142,7 +142,7 @@
 
 static void set_parameter(struct scenario *s, int parameter, double value)
 {
-	unsigned whole = (unsigned)value;
+	unsigned count = (unsigned)value;
 	double per_endpoint;
 
 	switch (parameter) {
@@ -150,18 +150,18 @@
 		set_nodes(s, value);
 		break;
 	case 1:
-		s->services[0].endpoints = whole;
+		s->services[0].endpoints = count;
 		break;
 	case 2:
 		per_endpoint = ceil((double)s->services[0].endpoints / value);
 		s->services[0].endpoints =
 			per_endpoint < 2 ? 2 : (unsigned)per_endpoint;
-		set_services(s, whole);
+		set_services(s, count);
 		break;
 	case 3:
-		set_groups(s, whole);
+		set_groups(s, count);
 		break;
-	case 4: /* open flows in the end: rate times life, life is fixed */
+	case 4: /* open flows = rate * duration, with the duration fixed */
 		scale_demand(s, value / s->groups[0].demands[0].flow_s, 0);
 		break;
 	case 5:
@@ -259,22 +259,22 @@
 }
 
 static void print_slope(const struct sweep *sweep, const struct point *points,
-			const char *figure)
+			const char *metric)
 {
 	double x[POINT_LIMIT], y[POINT_LIMIT];
-	double base, slope, c00, c01, c11, squares;
+	double base, slope, c00, c01, c11, residual_sum;
 
 	for (size_t i = 0; i < sweep->count; i++) {
 		x[i] = points[i].value;
 		y[i] = json_number_value(
-			json_object_get(points[i].result, figure));
+			json_object_get(points[i].result, metric));
 	}
 	gsl_fit_linear(x, 1, y, 1, sweep->count, &base, &slope, &c00, &c01,
-		       &c11, &squares);
+		       &c11, &residual_sum);
 	printf("{\"slope_of\":\"%s\",\"by\":\"%s\",\"slope\":%.6g,"
 	       "\"base\":%.6g,\"residual_rms\":%.4g,\"points\":%zu}\n",
-	       figure, parameters[sweep->parameter], slope, base,
-	       sqrt(squares / (double)sweep->count), sweep->count);
+	       metric, parameters[sweep->parameter], slope, base,
+	       sqrt(residual_sum / (double)sweep->count), sweep->count);
 }
 
 static int run_sweep(const struct sweep *sweep)
@@ -329,9 +329,10 @@
 			 "nodes, endpoints, addresses, groups, flows, "
 			 "new_flows_per_s, changes_per_s or loss");
 	struct arg_str *values =
-		arg_str0(NULL, "values", "N,N,...", "points of the range");
+		arg_str0(NULL, "values", "N,N,...", "parameter values to run");
 	struct arg_int *seed = arg_int0(NULL, "seed", "N", "default 1");
-	struct arg_lit *csv = arg_lit0(NULL, "csv", "CSV, without slopes");
+	struct arg_lit *csv =
+		arg_lit0(NULL, "csv", "print CSV, without slopes");
 	struct arg_lit *help = arg_lit0("h", "help", "this text");
 	struct arg_end *end = arg_end(4);
 	void *table[] = {scenario, parameter, values, seed, csv, help, end};
@@ -344,16 +345,17 @@
 	} else if (errors > 0 || scenario->count == 0 ||
 		   parameter->count == 0 || values->count == 0) {
 		fprintf(stderr,
-			"sweep: SCENARIO, --by and --values are needed\n");
-	} else if (parameter_parse(parameter->sval[0]) == PARAMETER_COUNT) {
+			"sweep: SCENARIO, --by and --values are required\n");
+	} else if (parse_parameter(parameter->sval[0]) == PARAMETER_COUNT) {
 		fprintf(stderr, "sweep: --by: unknown '%s'\n",
 			parameter->sval[0]);
 	} else if (!parse_values(values->sval[0], &sweep)) {
-		fprintf(stderr, "sweep: --values: '%s' is no list of numbers\n",
+		fprintf(stderr,
+			"sweep: --values: '%s' is not a list of numbers\n",
 			values->sval[0]);
 	} else {
 		sweep.scenario = scenario->filename[0];
-		sweep.parameter = parameter_parse(parameter->sval[0]);
+		sweep.parameter = parse_parameter(parameter->sval[0]);
 		sweep.csv = csv->count > 0;
 		if (seed->count > 0)
 			sweep.seed = (uint64_t)seed->ival[0];
--- a/src/lab/trace.c
+++ b/src/lab/trace.c
@@ -1,11 +1,11 @@
 /*
- * Traces: a run's packets and faults, to be replayed against stated
- * outcomes.
+ * Traces: the packets and faults of a run, to be replayed and compared with
+ * an expected outcome.
  *
- * A trace is JSON lines. The first names the configuration, the network and
- * the seed of the cluster; each further one is a packet at a node, a fault,
- * a configuration or a health page; the last states the outcome. Replay
- * drives the decision library alone: no callers, no endpoints.
+ * A trace is a sequence of JSON lines. The first holds the seed of the
+ * cluster, its zones and the loss rate; each further one is a packet at a
+ * node, a fault, a configuration or a health page; the last is the expected
+ * outcome. Replay drives the decision library without clients or endpoints.
  */
 #include "lab.h"
 #include "trace.h"
@@ -19,10 +19,10 @@
 
 enum { FLOW_LIMIT = 1 << 20 };
 
-/* What replay knows of one flow: where its packets went. */
+/* Decisions about one flow during a replay. */
 struct replay_flow {
 	struct jt_flow_key key;
-	uint32_t endpoint; /* address, 0: none */
+	uint32_t endpoint; /* IP address; 0: none yet */
 	bool refused;
 };
 
@@ -31,8 +31,8 @@
 	struct jt_cluster *cluster;
 	struct replay_flow *flows; /* open addressing by key */
 	json_t *pages;		   /* health pages by endpoint id */
-	json_t *services;	   /* service by endpoint address */
-	uint64_t forwarded, refused, moved, refused_after, unknown;
+	json_t *services;	   /* unused */
+	uint64_t forwarded, refused, moved, refused_and_forwarded, unknown;
 	uint64_t flows_seen;
 	bool other_service;
 };
@@ -92,7 +92,7 @@
 	json_decref(row);
 }
 
-static json_int_t at(const json_t *list, size_t index)
+static json_int_t integer_at(const json_t *list, size_t index)
 {
 	return json_integer_value(json_array_get(list, index));
 }
@@ -105,9 +105,9 @@
 	for (size_t i = 0; i < c->service_count; i++) {
 		const json_t *s = json_array_get(rows, i);
 
-		c->services[i].id = (uint32_t)at(s, 0);
-		c->services[i].kind = (enum jt_service_kind)at(s, 1);
-		c->services[i].free_permille = (uint32_t)at(s, 2);
+		c->services[i].id = (uint32_t)integer_at(s, 0);
+		c->services[i].kind = (enum jt_service_kind)integer_at(s, 1);
+		c->services[i].free_permille = (uint32_t)integer_at(s, 2);
 	}
 }
 
@@ -117,7 +117,7 @@
 	c->groups = talloc_zero_array(c, struct jt_group_config,
 				      c->group_count + 1);
 	for (size_t i = 0; i < c->group_count; i++)
-		c->groups[i].id = (uint32_t)at(rows, i);
+		c->groups[i].id = (uint32_t)integer_at(rows, i);
 }
 
 static bool read_endpoints(struct jt_config *c, const json_t *rows)
@@ -129,12 +129,12 @@
 		const json_t *e = json_array_get(rows, i);
 		struct jt_endpoint_config *to = &c->endpoints[i];
 
-		to->id = (uint32_t)at(e, 0);
-		to->service = (uint32_t)at(e, 1);
-		to->address.ip = (uint32_t)at(e, 2);
-		to->address.port = (uint16_t)at(e, 3);
-		to->slots = (uint32_t)at(e, 4);
-		to->connections = (uint32_t)at(e, 5);
+		to->id = (uint32_t)integer_at(e, 0);
+		to->service = (uint32_t)integer_at(e, 1);
+		to->address.ip = (uint32_t)integer_at(e, 2);
+		to->address.port = (uint16_t)integer_at(e, 3);
+		to->slots = (uint32_t)integer_at(e, 4);
+		to->connections = (uint32_t)integer_at(e, 5);
 		to->draining = json_is_true(json_array_get(e, 6));
 		if (to->service >= c->service_count)
 			return false;
@@ -151,11 +151,11 @@
 		const json_t *a = json_array_get(rows, i);
 		struct jt_address_config *to = &c->addresses[i];
 
-		to->address.ip = (uint32_t)at(a, 0);
-		to->address.port = (uint16_t)at(a, 1);
+		to->address.ip = (uint32_t)integer_at(a, 0);
+		to->address.port = (uint16_t)integer_at(a, 1);
 		to->protocol = JT_PROTOCOL_TCP;
-		to->service = (uint32_t)at(a, 2);
-		to->group = (uint32_t)at(a, 3);
+		to->service = (uint32_t)integer_at(a, 2);
+		to->group = (uint32_t)integer_at(a, 3);
 		if (to->service >= c->service_count ||
 		    to->group >= c->group_count)
 			return false;
@@ -172,9 +172,9 @@
 		const json_t *s = json_array_get(rows, i);
 		struct jt_share_config *to = &c->shares[i];
 
-		to->service = (uint32_t)at(s, 0);
-		to->group = (uint32_t)at(s, 1);
-		to->weight = (uint32_t)at(s, 2);
+		to->service = (uint32_t)integer_at(s, 0);
+		to->group = (uint32_t)integer_at(s, 1);
+		to->weight = (uint32_t)integer_at(s, 2);
 		if (to->service >= c->service_count ||
 		    to->group >= c->group_count)
 			return false;
@@ -182,7 +182,7 @@
 	return true;
 }
 
-/* A configuration as it was recorded; NULL when it is malformed. */
+/* Parses a configuration; returns NULL if it is malformed. */
 static struct jt_config *read_config(TALLOC_CTX *mem_ctx, const json_t *row)
 {
 	struct jt_config *c = talloc_zero(mem_ctx, struct jt_config);
@@ -229,13 +229,13 @@
 
 	if (verdict->kind == JT_VERDICT_REFUSE) {
 		replay->refused++;
-		replay->refused_after += flow->endpoint != 0;
+		replay->refused_and_forwarded += flow->endpoint != 0;
 		flow->refused = true;
 	}
 	if (verdict->kind != JT_VERDICT_FORWARD)
 		return;
 	replay->forwarded++;
-	replay->refused_after += flow->refused;
+	replay->refused_and_forwarded += flow->refused;
 	if (flow->endpoint == 0)
 		flow->endpoint = verdict->endpoint.ip;
 	else if (flow->endpoint != verdict->endpoint.ip)
@@ -255,50 +255,52 @@
 		return false;
 	*health = (struct jt_health){
 		.endpoint_id = endpoint_id,
-		.flags = (unsigned)at(page, 0),
-		.load = (uint32_t)at(page, 1),
-		.instance = (uint8_t)at(page, 2),
+		.flags = (unsigned)integer_at(page, 0),
+		.load = (uint32_t)integer_at(page, 1),
+		.instance = (uint8_t)integer_at(page, 2),
 	};
 	return true;
 }
 
-static void play_packet(struct replay *replay, const json_t *packet)
+static void replay_packet(struct replay *replay, const json_t *packet)
 {
 	struct jt_flow_key key;
 
 	memset(&key, 0, sizeof(key));
-	key.source = (uint32_t)at(packet, 1);
-	key.source_port = (uint16_t)at(packet, 2);
-	key.destination = (uint32_t)at(packet, 3);
-	key.destination_port = (uint16_t)at(packet, 4);
+	key.source = (uint32_t)integer_at(packet, 1);
+	key.source_port = (uint16_t)integer_at(packet, 2);
+	key.destination = (uint32_t)integer_at(packet, 3);
+	key.destination_port = (uint16_t)integer_at(packet, 4);
 	key.protocol = JT_PROTOCOL_TCP;
-	if (at(packet, 0) < (json_int_t)jt_cluster_node_count(replay->cluster))
-		jt_cluster_packet(replay->cluster, (uint16_t)at(packet, 0),
-				  &key, (uint8_t)at(packet, 5), 0);
+	if (integer_at(packet, 0) <
+	    (json_int_t)jt_cluster_node_count(replay->cluster))
+		jt_cluster_packet(replay->cluster,
+				  (uint16_t)integer_at(packet, 0), &key,
+				  (uint8_t)integer_at(packet, 5), 0);
 }
 
-static void play_fault(struct replay *replay, const char *what,
-		       const json_t *value)
+static void replay_fault(struct replay *replay, const char *kind,
+			 const json_t *value)
 {
-	uint16_t a = (uint16_t)at(value, 0);
-	unsigned b = (unsigned)at(value, 1);
+	uint16_t a = (uint16_t)integer_at(value, 0);
+	unsigned b = (unsigned)integer_at(value, 1);
 	struct jt_cluster *cluster = replay->cluster;
 
-	if (strcmp(what, "start") == 0)
+	if (strcmp(kind, "start") == 0)
 		jt_cluster_start(cluster, a, b);
-	else if (strcmp(what, "crash") == 0)
+	else if (strcmp(kind, "crash") == 0)
 		jt_cluster_crash(cluster, a);
-	else if (strcmp(what, "pause") == 0)
+	else if (strcmp(kind, "pause") == 0)
 		jt_cluster_pause(cluster, a);
-	else if (strcmp(what, "resume") == 0)
+	else if (strcmp(kind, "resume") == 0)
 		jt_cluster_resume(cluster, a);
-	else if (strcmp(what, "leave") == 0)
+	else if (strcmp(kind, "leave") == 0)
 		jt_cluster_leave(cluster, a);
-	else if (strcmp(what, "cut") == 0 || strcmp(what, "mend") == 0)
-		jt_cluster_cut(cluster, a, b, what[0] == 'c');
-	else if (strcmp(what, "store_down") == 0)
+	else if (strcmp(kind, "cut") == 0 || strcmp(kind, "mend") == 0)
+		jt_cluster_cut(cluster, a, b, kind[0] == 'c');
+	else if (strcmp(kind, "store_down") == 0)
 		jt_cluster_store_down(cluster, a != 0);
-	else if (strcmp(what, "page") == 0)
+	else if (strcmp(kind, "page") == 0)
 		json_object_set_new(replay->pages,
 				    json_string_value(json_array_get(value, 0)),
 				    json_incref(json_array_get(value, 1)));
@@ -306,35 +308,35 @@
 		replay->unknown++;
 }
 
-static bool play_row(struct replay *replay, const json_t *row)
+static bool replay_row(struct replay *replay, const json_t *row)
 {
-	const char *what;
+	const char *kind;
 	json_t *value;
 
 	jt_scheduler_run(replay->scheduler, (uint64_t)json_integer_value(
 						    json_object_get(row, "t")));
-	json_object_foreach ((json_t *)row, what, value) {
+	json_object_foreach ((json_t *)row, kind, value) {
 		struct jt_config *config;
 
-		if (strcmp(what, "t") == 0)
+		if (strcmp(kind, "t") == 0)
 			continue;
-		if (strcmp(what, "packet") == 0) {
-			play_packet(replay, value);
-		} else if (strcmp(what, "config") == 0) {
+		if (strcmp(kind, "packet") == 0) {
+			replay_packet(replay, value);
+		} else if (strcmp(kind, "config") == 0) {
 			config = read_config(replay, value);
 			if (config == NULL)
 				return false;
 			jt_cluster_configure(replay->cluster, config, NULL,
 					     NULL);
 		} else {
-			play_fault(replay, what, value);
+			replay_fault(replay, kind, value);
 		}
 	}
 	return true;
 }
 
-static void start(struct replay *replay, const json_t *head,
-		  unsigned break_mechanism)
+static void start_replay(struct replay *replay, const json_t *head,
+			 unsigned break_mechanism)
 {
 	struct jt_cluster_options options;
 
@@ -357,34 +359,35 @@
 	replay->pages = json_object();
 }
 
-/* Each stated figure must be met: "=N" exactly, "<N" and ">N" as bounds. */
-static bool outcome_met(const struct replay *replay, const json_t *stated)
+/* Compares the metrics with the conditions "=N", "<N" or ">N" of an outcome. */
+static bool check_outcome(const struct replay *replay, const json_t *expected)
 {
 	const struct {
 		const char *name;
 		uint64_t value;
-	} figures[] = {
+	} metrics[] = {
 		{"flows", replay->flows_seen},
 		{"forwarded", replay->forwarded},
 		{"refused", replay->refused},
 		{"moved", replay->moved},
-		{"refused_and_forwarded", replay->refused_after},
+		{"refused_and_forwarded", replay->refused_and_forwarded},
 	};
 	bool met = true;
 
-	for (size_t i = 0; i < sizeof(figures) / sizeof(figures[0]); i++) {
-		const char *want = json_string_value(
-			json_object_get(stated, figures[i].name));
-		uint64_t bound = want ? strtoull(want + 1, NULL, 10) : 0;
-		bool good = want == NULL ||
-			    (want[0] == '=' && figures[i].value == bound) ||
-			    (want[0] == '<' && figures[i].value < bound) ||
-			    (want[0] == '>' && figures[i].value > bound);
-
-		printf("%-24s %10llu  stated %-12s %s\n", figures[i].name,
-		       (unsigned long long)figures[i].value, want ? want : "-",
-		       good ? "met" : "NOT MET");
-		met &= good;
+	for (size_t i = 0; i < sizeof(metrics) / sizeof(metrics[0]); i++) {
+		const char *condition = json_string_value(
+			json_object_get(expected, metrics[i].name));
+		uint64_t bound =
+			condition ? strtoull(condition + 1, NULL, 10) : 0;
+		bool ok = condition == NULL ||
+			  (condition[0] == '=' && metrics[i].value == bound) ||
+			  (condition[0] == '<' && metrics[i].value < bound) ||
+			  (condition[0] == '>' && metrics[i].value > bound);
+
+		printf("%-24s %10llu  expected %-12s %s\n", metrics[i].name,
+		       (unsigned long long)metrics[i].value,
+		       condition ? condition : "-", ok ? "ok" : "FAILED");
+		met &= ok;
 	}
 	return met;
 }
@@ -392,7 +395,7 @@
 static int replay_file(FILE *file, unsigned break_mechanism)
 {
 	struct replay *replay = talloc_zero(NULL, struct replay);
-	const json_t *stated;
+	const json_t *expected;
 	json_t *row = NULL;
 	json_error_t error;
 	int result = LAB_USAGE;
@@ -400,16 +403,16 @@
 
 	while ((row = json_loadf(file, JSON_DISABLE_EOF_CHECK, &error))) {
 		line++;
-		stated = json_object_get(row, "outcome");
+		expected = json_object_get(row, "outcome");
 		if (json_object_get(row, "seed") != NULL &&
 		    replay->cluster == NULL) {
-			start(replay, row, break_mechanism);
+			start_replay(replay, row, break_mechanism);
 		} else if (replay->cluster == NULL) {
 			break;
-		} else if (stated != NULL) {
-			result = outcome_met(replay, stated) ? LAB_DONE
-							     : LAB_FAILED;
-		} else if (!play_row(replay, row)) {
+		} else if (expected != NULL) {
+			result = check_outcome(replay, expected) ? LAB_DONE
+								 : LAB_FAILED;
+		} else if (!replay_row(replay, row)) {
 			break;
 		}
 		json_decref(row);
@@ -417,7 +420,8 @@
 	}
 	json_decref(row);
 	if (result == LAB_USAGE || replay->unknown > 0) {
-		fprintf(stderr, "replay: line %lu is no part of a trace\n",
+		fprintf(stderr,
+			"replay: line %lu is not a valid trace record\n",
 			line + 1);
 		result = LAB_USAGE;
 	}
@@ -428,9 +432,11 @@
 
 int lab_replay(int argc, char **argv)
 {
-	struct arg_file *trace = arg_file0(NULL, NULL, "TRACE", "JSON lines");
+	struct arg_file *trace =
+		arg_file0(NULL, NULL, "TRACE", "trace file, JSON lines");
 	struct arg_int *broken =
-		arg_int0(NULL, "break", "FLAGS", "enum jt_break, for proofs");
+		arg_int0(NULL, "break", "FLAGS",
+			 "features to switch off: enum jt_break");
 	struct arg_lit *help = arg_lit0("h", "help", "this text");
 	struct arg_end *end = arg_end(4);
 	void *table[] = {trace, broken, help, end};
@@ -441,7 +447,7 @@
 	if (help->count > 0) {
 		result = lab_help("replay", table);
 	} else if (errors > 0 || trace->count == 0) {
-		fprintf(stderr, "replay: a TRACE is needed\n");
+		fprintf(stderr, "replay: TRACE is required\n");
 	} else {
 		file = fopen(trace->filename[0], "r");
 		if (file == NULL) {
--- a/src/lab/trace.h
+++ b/src/lab/trace.h
@@ -1,4 +1,4 @@
-/* Rows of a trace; see trace.c for the format. */
+/* Writing of traces; trace.c describes the format. */
 #ifndef TRACE_H
 #define TRACE_H
 
@@ -6,6 +6,7 @@
 
 #include <stdio.h>
 
+/* Writes a configuration as one line of a trace. */
 void trace_config(FILE *trace, uint64_t time_us,
 		  const struct jt_config *config);
 
--- a/src/lab/world.c
+++ b/src/lab/world.c
@@ -7,10 +7,12 @@
 #include <string.h>
 
 enum {
-	FABRIC_US = 200000,
-	UNREADY_POLLS = 3, /* a silent /ready page counts after so many */
-	REVISION_WATCH_US = 50000,
-	LEAVE_STOP_US = 5 * SECOND_US, /* of a baseline's node */
+	FABRIC_POLL_US = 200000, /* interval of the fabric's readiness polls */
+	UNREADY_POLL_LIMIT =
+		3, /* failed polls until a silent node is removed */
+	REVISION_POLL_US = 50000,
+	BASELINE_LEAVE_US =
+		5 * SECOND_US, /* time a baseline node takes to leave */
 	MOVE_POLL_US = 500000,
 };
 
@@ -41,7 +43,7 @@
 	return jt_scheduler_now(world->scheduler);
 }
 
-double world_second(const struct world *world)
+double world_time_s(const struct world *world)
 {
 	return ((double)world_now(world) - BOOT_US) / SECOND_US;
 }
@@ -132,7 +134,6 @@
 	config->share_count = world->demand_count;
 }
 
-/* Hand the operators' present wishes to the cluster as a new revision. */
 void world_configure(struct world *world)
 {
 	struct jt_config *config = talloc_zero(world, struct jt_config);
@@ -151,7 +152,7 @@
 			       world->revision_count + 1);
 	world->revisions[world->revision_count++] =
 		(struct pending_revision){.revision = config->revision};
-	jt_cluster_configure(world->cluster, config, oracle_accepted, world);
+	jt_cluster_configure(world->cluster, config, oracle_on_accepted, world);
 }
 
 /* Fabric */
@@ -172,55 +173,56 @@
 			ready = baseline_ready(world, n);
 			silent = !ready;
 		}
-		/* A page that says "not ready" is believed at once. */
+		/* A node that reports "not ready" is removed at once. */
 		if (ready)
 			world->unready_polls[n] = 0;
 		else if (!silent)
-			world->unready_polls[n] = UNREADY_POLLS;
-		else if (world->unready_polls[n] < UNREADY_POLLS)
+			world->unready_polls[n] = UNREADY_POLL_LIMIT;
+		else if (world->unready_polls[n] < UNREADY_POLL_LIMIT)
 			world->unready_polls[n]++;
-		if (world->unready_polls[n] < UNREADY_POLLS)
+		if (world->unready_polls[n] < UNREADY_POLL_LIMIT)
 			world->live[world->live_count++] = n;
 	}
 }
 
-static void on_fabric(void *object, uint64_t argument)
+static void on_fabric_poll(void *object, uint64_t argument)
 {
 	struct world *world = object;
 
 	(void)argument;
 	fabric_poll(world);
-	jt_scheduler_after(world->scheduler, FABRIC_US, on_fabric, world, 0);
+	jt_scheduler_after(world->scheduler, FABRIC_POLL_US, on_fabric_poll,
+			   world, 0);
 }
 
-static void on_health(void *object, uint64_t argument)
+static void on_health_sample(void *object, uint64_t argument)
 {
 	struct world *world = object;
 
 	(void)argument;
 	endpoints_sample_health(world);
 	endpoints_trace(world);
-	jt_scheduler_after(world->scheduler, HEALTH_SAMPLE_US, on_health, world,
-			   0);
+	jt_scheduler_after(world->scheduler, HEALTH_SAMPLE_US, on_health_sample,
+			   world, 0);
 }
 
-static void on_second(void *object, uint64_t argument)
+static void on_sample(void *object, uint64_t argument)
 {
 	struct world *world = object;
 
 	(void)argument;
-	oracle_second(world);
-	jt_scheduler_after(world->scheduler, SECOND_US, on_second, world, 0);
+	oracle_sample(world);
+	jt_scheduler_after(world->scheduler, SECOND_US, on_sample, world, 0);
 }
 
 /* Events */
 
-void world_note(struct world *world, const char *kind, const char *target)
+void world_log_event(struct world *world, const char *kind, const char *target)
 {
 	if (world->options.timeline != NULL)
 		fprintf(world->options.timeline,
 			"{\"at_s\":%.3f,\"event\":\"%s\",\"target\":\"%s\"}\n",
-			world_second(world), kind, target);
+			world_time_s(world), kind, target);
 }
 
 static void trace_fault(struct world *world, const char *what, unsigned a,
@@ -263,7 +265,7 @@
 		jt_cluster_resume(world->cluster, node);
 }
 
-static void baseline_left(void *object, uint64_t node)
+static void on_baseline_left(void *object, uint64_t node)
 {
 	baseline_stop(object, (uint16_t)node);
 }
@@ -274,8 +276,8 @@
 	if (world->cluster != NULL)
 		jt_cluster_leave(world->cluster, node);
 	else
-		jt_scheduler_after(world->scheduler, LEAVE_STOP_US,
-				   baseline_left, world, node);
+		jt_scheduler_after(world->scheduler, BASELINE_LEAVE_US,
+				   on_baseline_left, world, node);
 }
 
 static void zone_crash(struct world *world, unsigned zone, bool crash)
@@ -303,8 +305,8 @@
 	}
 }
 
-static struct endpoint *event_endpoint(struct world *world,
-				       const struct scenario_event *event)
+static struct endpoint *find_event_endpoint(struct world *world,
+					    const struct scenario_event *event)
 {
 	unsigned number = 0;
 
@@ -319,7 +321,8 @@
 	return NULL;
 }
 
-static void drain(struct world *world, struct endpoint *endpoint, bool begin)
+static void set_draining(struct world *world, struct endpoint *endpoint,
+			 bool begin)
 {
 	endpoint->draining = begin;
 	endpoint->drain_revision = world->revision + 1;
@@ -328,8 +331,8 @@
 	world_configure(world);
 }
 
-/* An address is free when no ready node's cell lists its old endpoint. */
-static bool address_released(const struct world *world, uint32_t endpoint_id)
+/* Returns true once no node's cell state lists the endpoint any more. */
+static bool is_address_released(const struct world *world, uint32_t endpoint_id)
 {
 	for (uint16_t n = 0; n < world->scenario->node_count; n++) {
 		const struct jt_core *core;
@@ -345,48 +348,50 @@
 	return true;
 }
 
-struct move {
+/* A pending move of an endpoint's address to another service. */
+struct address_move {
 	struct world *world;
 	struct endpoint *endpoint;
 	unsigned to_service;
 };
 
-static void move_swap(void *object, uint64_t argument)
+static void move_finish(void *object, uint64_t argument)
 {
-	struct move *move = object;
+	struct address_move *move = object;
 	struct world *world = move->world;
 
 	(void)argument;
-	if (!address_released(world, move->endpoint->id)) {
-		jt_scheduler_after(world->scheduler, MOVE_POLL_US, move_swap,
+	if (!is_address_released(world, move->endpoint->id)) {
+		jt_scheduler_after(world->scheduler, MOVE_POLL_US, move_finish,
 				   move, 0);
 		return;
 	}
 	endpoint_crash(world, move->endpoint);
 	move->endpoint->released = true;
 	endpoint_add(world, move->to_service, move->endpoint->address);
-	world_note(world, "endpoint_moved", move->endpoint->name);
+	world_log_event(world, "endpoint_moved", move->endpoint->name);
 	world_configure(world);
 	talloc_free(move);
 }
 
-static void move_remove(struct world *world, struct endpoint *endpoint,
-			unsigned to_service)
+static void move_begin(struct world *world, struct endpoint *endpoint,
+		       unsigned to_service)
 {
-	struct move *move = talloc_zero(world, struct move);
+	struct address_move *move = talloc_zero(world, struct address_move);
 
 	move->world = world;
 	move->endpoint = endpoint;
 	move->to_service = to_service;
 	endpoint->configured = false;
 	world_configure(world);
-	jt_scheduler_after(world->scheduler, MOVE_POLL_US, move_swap, move, 0);
+	jt_scheduler_after(world->scheduler, MOVE_POLL_US, move_finish, move,
+			   0);
 }
 
 static void apply_endpoint_event(struct world *world,
 				 const struct scenario_event *event, bool begin)
 {
-	struct endpoint *e = event_endpoint(world, event);
+	struct endpoint *e = find_event_endpoint(world, event);
 	uint64_t until =
 		begin ? event->for_s > 0
 				? world_now(world) +
@@ -398,7 +403,7 @@
 		return;
 	switch (event->kind) {
 	case EVENT_ENDPOINT_DRAIN:
-		drain(world, e, begin);
+		set_draining(world, e, begin);
 		break;
 	case EVENT_ENDPOINT_CRASH:
 		if (begin)
@@ -414,14 +419,14 @@
 	case EVENT_ENDPOINT_SHED:
 		e->shed_until_us = until;
 		break;
-	case EVENT_ENDPOINT_LIE:
-		e->lie = begin ? event->value : -1;
+	case EVENT_ENDPOINT_FALSE_LOAD:
+		e->load_override = begin ? event->value : -1;
 		break;
 	case EVENT_ENDPOINT_MOVE:
 		if (begin)
-			drain(world, e, true);
+			set_draining(world, e, true);
 		else
-			move_remove(world, e, event->to_service);
+			move_begin(world, e, event->to_service);
 		break;
 	default:
 		break;
@@ -451,8 +456,9 @@
 	}
 }
 
-static void apply_platform_event(struct world *world,
-				 const struct scenario_event *event, bool begin)
+static void apply_environment_event(struct world *world,
+				    const struct scenario_event *event,
+				    bool begin)
 {
 	const struct scenario *s = world->scenario;
 
@@ -541,7 +547,7 @@
 	case EVENT_STORE_ANSWER_LOST:
 	case EVENT_MACHINE_LIST_LAG:
 	case EVENT_HEALTH_LAG:
-		apply_platform_event(world, event, begin);
+		apply_environment_event(world, event, begin);
 		break;
 	default:
 		apply_endpoint_event(world, event, begin);
@@ -549,7 +555,7 @@
 	}
 }
 
-/* argument: event index, and whether it begins */
+/* argument: event index << 1 | 1 at the beginning, | 0 at the end */
 static void on_event(void *object, uint64_t argument)
 {
 	struct world *world = object;
@@ -557,8 +563,8 @@
 		&world->scenario->events[argument >> 1];
 	bool begin = argument & 1;
 
-	world_note(world, scenario_event_name(event->kind),
-		   begin ? "begins" : "ends");
+	world_log_event(world, scenario_event_name(event->kind),
+			begin ? "begins" : "ends");
 	apply_event(world, event, begin);
 }
 
@@ -579,15 +585,15 @@
 	}
 }
 
-/* Configurations are watched often, because their lag is a figure. */
-static void on_revision_watch(void *object, uint64_t argument)
+/* Polled more often than other samples, to measure the configuration lag. */
+static void on_revision_poll(void *object, uint64_t argument)
 {
 	struct world *world = object;
 
 	(void)argument;
-	oracle_configuration(world);
-	jt_scheduler_after(world->scheduler, REVISION_WATCH_US,
-			   on_revision_watch, world, 0);
+	oracle_check_config(world);
+	jt_scheduler_after(world->scheduler, REVISION_POLL_US, on_revision_poll,
+			   world, 0);
 }
 
 /* Life cycle */
@@ -640,7 +646,7 @@
 	options.store_operations_per_s = (uint32_t)s->store_operations_per_s;
 	options.cell_nodes = s->cell_nodes;
 	options.break_mechanism = world->options.break_mechanism;
-	options.on_verdict = flows_verdict;
+	options.on_verdict = flows_on_verdict;
 	options.read_health = endpoint_health;
 	options.private_data = world;
 	return jt_cluster_create(world, world->scheduler, &options);
@@ -668,7 +674,7 @@
 	talloc_set_destructor(world, world_destructor);
 	world->scheduler = jt_scheduler_create(world);
 	world->end_us = BOOT_US + (uint64_t)(scenario->duration_s * SECOND_US);
-	world->load_end_us = world->end_us - QUIET_US;
+	world->load_end_us = world->end_us - COOLDOWN_US;
 	world->node_revision =
 		talloc_zero_array(world, uint64_t, JT_CLUSTER_NODES);
 	world->node_bytes =
@@ -691,14 +697,14 @@
 json_t *world_run(struct world *world)
 {
 	world_configure(world);
-	world->revision_count = 0; /* the first one is there from the start */
+	world->revision_count = 0; /* the first revision is not measured */
 	for (uint16_t n = 0; n < world->scenario->node_count; n++)
 		node_start(world, n);
-	on_health(world, 0);
-	on_fabric(world, 0);
+	on_health_sample(world, 0);
+	on_fabric_poll(world, 0);
 	jt_scheduler_run(world->scheduler, BOOT_US);
-	on_second(world, 0);
-	on_revision_watch(world, 0);
+	on_sample(world, 0);
+	on_revision_poll(world, 0);
 	schedule_events(world);
 	flows_start(world);
 	jt_scheduler_run(world->scheduler, world->end_us);
