--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# Thin front of CMake. `make demo` and `make check` need nothing installed
-# but make, a shell and apt (Debian 12).
+# Wrapper for CMake. `make demo` and `make check` require only make, a shell and
+# apt (Debian 12).
 BUILD := build
 CHECK := build-check
 PACKAGES := build-essential cmake ninja-build pkg-config clang clang-format \
@@ -17,7 +17,7 @@
 
 all: build
 
-# Installs only what is missing, so that it costs nothing when all is there.
+# Installs the missing packages.
 packages:
 	@missing=$$(for p in $(PACKAGES); do dpkg -s $$p >/dev/null 2>&1 || \
 	  echo $$p; done); \
@@ -38,8 +38,8 @@
 bench: build
 	scripts/bench.sh $(BUILD)
 
-# Fresh seeds over real processes for SECONDS, then those that ever failed: JOBS
-# runs side by side, of NODES processes each.
+# Runs random seeds with real processes for SECONDS, then the regression seeds:
+# JOBS parallel runs of NODES processes each.
 soak: build
 	scripts/soak.sh $(BUILD) $(SECONDS) $(JOBS) $(NODES)
 
--- a/bench/bench.c
+++ b/bench/bench.c
@@ -148,8 +148,7 @@
 	return NULL;
 }
 
-/* Returns the packets per second that arrive while senders flood the forwarder.
- */
+/* Returns the packets per second forwarded under a flood of packets. */
 static double measure_throughput(void)
 {
 	pthread_t senders[SENDERS];
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,4 +1,4 @@
 #!/usr/bin/env bash
-# Benchmarks, as JSON lines with ratios from one run.
+# Runs the benchmarks; prints JSON lines. Usage: scripts/bench.sh [BUILD]
 set -eu
 exec "${1:-build}/jaspertrack-bench"
--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Every test: formatter and linters, the model, then all tests under
-# AddressSanitizer and UndefinedBehaviorSanitizer, and the threaded one under
-# ThreadSanitizer. Tests in KNOWN-RED.txt are run, printed and passed over.
+# Runs all checks: formatter and linters, the model, all tests under
+# AddressSanitizer and UndefinedBehaviorSanitizer, the threaded test under
+# ThreadSanitizer, and a short soak. Tests in KNOWN-RED.txt are listed and
+# excluded.
 set -u
 cd "$(dirname "$0")/.."
 build=${1:-build-check}
@@ -21,7 +22,7 @@
 cmake -S . -B "$build" -G Ninja -DJT_SANITIZE=address >/dev/null &&
   cmake --build "$build" >"$build/build.log" 2>&1 ||
   { tail -40 "$build/build.log"; exit 1; }
-step "circles"
+step "circular dependencies"
 scripts/circles.sh "$build" || failed=1
 
 step "build with thread sanitizer"
@@ -33,18 +34,17 @@
 
 red=$(grep -v '^#' KNOWN-RED.txt | cut -d: -f1 | tr -d ' ' | grep .)
 if [ -n "$red" ]; then
-  step "known red, passed over"
+  step "known failures, excluded"
   grep -v '^#' KNOWN-RED.txt
   exclude=$(echo "$red" | paste -sd'|')
 fi
 step "tests"
-# lwIP, argtable and others keep what they allocate until the end.
+# lwIP, argtable and others never free some of their memory.
 export ASAN_OPTIONS=detect_leaks=0
 ctest --test-dir "$build" -j "$(nproc)" --output-on-failure \
   ${exclude:+-E "^($exclude)$"} || failed=1
 
-# Real processes, the address sanitizer in them; passed over where it is known
-# red.
+# Runs real processes with AddressSanitizer, unless it is a known failure.
 if ! echo "$red" | grep -qx jaspertrack-soak; then
   step "soak"
   scripts/soak.sh "$build" short 4 || failed=1
--- a/scripts/circles.sh
+++ b/scripts/circles.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Fails where source files call each other in a circle: by the symbols that the
-# objects of BUILD define and use. Circles that are still to be removed stand in
-# scripts/circles-known.txt, a line each with its files; none may be added.
+# Fails if source files depend on each other in a circle, according to the
+# symbols that the object files of BUILD define and use. Known circular
+# dependencies are listed in scripts/circles-known.txt, one per line.
 # Usage: scripts/circles.sh BUILD
 set -u
 [ $# -eq 1 ] || { echo "usage: scripts/circles.sh BUILD" >&2; exit 2; }
@@ -11,17 +11,17 @@
 trap 'rm -rf "$work"' EXIT
 
 find "$build" -path '*src/*' -name '*.c.o' | while read -r object; do
-  # CMake puts the objects of a subdirectory into a folder of their target.
+  # CMake puts the objects of a subdirectory into a directory per target.
   file=$(echo "src/${object##*/src/}" |
     sed -E 's#CMakeFiles/[^/]*\.dir/##; s#\.o$##')
   nm "$object" | awk -v file="$file" '
     $(NF - 1) ~ /^[TDBR]$/ { print "defines", $NF, file }
     $(NF - 1) == "U" { print "uses", $NF, file }'
 done | sort -u >"$work/symbols"
-[ -s "$work/symbols" ] || { echo "no objects below $build"; exit 1; }
+[ -s "$work/symbols" ] || { echo "no object files below $build"; exit 1; }
 
-# Pairs "user used", but those within a known circle. Programs' main() and
-# what two programs define alike belong to no file alone.
+# Prints pairs "user used", except within a known circle. Symbols that several
+# files define, such as main(), are ignored.
 awk -v known="$known" '
   BEGIN {
     while ((getline line < known) > 0) {
@@ -44,8 +44,8 @@
   }' "$work/symbols" | sort -u >"$work/pairs"
 
 if ! tsort "$work/pairs" >/dev/null 2>"$work/loops"; then
-  echo "files call each other in a circle:"
+  echo "circular dependencies between files:"
   sed 's/^tsort: //' "$work/loops"
   exit 1
 fi
-echo "no circle but $(grep -vc '^#' "$known") known ones"
+echo "no circular dependencies except $(grep -vc '^#' "$known") known ones"
--- a/scripts/compare-ways-table.jq
+++ b/scripts/compare-ways-table.jq
@@ -1,4 +1,4 @@
-# summary.json to a Markdown table.
+# Converts summary.json to a Markdown table.
 def r(n): if . == null then "-" else . * pow(10; n) | round / pow(10; n) | tostring end;
 def signed: if . == null then "-" elif . >= 0 then "+" + r(4) else r(4) end;
 ["site", "day", "way", "plays", "worth", "sd", "in aim", "urgent", "others", "refused", "failed", "broken", "against the first", "sd", "least", "most"],
--- a/scripts/compare-ways.jq
+++ b/scripts/compare-ways.jq
@@ -1,33 +1,33 @@
-# Plays (lines of results.jsonl) to one object for each site, day and way:
-# means, standard deviations, and differences from the way $base on the same
-# site, day and seed.
+# Summarises runs (lines of results.jsonl) in one object per site, day and way:
+# means, standard deviations, and differences from way $base for the same site,
+# day and seed.
 def mean: if length > 0 then add / length else null end;
-def spread: if length < 2 then 0 else mean as $m | (map(pow(. - $m; 2)) | add / (length - 1) | sqrt) end;
+def deviation: if length < 2 then 0 else mean as $m | (map(pow(. - $m; 2)) | add / (length - 1) | sqrt) end;
 (if $base == "" then .[0].way else $base end) as $base
 | . as $all
-| def other($p): $all[] | select(.way == $base and .site == $p.site and .day == $p.day and .seed == $p.seed);
+| def base_runs($run): $all[] | select(.way == $base and .site == $run.site and .day == $run.day and .seed == $run.seed);
   def column(name): map(.[name] | select(. != null));
-  sort_by([.site, .day]) # stable: ways stay in the order in which they were played
+  sort_by([.site, .day]) # stable: keeps the order of the ways
 | group_by([.site, .day, .load])
-| map(sort_by(.way != $base) | . as $plays
-  | (reduce $plays[].way as $w ([]; if index($w) then . else . + [$w] end))[] as $way
-  | [$plays[] | select(.way == $way)] as $own
-  | ([$own[] | . as $p | [other($p)] | .[0] | select(. != null) | $p.worth - .worth]) as $differences
+| map(sort_by(.way != $base) | . as $runs
+  | (reduce $runs[].way as $w ([]; if index($w) then . else . + [$w] end))[] as $way
+  | [$runs[] | select(.way == $way)] as $way_runs
+  | ([$way_runs[] | . as $run | [base_runs($run)] | .[0] | select(. != null) | $run.worth - .worth]) as $differences
   | {
-    site: $own[0].site, day: $own[0].day, load: $own[0].load, way: $way,
-    plays: ($own | length),
-    worth: ($own | column("worth") | mean),
-    worth_spread: ($own | column("worth") | spread),
-    in_aim: ($own | column("in_aim") | mean),
-    urgent_in_aim: ($own | column("urgent_in_aim") | mean),
-    other_in_aim: ($own | column("other_in_aim") | mean),
-    refused: ($own | column("refused") | mean),
-    failed: ($own | column("failed") | mean),
-    requests: ($own | column("requests") | mean),
-    broken: ($own | column("broken") | add),
+    site: $way_runs[0].site, day: $way_runs[0].day, load: $way_runs[0].load, way: $way,
+    plays: ($way_runs | length),
+    worth: ($way_runs | column("worth") | mean),
+    worth_spread: ($way_runs | column("worth") | deviation),
+    in_aim: ($way_runs | column("in_aim") | mean),
+    urgent_in_aim: ($way_runs | column("urgent_in_aim") | mean),
+    other_in_aim: ($way_runs | column("other_in_aim") | mean),
+    refused: ($way_runs | column("refused") | mean),
+    failed: ($way_runs | column("failed") | mean),
+    requests: ($way_runs | column("requests") | mean),
+    broken: ($way_runs | column("broken") | add),
     pairs: ($differences | length),
     difference: (if $way == $base then null else ($differences | mean) end),
-    difference_spread: (if $way == $base then null else ($differences | spread) end),
+    difference_spread: (if $way == $base then null else ($differences | deviation) end),
     difference_least: (if $way == $base then null else ($differences | min) end),
     difference_most: (if $way == $base then null else ($differences | max) end)
   })
--- a/scripts/compare-ways.sh
+++ b/scripts/compare-ways.sh
@@ -1,22 +1,24 @@
 #!/usr/bin/env bash
-# Plays ways x sites x days x seeds by a bench command, and tells how the ways
-# differ, pair by pair: a table, and JSON. Begun plays that are in OUTPUT are
-# not played again, so that a call that was ended goes on where it was.
+# Runs a bench command for all combinations of ways (policies), sites, days and
+# seeds, and compares the ways run by run in a table and JSON. Runs whose
+# results are in the output directory are skipped, so that an interrupted
+# comparison can be resumed.
 #
 # Usage: scripts/compare-ways.sh --output DIR [OPTION...]
-#   --output DIR           results.jsonl, summary.json and table.md go there
-#   --bench COMMAND        plays one day: {site}, {day}, {seed} and {report}
-#                          (a file to write) are filled in; without it only
-#                          the table of what is there is made
-#   --way NAME[=SETTINGS]  the first one is what others are compared with;
-#                          SETTINGS are added to those of the nodes, such as
+#   --output DIR           directory of results.jsonl, summary.json, table.md
+#   --bench COMMAND        command for one run; {site}, {day}, {seed} and
+#                          {report} (a file to write) are substituted; without
+#                          it, only existing results are summarised
+#   --way NAME[=SETTINGS]  the first way is the baseline of the comparison;
+#                          SETTINGS are appended to the nodes' settings, e.g.
 #                          no-news='without = ( "news" );'
-#   --site FILE, --day DAY each may come several times
-#   --loads "0.5 1 2"      a day file with @LOAD@ in it is played for each
+#   --site FILE, --day DAY may be repeated
+#   --loads "0.5 1 2"      load levels for day files that contain @LOAD@
 #   --seeds "1 2 3"        default "1"
-#   --urgent KIND,...      kinds of requests that are told apart
-#   --settings FILE        of the nodes (platform/settings.cfg)
-# Exit: 0 all played, 1 some plays failed (named on standard error), 2 usage.
+#   --urgent KIND,...      request classes that are reported separately
+#   --settings FILE        settings of the nodes (platform/settings.cfg)
+# Exit status: 0 all runs succeeded, 1 some failed (listed on standard error),
+# 2 wrong usage.
 set -u
 top=$(cd "$(dirname "$0")/.." && pwd)
 settings=$top/platform/settings.cfg
@@ -44,8 +46,8 @@
 results=$output/results.jsonl
 touch "$results"
 
-# Day files as they are played: "LOAD DAY" a line, LOAD - where it has none.
-day_list() {
+# Prints the day files to run as lines "LOAD DAY"; LOAD is - without @LOAD@.
+list_days() {
   local day load file
   for day in "${days[@]}"; do
     if [ -f "$day" ] && grep -q '@LOAD@' "$day"; then
@@ -60,20 +62,20 @@
   done
 }
 
-# The settings are the nodes' own file for the time of one play.
-kept=''
-restore() { [ -z "$kept" ] || { cp "$kept" "$settings"; rm "$kept"; kept=''; }; }
+# Modifies the settings file of the nodes for one run, then restores it.
+saved_settings=''
+restore() { [ -z "$saved_settings" ] || { cp "$saved_settings" "$settings"; rm "$saved_settings"; saved_settings=''; }; }
 trap restore EXIT
 trap 'exit 1' INT TERM
-play() { # NAME SETTINGS SITE LOAD DAY SEED
+run_bench() { # NAME SETTINGS SITE LOAD DAY SEED
   local report=$output/report.json log=$output/play.log command status=0
   command=${bench//'{site}'/$3}
   command=${command//'{day}'/$5}
   command=${command//'{seed}'/$6}
   command=${command//'{report}'/$report}
   rm -f "$report"
-  kept=$(mktemp)
-  cp "$settings" "$kept"
+  saved_settings=$(mktemp)
+  cp "$settings" "$saved_settings"
   [ -z "$2" ] || printf '%s\n' "$2" >>"$settings"
   bash -c "$command" >"$log" 2>&1 </dev/null || status=$?
   restore
@@ -87,7 +89,7 @@
     '{way: $way, site: $site, day: $day, load: $load, seed: $seed} + .' \
     "$output/one.json" >>"$results"
 }
-played() { # NAME SITE DAY SEED
+has_result() { # NAME SITE DAY SEED
   jq -e --arg way "$1" --arg site "$(basename "$2" .toml)" \
     --arg day "$(basename "$3" .toml)" --argjson seed "$4" -s \
     'any(.way == $way and .site == $site and .day == $day and .seed == $seed)' \
@@ -97,21 +99,21 @@
 failed=0
 if [ -n "$bench" ]; then
   [ ${#ways[@]} -gt 0 ] && [ ${#sites[@]} -gt 0 ] && [ ${#days[@]} -gt 0 ] || usage
-  list=$(day_list)
+  day_files=$(list_days)
   count=0
-  all=$(($(echo "$list" | wc -l) * $(echo "$seeds" | wc -w) * ${#sites[@]} * ${#ways[@]}))
+  total=$(($(echo "$day_files" | wc -l) * $(echo "$seeds" | wc -w) * ${#sites[@]} * ${#ways[@]}))
   for seed in $seeds; do
     for site in "${sites[@]}"; do
       while read -r load day; do
         for way in "${ways[@]}"; do
-          name=${way%%=*} extra=''
-          [ "$way" = "$name" ] || extra=${way#*=}
+          name=${way%%=*} added_settings=''
+          [ "$way" = "$name" ] || added_settings=${way#*=}
           count=$((count + 1))
-          echo "$count/$all $name $(basename "$site") $(basename "$day") seed $seed" >&2
-          played "$name" "$site" "$day" "$seed" ||
-            play "$name" "$extra" "$site" "$load" "$day" "$seed" || failed=1
+          echo "$count/$total $name $(basename "$site") $(basename "$day") seed $seed" >&2
+          has_result "$name" "$site" "$day" "$seed" ||
+            run_bench "$name" "$added_settings" "$site" "$load" "$day" "$seed" || failed=1
         done
-      done <<<"$list"
+      done <<<"$day_files"
     done
   done
 fi
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# The main job on loopback, as separate processes: store, machine list,
-# fabric, endpoints, callers and balancers of one deployment. While traffic
-# runs, balancers are killed and joined, an endpoint drains, a share changes.
-# The last line is one JSON object; the exit code is 1 if a property failed.
+# Demonstrates a deployment on loopback with separate processes: store, machine
+# list, fabric, endpoints, clients and balancers. Under traffic, balancers are
+# killed and added, an endpoint is drained and a share is changed. The last line
+# is a JSON object; the exit status is 1 if a property was violated.
 #
 # Environment: DEPLOYMENT (turnos-andinos, sabarmati), SCENARIO (default,
 # two-kills, planned), DURATION_S, BUILD.
@@ -26,7 +26,7 @@
 }
 trap stop_all EXIT
 
-start() { # NAME COMMAND...: runs in the background, logs to a file
+start() { # NAME COMMAND...: runs in the background with a log file
   local name=$1
   shift
   "$@" >"$run/$name.out" 2>"$run/$name.log" &
@@ -134,7 +134,7 @@
     api_node=2
     ;;
   planned)
-    note "balancer 1 is told to leave"
+    note "balancer 1 is stopped as planned"
     kill -TERM "${node_pid[1]}"
     sleep 6
     curl -s -X DELETE "http://$machines/machines/node-1" >/dev/null
@@ -154,12 +154,12 @@
 for f in $(seq $REQUEST_ENDPOINTS); do runs+="$(curl -s "http://127.30.1.$f:8080/runs"),"; done
 echo "${runs%,}]" >"$run/ran.json"
 [ -n "${KEEP_LOGS:-}" ] && cp "$run"/*.log "$KEEP_LOGS"/
-line=$(jq -c --slurpfile ran "$run/ran.json" --slurpfile told "$run/runs.json" \
+line=$(jq -c --slurpfile ran "$run/ran.json" --slurpfile client "$run/runs.json" \
   --arg d "$deployment" --arg s "$scenario" '
   ($ran[0] | add) as $all
   | {deployment: $d, scenario: $s} + .
   + {requests_run_twice: (($all|length) - ($all|unique|length)),
-     refused_but_run: (($told[0].refused - ($told[0].refused - $all))|length)}' "$run/caller.out")
+     refused_but_run: (($client[0].refused - ($client[0].refused - $all))|length)}' "$run/caller.out")
 bad=$(echo "$line" | jq '.requests_run_twice + .refused_but_run')
 [ "$bad" = 0 ] || code=1
 echo "$line"
--- a/scripts/experiments.sh
+++ b/scripts/experiments.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Every scenario, policy and seed; one JSON object a line on stdout.
+# Runs every scenario, policy and seed; prints one JSON object per line.
 # Usage: scripts/experiments.sh [SEEDS] [POLICIES] [SCENARIO...]
 set -u
 top=$(cd "$(dirname "$0")/.." && pwd)
@@ -16,7 +16,7 @@
   done
 done | xargs -0 -n 3 -P "${JOBS:-4}" sh -c '
   line=$("$0" run "$1" --policy "$2" --seed "$3") || [ $? -eq 1 ] ||
-    echo "$1 $2 $3: the run itself failed" >&2
-  # One writer at a time: a long line takes more than one write.
+    echo "$1 $2 $3: the run failed" >&2
+  # Serialise the output: a long line takes more than one write.
   printf "%s\n" "$line" | flock "$0" cat' "$lab"
 exit 0
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# libFuzzer over every target for SECONDS in all; new inputs that fail are
-# left in fuzz/found/. Usage: scripts/fuzz.sh SECONDS
+# Runs libFuzzer on all targets, for SECONDS in total. Failing inputs are stored
+# in fuzz/found/. Usage: scripts/fuzz.sh SECONDS
 set -u
 cd "$(dirname "$0")/.."
 seconds=${1:-60}
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# clang-format, cppcheck and clang-tidy over our own code; generated code is
-# left out.
+# Runs clang-format, cppcheck and clang-tidy on all sources except generated
+# code.
 set -u
 cd "$(dirname "$0")/.."
 mapfile -t files < <(git ls-files 'src/*.[ch]' 'include/*.h' 'tests/*.[ch]' \
--- a/scripts/measurement-table.sh
+++ b/scripts/measurement-table.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# A Markdown table from the JSON lines of scripts/experiments.sh: for each
-# scenario and policy the sum of broken flows and violations over the seeds,
-# medians of imbalance, and the worst of the rest.
+# Prints a Markdown table from the JSON lines of scripts/experiments.sh: for each
+# scenario and policy, over all seeds, the sums of broken flows and violations,
+# medians of imbalance, refusals and relayed packets, and maxima of the rest.
 set -eu
 jq -rs '
   def med: sort | .[(length - 1) / 2 | floor];
   def r(n): . * pow(10; n) | round / pow(10; n);
-  ["scenario","policy","seeds","broken","violations","imbalance p50","p99","share deficit p99","refused","relayed part","control B/s mean","busiest minute"],
+  ["scenario","policy","seeds","broken","violations","imbalance p50","p99","share deficit p99","refused","relayed fraction","control B/s mean","busiest minute"],
   ["---","---","--:","--:","--:","--:","--:","--:","--:","--:","--:","--:"],
   (group_by([.scenario, (.policy | if . == "jaspertrack" then "0" else . end)])[] | [
     .[0].scenario, .[0].policy, length,
--- a/scripts/model.sh
+++ b/scripts/model.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks models/handover.pml with spin: as it is it must hold, and without
-# each mechanism it must not.
+# Checks models/handover.pml with spin: the complete model must have no error,
+# and each variant without one feature must have one.
 set -u
 models=$(cd "$(dirname "$0")/../models" && pwd)
 work=$(mktemp -d)
@@ -15,5 +15,5 @@
   [ "$([ "${errors:-x}" = 0 ] && echo 0 || echo 1)" = "$1" ] && [ -n "$errors" ] || failed=1
 }
 check 0 ""
-for broken in NO_BARRIER NO_FREEZE TAKE_OLD NO_LEASE; do check 1 $broken; done
+for feature in NO_BARRIER NO_FREEZE TAKE_OLD NO_LEASE; do check 1 $feature; done
 exit $failed
--- a/scripts/real-nodes.sh
+++ b/scripts/real-nodes.sh
@@ -1,5 +1,6 @@
-# Real nodes on loopback for scripts that prove something over them; sourced,
-# with $0 in scripts/. Sets build, top, run and store; ends what it started.
+# Helpers for test scripts that run real nodes on loopback; to be sourced by a
+# script in scripts/. Sets build, top, run and store; stops all started processes
+# on exit.
 top=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD:-$top/build}
 run=$(mktemp -d)
@@ -19,7 +20,8 @@
 trap stop_all EXIT
 
 start() { "${@:2}" >"$run/$1.out" 2>"$run/$1.log" & started+=($!); pid[$1]=$!; }
-# INDEX: zones a, b, c, a. A function settings INDEX FILE may change its file.
+# INDEX: starts a node. A function "settings INDEX FILE", if defined, may modify
+# its settings.
 node() {
   local zone; zone=$(echo a b c a | cut -d' ' -f"$1")
   sed -e "s/name = \"scl-renca-0\"/name = \"node-$1\"/" -e "s/zone = \"scl-renca\"/zone = \"zone-$zone\"/" \
@@ -34,7 +36,7 @@
 ctl() { local n=$1; shift; "$build/jaspertrack" --api "${scheme:-http}://127.41.0.$n:6082" "$@"; }
 revision() { curl -s -H "Authorization: Bearer $admin" "http://127.41.0.$1:6082/v1/status" | jq '.revision_in_force // 0'; }
 weight() { echo "{\"shares\":[{\"service\":\"planilla\",\"group\":\"clinicas\",\"weight\":$1${2:+,\"version\":$2}}]}" >"$run/w$1.json"; echo "$run/w$1.json"; }
-wait_revision() { # SECONDS REVISION NODE...: all serve at least it
+wait_revision() { # SECONDS REVISION NODE...: waits until all nodes have it
   local until=$(($(date +%s%3N) + $1 * 1000)) want=$2; shift 2
   while [ "$(date +%s%3N)" -lt "$until" ]; do
     local all=1
@@ -44,7 +46,7 @@
   done
   return 1
 }
-say() { # NAME STATUS
-  if [ "$2" = 0 ]; then echo "held    $1"; else echo "FAILED  $1"; failed=1; fi
+report() { # NAME STATUS
+  if [ "$2" = 0 ]; then echo "ok      $1"; else echo "FAILED  $1"; failed=1; fi
 }
 
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# The soak over real processes: fresh seeds for about SECONDS, then every seed
-# that ever failed (tests/soak/regressions) and the faults that were kept
-# (tests/soak/faults), JOBS runs side by side. With SECONDS 0 only those, with
-# "short" the fixed seeds that CI plays. Logs of a run that broke a promise are
-# kept in BUILD/soak-SEED. NODES processes in each run.
+# Runs the soak test with real processes: random seeds for about SECONDS, then
+# the seeds in tests/soak/regressions and the fault schedules in
+# tests/soak/faults, with JOBS parallel runs of NODES nodes each. SECONDS 0 skips
+# the random seeds; "short" runs the fixed seeds of CI and the fault schedules.
+# Logs of a failed run are kept in BUILD/soak-SEED.
 # Usage: soak.sh BUILD SECONDS|short [JOBS [NODES]]
 set -u
 cd "$(dirname "$0")/.."
@@ -11,37 +11,37 @@
 seconds=${2:-60}
 jobs=${3:-1}
 nodes=${4:-5}
-each=30
-short_each=15
+run_seconds=30
+short_run_seconds=15
 short_seeds="1 2 3"
 queue=$(mktemp -d)
 
-# Lines of "NAME OPTIONS..." that the workers take one after the other.
-plan_kept() {
+# Print the runs for the workers as lines "NAME OPTIONS...".
+list_fault_runs() {
   for file in tests/soak/faults/*.faults; do
-    echo "$(basename "$file" .faults) --seed 1 --seconds $short_each --faults $file"
+    echo "$(basename "$file" .faults) --seed 1 --seconds $short_run_seconds --faults $file"
   done
 }
-plan() {
+list_runs() {
   if [ "$seconds" = short ]; then
     for seed in $short_seeds; do
-      echo "$seed --seed $seed --seconds $short_each"
+      echo "$seed --seed $seed --seconds $short_run_seconds"
     done
-    plan_kept
+    list_fault_runs
     return
   fi
-  for _ in $(seq 1 $(((seconds * jobs + each + 18) / (each + 19)))); do
+  for _ in $(seq 1 $(((seconds * jobs + run_seconds + 18) / (run_seconds + 19)))); do
     seed=$((RANDOM * 32768 + RANDOM))
-    echo "$seed --seed $seed --seconds $each"
+    echo "$seed --seed $seed --seconds $run_seconds"
   done
   while read -r seed _; do
     case $seed in '' | \#*) continue ;; esac
-    echo "$seed --seed $seed --seconds $each"
+    echo "$seed --seed $seed --seconds $run_seconds"
   done <tests/soak/regressions
-  plan_kept
+  list_fault_runs
 }
 
-play() { # SLOT NAME OPTIONS...
+run_soak() { # SLOT NAME OPTIONS...
   local slot=$1 name=$2 folder="$build/soak-$2"
   shift 2
   rm -rf "$folder"
@@ -49,30 +49,30 @@
     --program "$build/jaspertrack-director" --output "$folder"; then
     rm -rf "$folder"
   else
-    echo "soak: $name broke a promise, or could not run: $folder"
+    echo "soak: $name violated a property or could not run: $folder"
     grep BROKEN "$folder/events.log"
     touch "$queue/failed"
   fi
 }
 
-# The next line of the plan, for one worker at a time.
-take() {
+# Removes and prints the next run; workers are serialised by a lock.
+next_run() {
   (
     flock 9
-    head -n 1 "$queue/plan"
-    sed -i 1d "$queue/plan"
+    head -n 1 "$queue/runs"
+    sed -i 1d "$queue/runs"
   ) 9>"$queue/lock"
 }
 
 worker() { # SLOT
   local line
-  while line=$(take) && [ -n "$line" ]; do
+  while line=$(next_run) && [ -n "$line" ]; do
     # shellcheck disable=SC2086 # options are words
-    play "$1" $line
+    run_soak "$1" $line
   done
 }
 
-plan >"$queue/plan"
+list_runs >"$queue/runs"
 for slot in $(seq 0 $((jobs - 1))); do
   worker "$slot" &
 done
--- a/scripts/store-faults.sh
+++ b/scripts/store-faults.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Faults of the store and racing operators over real processes on loopback:
-# down, slow, answers lost, outcome unknown, a paused leaseholder, a fresh node
-# during an outage. Prints one line a case; exits 1 if any failed.
+# Tests store faults and concurrent operators with real processes on loopback:
+# outage, slow store, lost responses, unknown outcome, a paused coordinator, a
+# new node during an outage. Prints one line per case; exits 1 if any failed.
 # Not part of `make check`, because it depends on the clock.
 set -u
 . "$(dirname "$0")/real-nodes.sh"
@@ -12,56 +12,56 @@
 sleep 0.5
 ctl 1 apply -f "$top/examples/turnos-andinos/resources.json" >/dev/null
 wait_revision 15 1 1 2 3
-say "three nodes found a cell and serve the first configuration" $?
+report "three nodes form a cell and serve the first configuration" $?
 
 fault '{"lose_answers":1}'
 out=$(ctl 2 apply -f "$(weight 11)"); code=$?
 [ $code = 0 ] && [[ $out == accepted* ]] && [ "$(ctl 3 get shares planilla/clinicas | jq .weight)" = 11 ]
-say "answer lost: found out by reading, told as accepted" $?
+report "response lost: verified by reading, reported as accepted" $?
 
 fault '{"slow_ms":1200}'
 out=$(ctl 1 apply -f "$(weight 12)"); code=$?
 fault '{}'
 [ $code = 0 ] && [[ $out == accepted* ]]
-say "store slow: accepted all the same" $?
+report "store slow: accepted" $?
 
 before=$(revision 1)
 fault '{"down":true}'
 out=$(ctl 1 apply -f "$(weight 13)" 2>&1); code=$?
 [ $code = 1 ] && [[ $out == *"503"* ]] && [ "$(ctl 1 get shares planilla/clinicas | jq .weight)" = 12 ]
-say "store down: refused as not run, reads go on" $?
+report "store down: writes are rejected, reads still work" $?
 fault '{}'
 sleep 2
 [ "$(revision 1)" = "$before" ]
-say "what was refused has not taken effect later" $?
+report "the rejected change has not taken effect later" $?
 
 out=$(ctl 2 apply -f "$(weight 14)")
 fault '{"down":true}'
 rev=$(echo "$out" | sed 's/.*revision \([0-9]*\).*/\1/')
 wait_revision 6 "$rev" 1 2 3
-say "store down right after: in force on every node within 6 s" $?
+report "store down after acceptance: in force on every node within 6 s" $?
 node 4
 wait_revision 10 "$rev" 4
-say "a fresh node during the outage gets the newest from its peers" $?
+report "a new node gets the latest revision from its peers during the outage" $?
 fault '{}'
 sleep 3
 
-# Every answer is lost, then the store goes down: nobody can know.
+# All responses are lost, then the store goes down: the outcome is unknown.
 fault '{"lose_answers":1}'
 (sleep 0.15; fault '{"down":true}') &
 out=$(ctl 1 apply --id unknown-1 -f "$(weight 15)" 2>&1); code=$?
 if [ $code = 0 ]; then
-  echo "skipped the answer was found out before the store went down"
+  echo "skipped the outcome was verified before the store went down"
 else
   [[ $out == *"status 202"* ]]
-  say "answer lost and store down: outcome unknown, never a false no" $?
+  report "response lost and store down: reported as unknown, not as rejected" $?
 fi
 fault '{}'
 sleep 3
 ctl 2 outcome unknown-1 >/dev/null
-say "asked again later by its id: accepted" $?
+report "queried later by its id: accepted" $?
 ctl 3 apply --id unknown-1 -f "$(weight 15)" >/dev/null
-say "the same request id again changes nothing and is accepted" $?
+report "repeating the request id has no effect and is accepted" $?
 
 version=$(ctl 1 get shares planilla/clinicas | jq .version)
 ctl 1 apply -f "$(weight 21 "$version")" >"$run/r1" 2>&1 & a=$!
@@ -69,7 +69,7 @@
 wait $a; ca=$?
 wait $b; cb=$?
 [ $((ca + cb)) = 1 ] && grep -q "version: is" "$run/r1" "$run/r2"
-say "two operators race: one is accepted, one gets a clear conflict" $?
+report "two concurrent operators: one is accepted, one gets a conflict" $?
 
 for n in 1 2 3 4; do
   if [ "$(curl -s -H "Authorization: Bearer $admin" "http://127.41.0.$n:6082/v1/status" | jq .coordinator)" = true ]; then holder=$n; fi
@@ -79,9 +79,9 @@
 sleep 4
 out=$(ctl $other apply -f "$(weight 30)"); code=$?
 [ $code = 0 ]
-say "the coordinator is frozen: the others go on" $?
+report "the coordinator is paused: changes are still accepted" $?
 rev=$(echo "$out" | sed 's/.*revision \([0-9]*\).*/\1/')
 kill -CONT "${pid[node-$holder]}"
 wait_revision 12 "$rev" 1 2 3 4
-say "it wakes up, and serves the newest" $?
+report "the resumed coordinator serves the latest revision" $?
 exit $failed
--- a/src/lab/baseline.c
+++ b/src/lab/baseline.c
@@ -19,8 +19,7 @@
 #include <xxhash.h>
 
 enum {
-	HEALTH_POLL_US =
-		1000000, /* interval of health and machine list polls */
+	HEALTH_POLL_US = 1000000,
 	PROBE_BYTES = 260,
 	LIST_BYTES = 260,
 	FLOW_LIMIT = 1 << 22,
@@ -248,8 +247,7 @@
 	flows_on_verdict(world, &verdict);
 }
 
-/* Returns the endpoint of a flow from its record, or chooses one and records
- * it. */
+/* Returns the recorded endpoint of a flow, or chooses and records one. */
 static uint32_t find_or_choose_endpoint(struct world *world,
 					struct baseline_node *node,
 					const struct jt_flow_key *key,
--- a/src/lab/flows.c
+++ b/src/lab/flows.c
@@ -14,8 +14,7 @@
 	FIRST_RETRY_US = 300000,
 	SYN_RETRY_US = 1000000,
 	RETRY_MAX_US = 5000000,
-	RESPONSE_TIMEOUT_US =
-		20000000, /* the flow breaks if a message stays unanswered */
+	RESPONSE_TIMEOUT_US = 20000000, /* then the flow breaks */
 	FIN_SEND_LIMIT = 6,
 };
 
@@ -270,7 +269,7 @@
 		return;
 	flow->tries++;
 	if (world_now(world) > flow->first_sent_us + RESPONSE_TIMEOUT_US) {
-		flow_break(world, flow, "no answer");
+		flow_break(world, flow, "response timeout");
 		return;
 	}
 	send_message(world, flow);
@@ -302,7 +301,7 @@
 		return;
 	}
 	if (kind == TIMER_RESPONSE) {
-		flow_break(world, flow, "the answer never came whole");
+		flow_break(world, flow, "incomplete response");
 		return;
 	}
 	if (flow->step == FLOW_CONNECTING)
--- a/src/lab/label.c
+++ b/src/lab/label.c
@@ -2,9 +2,10 @@
  * Placement by flow label in the emulated world: each node runs a director,
  * with the same fabric, clients and endpoints as the other policies.
  *
- * Discovery is polled every LOOK_US, the entry of a crashed endpoint expires
- * after DISCOVERY_LAPSE_US, and a node that starts gets the full listing. A
- * probe returns the state of the endpoint at the time of its completion.
+ * Discovery is polled every DISCOVERY_POLL_US, the entry of a crashed endpoint
+ * expires after DISCOVERY_EXPIRY_US, and a node that starts gets the full
+ * listing. A probe returns the state of the endpoint at the time of its
+ * completion.
  */
 #include "world_private.h"
 
@@ -15,10 +16,9 @@
 #include <string.h>
 
 enum {
-	DISCOVERY_POLL_US =
-		500000,		   /* interval of discovery updates and ticks */
-	PROBE_CONNECT_US = 3000,   /* duration of a probe of a live endpoint */
-	PROBE_TIMEOUT_US = 250000, /* timeout of a probe */
+	DISCOVERY_POLL_US = 500000, /* also the tick interval */
+	PROBE_CONNECT_US = 3000,    /* duration of a probe of a live endpoint */
+	PROBE_TIMEOUT_US = 250000,  /* timeout of a probe */
 	DISCOVERY_EXPIRY_US = 3600000, /* three announcement intervals */
 	REPORT_BYTES = 1100,	       /* digest and loads to two peers */
 	STORE_CALL_BYTES = 260,	       /* store call or probe */
@@ -55,8 +55,7 @@
 	struct label_entry *entries;
 	size_t entry_count;
 	uint64_t revision;
-	uint64_t routed_revision; /* configuration revision last sent as routing
-				   */
+	uint64_t routed_revision; /* revision last sent to the nodes */
 	struct jt_director_actions *actions;
 	uint64_t node_ids[JT_CLUSTER_NODES];
 	/* The packet being processed. */
--- a/src/lab/run.c
+++ b/src/lab/run.c
@@ -37,7 +37,7 @@
 	return 0;
 }
 
-/* Parses the arguments; returns an exit code, and sets *go if a run follows. */
+/* Returns an exit code; sets *proceed to true if a run follows. */
 static int parse(int argc, char **argv, struct run_arguments *a, bool *proceed)
 {
 	struct arg_file *scenario =
--- a/src/lab/scenario.c
+++ b/src/lab/scenario.c
@@ -110,7 +110,7 @@
 
 		if (!config_setting_is_group(setting))
 			return jt_settings_wrong(&r->input, setting, "zones",
-						 "must hold groups");
+						 "must contain groups");
 		if (jt_settings_check_keys(&r->input, setting, known_keys) !=
 			    0 ||
 		    jt_settings_read_text(&r->input, setting, "name", true,
@@ -126,34 +126,41 @@
 
 static int read_environment(struct reader *r, const config_setting_t *root)
 {
-	static const char *const net[] = {"zone_to_zone_ms", "client_ms",
-					  "loss", "reorder", NULL};
-	static const char *const store[] = {"operations_per_s", "answer_ms",
-					    NULL};
-	static const char *const list[] = {"lag_s", NULL};
-	const config_setting_t *n = config_setting_get_member(root, "network");
-	const config_setting_t *o = config_setting_get_member(root, "store");
-	const config_setting_t *m =
+	static const char *const network_keys[] = {
+		"zone_to_zone_ms", "client_ms", "loss", "reorder", NULL};
+	static const char *const store_keys[] = {"operations_per_s",
+						 "answer_ms", NULL};
+	static const char *const machine_list_keys[] = {"lag_s", NULL};
+	const config_setting_t *network =
+		config_setting_get_member(root, "network");
+	const config_setting_t *store =
+		config_setting_get_member(root, "store");
+	const config_setting_t *machine_list =
 		config_setting_get_member(root, "machine_list");
 	struct scenario *s = r->scenario;
 
-	if ((n && jt_settings_check_keys(&r->input, n, net) != 0) ||
-	    (o && jt_settings_check_keys(&r->input, o, store) != 0) ||
-	    (m && jt_settings_check_keys(&r->input, m, list) != 0))
+	if ((network &&
+	     jt_settings_check_keys(&r->input, network, network_keys) != 0) ||
+	    (store &&
+	     jt_settings_check_keys(&r->input, store, store_keys) != 0) ||
+	    (machine_list && jt_settings_check_keys(&r->input, machine_list,
+						    machine_list_keys) != 0))
 		return -1;
-	n = n ? n : root;
-	o = o ? o : root;
-	m = m ? m : root;
-	if (read_real(r, n, "zone_to_zone_ms", 0, 10000, 1.5,
+	network = network ? network : root;
+	store = store ? store : root;
+	machine_list = machine_list ? machine_list : root;
+	if (read_real(r, network, "zone_to_zone_ms", 0, 10000, 1.5,
 		      &s->zone_to_zone_ms) != 0 ||
-	    read_real(r, n, "client_ms", 0, 10000, 1, &s->client_ms) != 0 ||
-	    read_real(r, n, "loss", 0, 0.5, 0, &s->loss) != 0 ||
-	    read_real(r, n, "reorder", 0, 1, 0, &s->reorder) != 0 ||
-	    read_real(r, o, "operations_per_s", 1, 1e6, 20,
-		      &s->store_operations_per_s) != 0 ||
-	    read_real(r, o, "answer_ms", 0, 60000, 5, &s->store_answer_ms) !=
+	    read_real(r, network, "client_ms", 0, 10000, 1, &s->client_ms) !=
 		    0 ||
-	    read_real(r, m, "lag_s", 0, 3600, 10, &s->machine_list_lag_s) != 0)
+	    read_real(r, network, "loss", 0, 0.5, 0, &s->loss) != 0 ||
+	    read_real(r, network, "reorder", 0, 1, 0, &s->reorder) != 0 ||
+	    read_real(r, store, "operations_per_s", 1, 1e6, 20,
+		      &s->store_operations_per_s) != 0 ||
+	    read_real(r, store, "answer_ms", 0, 60000, 5,
+		      &s->store_answer_ms) != 0 ||
+	    read_real(r, machine_list, "lag_s", 0, 3600, 10,
+		      &s->machine_list_lag_s) != 0)
 		return -1;
 	return 0;
 }
@@ -174,7 +181,7 @@
 
 	if (!config_setting_is_group(setting))
 		return jt_settings_wrong(&r->input, setting, "services",
-					 "must hold groups");
+					 "must contain groups");
 	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
 	    jt_settings_read_text(&r->input, setting, "name", true,
 				  &service->name) != 0 ||
@@ -199,7 +206,7 @@
 	else
 		return jt_settings_wrong(
 			&r->input, config_setting_get_member(setting, "kind"),
-			"kind", "allowed are \"stream\" and \"request\"");
+			"kind", "must be \"stream\" or \"request\"");
 	return 0;
 }
 
@@ -267,7 +274,7 @@
 
 	if (!config_setting_is_group(setting))
 		return jt_settings_wrong(&r->input, setting, "demand",
-					 "must hold groups");
+					 "must contain groups");
 	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
 	    jt_settings_read_text(&r->input, setting, "service", true,
 				  &service) != 0 ||
@@ -282,7 +289,7 @@
 		return jt_settings_wrong(
 			&r->input,
 			config_setting_get_member(setting, "service"),
-			"service", "there is no such service");
+			"service", "unknown service");
 	repeatable = config_setting_get_member(setting, "repeatable");
 	if (repeatable != NULL &&
 	    config_setting_type(repeatable) != CONFIG_TYPE_BOOL)
@@ -302,7 +309,7 @@
 
 	if (!config_setting_is_group(setting))
 		return jt_settings_wrong(&r->input, setting, "groups",
-					 "must hold groups");
+					 "must contain groups");
 	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
 	    jt_settings_read_text(&r->input, setting, "name", true,
 				  &group->name) != 0)
@@ -524,7 +531,7 @@
 			return jt_settings_wrong(
 				&r->input,
 				config_setting_get_member(setting, "to"), "to",
-				"there is no such service");
+				"unknown service");
 		return 0;
 	default:
 		return 0;
@@ -543,7 +550,7 @@
 
 	if (!config_setting_is_group(setting))
 		return jt_settings_wrong(&r->input, setting, "events",
-					 "must hold groups");
+					 "must contain groups");
 	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
 	    read_real(r, setting, "at_s", 0, 1e7, -1, &event->at_s) != 0 ||
 	    read_real(r, setting, "for_s", 0, 1e7, 0, &event->for_s) != 0 ||
@@ -554,7 +561,7 @@
 	if (found == EVENT_KINDS)
 		return jt_settings_wrong(
 			&r->input, config_setting_get_member(setting, "kind"),
-			"kind", "unknown kind of event");
+			"kind", "unknown event kind");
 	event->kind = found;
 	event->line = (int)config_setting_source_line(setting);
 	if (resolve_target(r, setting, event) != 0)
--- a/src/lab/world.c
+++ b/src/lab/world.c
@@ -7,12 +7,10 @@
 #include <string.h>
 
 enum {
-	FABRIC_POLL_US = 200000, /* interval of the fabric's readiness polls */
-	UNREADY_POLL_LIMIT =
-		3, /* failed polls until a silent node is removed */
+	FABRIC_POLL_US = 200000, /* interval of readiness polls */
+	UNREADY_POLL_LIMIT = 3,	 /* failed polls before removal of a node */
 	REVISION_POLL_US = 50000,
-	BASELINE_LEAVE_US =
-		5 * SECOND_US, /* time a baseline node takes to leave */
+	BASELINE_LEAVE_US = 5 * SECOND_US, /* duration of a planned leave */
 	MOVE_POLL_US = 500000,
 };
 
--- a/src/lab/world_private.h
+++ b/src/lab/world_private.h
@@ -17,11 +17,10 @@
 
 enum {
 	SECOND_US = 1000000,
-	BOOT_US = 15 * SECOND_US, /* start-up time before scenario time 0 */
-	COOLDOWN_US =
-		30 * SECOND_US, /* no new flows in the last part of a run */
-	FLOW_ENDPOINTS_MAX = 4, /* endpoints that one flow can reach */
-	HEALTH_SAMPLES = 128,	/* samples kept per endpoint */
+	BOOT_US = 15 * SECOND_US,     /* start-up time before scenario time 0 */
+	COOLDOWN_US = 30 * SECOND_US, /* at the end, without new flows */
+	FLOW_ENDPOINTS_MAX = 4,	      /* endpoints that one flow can reach */
+	HEALTH_SAMPLES = 128,	      /* samples kept per endpoint */
 	HEALTH_SAMPLE_US = 500000,
 	RESPONSE_PARTS = 4,    /* segments of one response */
 	VIOLATION_LIMIT = 100, /* violations listed in a result */
@@ -41,8 +40,7 @@
 	uint64_t drain_since_us; /* when it was accepted; 0: not draining */
 	uint64_t cold_until_us;
 	uint64_t shed_until_us;
-	double load_override; /* load on the health page; below 0: the actual
-				 load */
+	double load_override; /* reported load; below 0: the actual one */
 	unsigned open;	      /* connections, half-open ones included */
 	unsigned slots_used;
 	struct flow_ref *queue; /* requests waiting for a slot */
--- a/tests/proofs.cmake
+++ b/tests/proofs.cmake
@@ -1,4 +1,4 @@
-# Mechanism, enum jt_break, first seed.
+# Arguments: feature, flag of enum jt_break, first seed.
 jt_proof(replica 1 2)
 jt_proof(barrier 2 5)
 jt_proof(lease 4 3)
@@ -8,24 +8,24 @@
 jt_proof(handover 64 1)
 jt_proof(admission 128 2)
 jt_proof(vote 256 752)
-# Replay must fail as well where a mechanism is off.
-function(jt_replay_proof mechanism flags trace)
-  add_test(NAME proof_replay_needs_${mechanism}
+# Checks that the replay of a trace fails when a feature is switched off.
+function(jt_replay_proof feature flags trace)
+  add_test(NAME proof_replay_needs_${feature}
     COMMAND jaspertrack-lab replay ${CMAKE_SOURCE_DIR}/traces/${trace}.jsonl
       --break ${flags})
-  set_tests_properties(proof_replay_needs_${mechanism} PROPERTIES
+  set_tests_properties(proof_replay_needs_${feature} PROPERTIES
     WILL_FAIL TRUE)
 endfunction()
 jt_replay_proof(replica 1 crash-during-drain)
 jt_replay_proof(barrier 2 rolling-leave)
 jt_replay_proof(sticky 8 pause-and-cut)
 jt_replay_proof(handover 64 zone-loss-and-return)
-# Placement by label: mechanism, enum jt_director_break. One of 400 worlds shows
-# the fault: also where the joined parts have made other worlds of the seeds.
-function(jt_director_proof mechanism flags)
-  add_test(NAME proof_director_needs_${mechanism}
+# Checks that at least one of 400 director fuzz runs fails when a feature is
+# switched off. Arguments: feature, flag of enum jt_director_break.
+function(jt_director_proof feature flags)
+  add_test(NAME proof_director_needs_${feature}
     COMMAND fuzz_director --break ${flags} --seeds 1 400 2000)
-  set_tests_properties(proof_director_needs_${mechanism} PROPERTIES
+  set_tests_properties(proof_director_needs_${feature} PROPERTIES
     WILL_FAIL TRUE)
 endfunction()
 jt_director_proof(proof_of_death 1)
