--- a/src/lab/plan.c
+++ b/src/lab/plan.c
@@ -20,8 +20,7 @@
 	GROUPS = 3,
 	LIVE_CELL_STATES = 3,
 	MAX_CELL_NODES = 200,
-	TABLE_SIZE_THIRDS =
-		8, /* thirds of a record per flow, at the lowest load factor */
+	TABLE_SIZE_THIRDS = 8, /* thirds of a record per flow, at most */
 };
 
 struct size {
--- a/src/lab/record.c
+++ b/src/lab/record.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 
 /*
- * Writes the expected outcome, from the properties rather than from the run:
- * no flow moved, none both refused and forwarded, and nearly all opened.
+ * Writes the expected outcome: no flow moved, none both refused and forwarded,
+ * nearly all flows of the run, and one forwarded packet per response at least.
  */
 static void write_outcome(FILE *file, const json_t *result, double end_s)
 {
