--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -1,7 +1,6 @@
-/*
- * A service in virtual time: callers, nodes that ask jt_admission, endpoints
- * with slots and a queue. Steps of a millisecond, one seed, no network.
- */
+/* Model of a service in virtual time: clients, nodes that ask jt_admission, and
+ * endpoints with slots and a queue. It runs in steps of a millisecond with a
+ * fixed seed. */
 #ifndef ADMISSION_MODEL_H
 #define ADMISSION_MODEL_H
 
@@ -21,39 +20,42 @@
 	MODEL_SERVICE = 11,
 	MODEL_URGENT_PORT = 8080,
 	MODEL_OTHER_PORT = 8443,
-	MODEL_WORK_LEAST_MS = 8,
-	MODEL_WORK_MOST_MS = 40, /* 24 at the mean */
+	MODEL_WORK_MIN_MS = 8,
+	MODEL_WORK_MAX_MS = 40, /* mean 24 */
 	MODEL_WORK_MEAN_MS = 24,
-	MODEL_AIM_MS = 250,
-	MODEL_GROUPS = 4,	  /* routes of those that are not urgent */
-	MODEL_BYTES = 800,	  /* of an answer */
-	MODEL_REJECT_BYTES = 120, /* of an endpoint that is full */
-	MODEL_TRIES = 3,	  /* of a caller, at another node each */
-	MODEL_HOLDS = MODEL_SLOTS + MODEL_QUEUE,
+	MODEL_TARGET_MS = 250,
+	MODEL_GROUPS = 4,	  /* lower-priority routes */
+	MODEL_BYTES = 800,	  /* answer size */
+	MODEL_REJECT_BYTES = 120, /* answer of a full endpoint */
+	MODEL_ATTEMPTS = 3,	  /* of a client, each at a random node */
+	MODEL_ENDPOINT_REQUESTS = MODEL_SLOTS + MODEL_QUEUE,
 };
 
 struct model_request {
 	unsigned node;
-	unsigned kind;	/* 0: urgent */
-	unsigned group; /* of those that are not */
-	uint64_t since_ms;
-	unsigned left_ms; /* of its work */
+	unsigned kind;	/* 0: urgent, 1: lower priority */
+	unsigned group; /* route of a lower-priority request */
+	uint64_t sent_ms;
+	unsigned remaining_ms;
 };
 
 struct model_endpoint {
-	bool gone;
-	unsigned slowness;
-	struct model_request held[MODEL_HOLDS]; /* first come, first served */
+	bool removed;
+	unsigned slowdown;
+	struct model_request
+		queue[MODEL_ENDPOINT_REQUESTS]; /* in order of arrival; the
+						   first MODEL_SLOTS are
+						   processed */
 	unsigned count;
 };
 
-/* What callers of one kind met. */
+/* Results of one kind of request. */
 struct model_tally {
-	unsigned asked;
-	unsigned in_aim;
+	unsigned arrived;
+	unsigned in_target;
 	unsigned late;
-	unsigned shed;	  /* by an endpoint whose queue was full */
-	unsigned refused; /* at each of its tries */
+	unsigned rejected; /* by an endpoint with a full queue */
+	unsigned refused;  /* at every attempt */
 };
 
 struct model {
@@ -64,28 +66,30 @@
 	struct model_endpoint endpoints[MODEL_ENDPOINTS];
 	struct jt_random random;
 	uint64_t now_ms;
-	double urgent_part;	    /* of the demand */
-	double greedy_part;	    /* of the other demand: the first group */
-	double shares[MODEL_NODES]; /* of the demand at each node */
-	double due;		    /* callers that are still to come */
-	unsigned tries;		    /* of each caller */
-	uint64_t reject_ms;	    /* until a caller has seen a rejection */
+	double urgent_share; /* urgent requests as a fraction of the demand */
+	double heavy_share;  /* fraction of the lower-priority demand on the
+				first route */
+	double shares[MODEL_NODES]; /* fraction of the demand at each node */
+	double arrivals_due;	    /* clients that have yet to arrive */
+	unsigned attempts;	    /* of each client */
+	uint64_t
+		reject_latency_ms; /* until a client has received a rejection */
 	struct model_tally kinds[2];
-	struct model_tally at[MODEL_NODES]; /* by the first node asked */
+	struct model_tally per_node[MODEL_NODES]; /* by the first node tried */
 	struct model_tally groups[MODEL_GROUPS];
-	uint64_t busy_ms;  /* of all slots */
-	uint64_t slots_ms; /* that there were */
-	unsigned began;	   /* limits that began to hold */
+	uint64_t busy_ms;	 /* processing time of all slots */
+	uint64_t slots_ms;	 /* available time of all slots */
+	unsigned limits_started; /* limits that became active */
 };
 
-static inline void model_node_start(struct model *model, unsigned node)
+static inline void model_restart_node(struct model *model, unsigned node)
 {
 	TALLOC_FREE(model->nodes[node]);
 	model->nodes[node] = jt_admission_create(model, &model->options);
 	jt_admission_routing(model->nodes[node], model->routing);
 }
 
-static inline void model_routing(struct model *model)
+static inline void model_set_routing(struct model *model)
 {
 	const struct jt_route urgent = {
 		.name = "urgent",
@@ -93,7 +97,7 @@
 		.parts = {{MODEL_SERVICE, 1}},
 		.part_count = 1,
 		.priority = 1,
-		.target_ms = MODEL_AIM_MS,
+		.target_ms = MODEL_TARGET_MS,
 	};
 	struct jt_routing *routing = talloc_zero(model, struct jt_routing);
 
@@ -118,10 +122,10 @@
 	jt_director_options_init(&model->options);
 	model->random.seed = 7;
 	model->now_ms = 100000;
-	model->urgent_part = 0.33;
-	model->greedy_part = 1;
-	model->tries = MODEL_TRIES;
-	model_routing(model);
+	model->urgent_share = 0.33;
+	model->heavy_share = 1;
+	model->attempts = MODEL_ATTEMPTS;
+	model_set_routing(model);
 	model->table = jt_endpoint_table_create(model, 1000);
 	for (unsigned i = 0; i < MODEL_ENDPOINTS; i++) {
 		const struct jt_endpoint_entry entry = {
@@ -136,53 +140,54 @@
 		jt_endpoint_table_take(model->table, &entry, false,
 				       model->now_ms, &in);
 		in->state = JT_INCARNATION_READY;
-		model->endpoints[i].slowness = 1;
+		model->endpoints[i].slowdown = 1;
 	}
 	for (unsigned i = 0; i < MODEL_NODES; i++) {
-		model_node_start(model, i);
+		model_restart_node(model, i);
 		model->shares[i] = 1.0 / MODEL_NODES;
 	}
 	return model;
 }
 
-static inline void model_endpoint_leave(struct model *model, unsigned index)
+static inline void model_remove_endpoint(struct model *model, unsigned index)
 {
-	model->endpoints[index].gone = true;
+	model->endpoints[index].removed = true;
 	jt_endpoint_table_by_id(model->table, 0x100 + index)->state =
 		JT_INCARNATION_LAPSED;
 }
 
-/* The less loaded of two at random, as far as a node can know that. */
-static inline struct model_endpoint *model_choose(struct model *model)
+/* Returns the less loaded of two random endpoints. */
+static inline struct model_endpoint *model_choose_endpoint(struct model *model)
 {
 	struct model_endpoint *best = NULL;
 
-	for (unsigned looked = 0; looked < 2;) {
-		struct model_endpoint *one =
+	for (unsigned candidates = 0; candidates < 2;) {
+		struct model_endpoint *candidate =
 			&model->endpoints[jt_random_next(&model->random) %
 					  MODEL_ENDPOINTS];
 
-		if (one->gone)
+		if (candidate->removed)
 			continue;
-		looked++;
-		if (best == NULL ||
-		    one->count * one->slowness < best->count * best->slowness)
-			best = one;
+		candidates++;
+		if (best == NULL || candidate->count * candidate->slowdown <
+					    best->count * best->slowdown)
+			best = candidate;
 	}
 	return best;
 }
 
-static inline unsigned model_work_ms(struct model *model)
+static inline unsigned model_draw_work_ms(struct model *model)
 {
-	return MODEL_WORK_LEAST_MS +
+	return MODEL_WORK_MIN_MS +
 	       (unsigned)(jt_random_next(&model->random) %
-			  (MODEL_WORK_MOST_MS - MODEL_WORK_LEAST_MS + 1));
+			  (MODEL_WORK_MAX_MS - MODEL_WORK_MIN_MS + 1));
 }
 
-/* One try of a caller; true: it needs no other. */
+/* Runs one attempt of a client; returns true if the endpoint took the request.
+ */
 
-static inline bool model_try(struct model *model, unsigned node, unsigned kind,
-			     unsigned group)
+static inline bool model_attempt(struct model *model, unsigned node,
+				 unsigned kind, unsigned group)
 {
 	struct jt_admission *admission = model->nodes[node];
 	const struct jt_route *route =
@@ -191,151 +196,152 @@
 
 	if (!jt_admission_ask(admission, route, model->now_ms).admitted)
 		return false;
-	endpoint = model_choose(model);
+	endpoint = model_choose_endpoint(model);
 	jt_admission_requested(admission, MODEL_SERVICE, model->now_ms);
-	if (endpoint->count == MODEL_HOLDS) {
+	if (endpoint->count == MODEL_ENDPOINT_REQUESTS) {
 		jt_admission_answered(admission, MODEL_SERVICE,
-				      model->now_ms - model->reject_ms,
+				      model->now_ms - model->reject_latency_ms,
 				      MODEL_REJECT_BYTES, true, model->now_ms);
-		model->kinds[kind].shed++;
+		model->kinds[kind].rejected++;
 		return false;
 	}
-	endpoint->held[endpoint->count++] = (struct model_request){
+	endpoint->queue[endpoint->count++] = (struct model_request){
 		.node = node,
 		.kind = kind,
 		.group = group,
-		.since_ms = model->now_ms,
-		.left_ms = model_work_ms(model) * endpoint->slowness,
+		.sent_ms = model->now_ms,
+		.remaining_ms = model_draw_work_ms(model) * endpoint->slowdown,
 	};
 	return true;
 }
 
-static inline unsigned model_node(struct model *model)
+static inline unsigned model_draw_node(struct model *model)
 {
-	double at = (double)(jt_random_next(&model->random) % 100000) / 100000;
+	double position =
+		(double)(jt_random_next(&model->random) % 100000) / 100000;
 	unsigned node = 0;
 
-	while (node < MODEL_NODES - 1 && at >= model->shares[node])
-		at -= model->shares[node++];
+	while (node < MODEL_NODES - 1 && position >= model->shares[node])
+		position -= model->shares[node++];
 	return node;
 }
 
-/* The group of a caller that is not urgent. */
-static inline unsigned model_group(struct model *model)
+/* Draws the route of a lower-priority client. */
+static inline unsigned model_draw_group(struct model *model)
 {
 	uint64_t draw = jt_random_next(&model->random);
 
-	if ((double)(draw % 1000) < model->greedy_part * 1000)
+	if ((double)(draw % 1000) < model->heavy_share * 1000)
 		return 0;
 	return 1 + (unsigned)(draw / 1000 % (MODEL_GROUPS - 1));
 }
 
-static inline void model_caller(struct model *model)
+static inline void model_run_client(struct model *model)
 {
 	unsigned kind = (double)(jt_random_next(&model->random) % 1000) >=
-			model->urgent_part * 1000;
-	unsigned first = model_node(model), node = first;
-	unsigned group = kind == 0 ? 0 : model_group(model);
+			model->urgent_share * 1000;
+	unsigned first = model_draw_node(model), node = first;
+	unsigned group = kind == 0 ? 0 : model_draw_group(model);
 	bool served = false;
 
-	model->kinds[kind].asked++;
-	model->at[first].asked++;
-	model->groups[group].asked += kind != 0;
-	for (unsigned i = 0; i < model->tries && !served; i++) {
-		served = model_try(model, node, kind, group);
-		node = model_node(model);
+	model->kinds[kind].arrived++;
+	model->per_node[first].arrived++;
+	model->groups[group].arrived += kind != 0;
+	for (unsigned i = 0; i < model->attempts && !served; i++) {
+		served = model_attempt(model, node, kind, group);
+		node = model_draw_node(model);
 	}
 	model->kinds[kind].refused += !served;
-	model->at[first].refused += !served;
+	model->per_node[first].refused += !served;
 }
 
-static inline void model_answer(struct model *model,
-				const struct model_request *request)
+static inline void model_record_answer(struct model *model,
+				       const struct model_request *request)
 {
 	struct model_tally *tally = &model->kinds[request->kind];
 
 	jt_admission_answered(model->nodes[request->node], MODEL_SERVICE,
-			      request->since_ms, MODEL_BYTES, true,
+			      request->sent_ms, MODEL_BYTES, true,
 			      model->now_ms);
-	if (model->now_ms - request->since_ms > MODEL_AIM_MS) {
+	if (model->now_ms - request->sent_ms > MODEL_TARGET_MS) {
 		tally->late++;
 		return;
 	}
-	tally->in_aim++;
-	model->groups[request->group].in_aim += request->kind != 0;
+	tally->in_target++;
+	model->groups[request->group].in_target += request->kind != 0;
 }
 
-static inline void model_endpoint_work(struct model *model,
+static inline void model_step_endpoint(struct model *model,
 				       struct model_endpoint *endpoint)
 {
-	unsigned kept = 0;
+	unsigned remaining = 0;
 
 	for (unsigned i = 0; i < endpoint->count; i++) {
-		struct model_request *request = &endpoint->held[i];
+		struct model_request *request = &endpoint->queue[i];
 
 		if (i < MODEL_SLOTS) {
-			request->left_ms--;
+			request->remaining_ms--;
 			model->busy_ms++;
 		}
-		if (request->left_ms == 0)
-			model_answer(model, request);
+		if (request->remaining_ms == 0)
+			model_record_answer(model, request);
 		else
-			endpoint->held[kept++] = *request;
+			endpoint->queue[remaining++] = *request;
 	}
-	endpoint->count = kept;
-	if (!endpoint->gone)
+	endpoint->count = remaining;
+	if (!endpoint->removed)
 		model->slots_ms += MODEL_SLOTS;
 }
 
-static inline void model_changed(const struct jt_admission_view *view,
-				 void *private_data)
+static inline void model_on_limit_change(const struct jt_admission_view *view,
+					 void *private_data)
 {
 	struct model *model = private_data;
 
-	model->began += view->limit > 0;
+	model->limits_started += view->limit > 0;
 }
 
-/* For so long, at a demand of so many times what all endpoints can do. */
+/* Runs for @duration_ms at a demand of @demand times the total capacity. */
 static inline void model_run(struct model *model, double demand,
-			     uint64_t time_ms)
+			     uint64_t duration_ms)
 {
-	const double most_per_ms =
+	const double capacity_per_ms =
 		(double)MODEL_ENDPOINTS * MODEL_SLOTS / MODEL_WORK_MEAN_MS;
 
-	for (uint64_t end_ms = model->now_ms + time_ms; model->now_ms < end_ms;
-	     model->now_ms++) {
+	for (uint64_t end_ms = model->now_ms + duration_ms;
+	     model->now_ms < end_ms; model->now_ms++) {
 		for (unsigned i = 0; i < MODEL_ENDPOINTS; i++)
-			model_endpoint_work(model, &model->endpoints[i]);
-		model->due += demand * most_per_ms;
-		for (; model->due >= 1; model->due--)
-			model_caller(model);
+			model_step_endpoint(model, &model->endpoints[i]);
+		model->arrivals_due += demand * capacity_per_ms;
+		for (; model->arrivals_due >= 1; model->arrivals_due--)
+			model_run_client(model);
 		if (model->now_ms % 100 != 0)
 			continue;
 		for (unsigned i = 0; i < MODEL_NODES; i++)
 			jt_admission_tick(model->nodes[i], model->table,
 					  MODEL_NODES, model->now_ms,
-					  model_changed, model);
+					  model_on_limit_change, model);
 	}
 }
 
-/* Count anew from now on. */
-static inline void model_count_anew(struct model *model)
+/* Resets all counters. */
+static inline void model_reset_counters(struct model *model)
 {
 	memset(model->kinds, 0, sizeof(model->kinds));
-	memset(model->at, 0, sizeof(model->at));
+	memset(model->per_node, 0, sizeof(model->per_node));
 	memset(model->groups, 0, sizeof(model->groups));
 	model->busy_ms = 0;
 	model->slots_ms = 0;
-	model->began = 0;
+	model->limits_started = 0;
 }
 
-static inline double model_part(unsigned part, unsigned whole)
+static inline double model_ratio(unsigned part, unsigned whole)
 {
 	return whole > 0 ? (double)part / whole : 0;
 }
 
-/* Part of the slots' time that was worked in. */
-static inline double model_busy(const struct model *model)
+/* Returns the fraction of the slots' time spent processing. */
+static inline double model_utilisation(const struct model *model)
 {
 	return (double)model->busy_ms / (double)model->slots_ms;
 }
--- a/tests/director_fixture.h
+++ b/tests/director_fixture.h
@@ -1,4 +1,5 @@
-/* One director in virtual time, with routes and endpoints by name. */
+/* Test fixture: one director in virtual time, with routes and endpoints by
+ * name. */
 #ifndef DIRECTOR_FIXTURE_H
 #define DIRECTOR_FIXTURE_H
 
@@ -15,80 +16,82 @@
 	SERVICE_EXPORT = 12,
 	ZONE_A = 1,
 	ZONE_B = 2,
-	CALLER = 0x64400007,
+	CLIENT_IP = 0x64400007,
 	ROUTE_IP = 0xc6120001,
 	BOARD_PORT = 443,
 	SPLIT_PORT = 8443,
-	/* After the first list of a node's life no entry is missing by then. */
-	LEARNED_MS = 2500,
+	/* No entry is missing this long after a node's first full listing. */
+	INITIAL_SYNC_MS = 2500,
 };
 
-struct bench {
+struct fixture {
 	struct jt_director *director;
 	struct jt_director_actions *actions;
 	uint64_t now_ms;
 	uint32_t next_port;
 };
 
-/* A director with faults of tests in it, and without some mechanisms. */
-static inline struct bench *bench_create_without(unsigned break_mechanism,
-						 uint32_t without)
+/* Creates a director with injected faults and without the given features. */
+static inline struct fixture *fixture_create_without(unsigned injected_fault,
+						     uint32_t disabled_features)
 {
-	struct bench *bench = talloc_zero(NULL, struct bench);
+	struct fixture *fixture = talloc_zero(NULL, struct fixture);
 	struct jt_director_options options;
 
 	jt_director_options_init(&options);
 	options.zone_id = ZONE_A;
-	options.break_mechanism = break_mechanism;
-	options.without = without;
-	bench->director = jt_director_create(bench, &options);
-	bench->actions = jt_director_actions_create(bench);
-	bench->now_ms = 100000;
-	bench->next_port = 20000;
-	return bench;
+	options.break_mechanism = injected_fault;
+	options.without = disabled_features;
+	fixture->director = jt_director_create(fixture, &options);
+	fixture->actions = jt_director_actions_create(fixture);
+	fixture->now_ms = 100000;
+	fixture->next_port = 20000;
+	return fixture;
 }
 
-static inline struct bench *bench_create(unsigned break_mechanism)
+static inline struct fixture *fixture_create(unsigned injected_fault)
 {
-	return bench_create_without(break_mechanism, 0);
+	return fixture_create_without(injected_fault, 0);
 }
 
-/* Handle @event alone; its actions stay until the next one. */
-static inline void bench_event(struct bench *bench,
-			       struct jt_director_event *event)
+/* Handles @event; its actions are kept until the next event. */
+static inline void fixture_handle(struct fixture *fixture,
+				  struct jt_director_event *event)
 {
-	jt_director_actions_clear(bench->actions);
-	event->now_ms = bench->now_ms;
-	jt_director_handle(bench->director, event, bench->actions);
+	jt_director_actions_clear(fixture->actions);
+	event->now_ms = fixture->now_ms;
+	jt_director_handle(fixture->director, event, fixture->actions);
 }
 
-/* The first action of that kind, NULL when there is none. */
+/* Returns the first action of that kind, NULL if there is none. */
 static inline const struct jt_director_action *
-bench_find(const struct bench *bench, enum jt_director_action_kind kind)
+fixture_find_action(const struct fixture *fixture,
+		    enum jt_director_action_kind kind)
 {
-	for (size_t i = 0; i < bench->actions->count; i++) {
-		if (bench->actions->items[i].kind == kind)
-			return &bench->actions->items[i];
+	for (size_t i = 0; i < fixture->actions->count; i++) {
+		if (fixture->actions->items[i].kind == kind)
+			return &fixture->actions->items[i];
 	}
 	return NULL;
 }
 
-static inline size_t bench_count(const struct bench *bench,
-				 enum jt_director_action_kind kind)
+static inline size_t fixture_count_actions(const struct fixture *fixture,
+					   enum jt_director_action_kind kind)
 {
 	size_t count = 0;
 
-	for (size_t i = 0; i < bench->actions->count; i++)
-		count += bench->actions->items[i].kind == kind;
+	for (size_t i = 0; i < fixture->actions->count; i++)
+		count += fixture->actions->items[i].kind == kind;
 	return count;
 }
 
-/* A routing of one plain route and one that two services share. */
-static inline void bench_routing(struct bench *bench, uint64_t version,
-				 uint32_t board_weight, uint32_t export_weight)
+/* Sets a routing with one plain route and one split over two services. */
+static inline void fixture_set_routing(struct fixture *fixture,
+				       uint64_t version, uint32_t board_weight,
+				       uint32_t export_weight)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
-	struct jt_routing *routing = talloc_zero(bench, struct jt_routing);
+	struct jt_routing *routing = talloc_zero(fixture, struct jt_routing);
 
 	routing->version = version;
 	routing->revision = version;
@@ -110,11 +113,11 @@
 	};
 	assert_null(jt_routing_sort(routing));
 	event.u.routing = routing;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
 static inline struct jt_endpoint_entry
-entry_of(uint64_t id, uint32_t service, uint32_t zone, uint64_t revision)
+make_entry(uint64_t id, uint32_t service, uint32_t zone, uint64_t revision)
 {
 	return (struct jt_endpoint_entry){
 		.id = id,
@@ -126,79 +129,81 @@
 	};
 }
 
-static inline void bench_entry(struct bench *bench,
-			       struct jt_endpoint_entry entry)
+static inline void fixture_set_entry(struct fixture *fixture,
+				     struct jt_endpoint_entry entry)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ENDPOINT};
 
 	event.u.endpoint = entry;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
-static inline void bench_endpoint(struct bench *bench, uint64_t id,
-				  uint32_t service, uint32_t zone,
-				  uint64_t revision)
+static inline void fixture_add_endpoint(struct fixture *fixture, uint64_t id,
+					uint32_t service, uint32_t zone,
+					uint64_t revision)
 {
-	bench_entry(bench, entry_of(id, service, zone, revision));
+	fixture_set_entry(fixture, make_entry(id, service, zone, revision));
 }
 
-static inline void bench_gone(struct bench *bench, uint64_t id,
-			      uint64_t revision)
+static inline void fixture_remove_entry(struct fixture *fixture, uint64_t id,
+					uint64_t revision)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_GONE};
 
 	event.u.gone.id = id;
 	event.u.gone.revision = revision;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
-static inline void bench_listed(struct bench *bench, uint64_t revision)
+static inline void fixture_end_listing(struct fixture *fixture,
+				       uint64_t revision)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_LISTED};
 
 	event.u.listed.revision = revision;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
-static inline void bench_probed(struct bench *bench, uint64_t id,
-				enum jt_probe_outcome outcome)
+static inline void fixture_probe_result(struct fixture *fixture, uint64_t id,
+					enum jt_probe_outcome outcome)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PROBED};
 
 	event.u.probed.id = id;
 	event.u.probed.outcome = outcome;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
-static inline void bench_identified(struct bench *bench, uint64_t id,
-				    uint64_t found)
+static inline void fixture_identify_result(struct fixture *fixture, uint64_t id,
+					   uint64_t found)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_IDENTIFIED};
 
 	event.u.identified.id = id;
 	event.u.identified.found = found;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
-/* A peer has found the endpoint dead. */
-static inline void bench_suspicion(struct bench *bench, uint64_t id)
+/* Delivers a peer's report that the endpoint is dead. */
+static inline void fixture_peer_death_report(struct fixture *fixture,
+					     uint64_t id)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_SUSPICION};
 
 	event.u.suspicion.id = id;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
-static inline void bench_tick(struct bench *bench, uint64_t later_ms)
+static inline void fixture_tick(struct fixture *fixture, uint64_t advance_ms)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_TICK};
 
-	bench->now_ms += later_ms;
-	bench_event(bench, &event);
+	fixture->now_ms += advance_ms;
+	fixture_handle(fixture, &event);
 }
 
-/* A caller's flow as the test follows it. */
-struct caller_flow {
+/* A client's flow as the test case follows it. */
+struct client_flow {
 	struct jt_flow_key key;
 	uint32_t sequence;
 	uint32_t acknowledged;
@@ -206,23 +211,24 @@
 	uint64_t endpoint_id;
 };
 
-static inline struct caller_flow flow_new(struct bench *bench, uint32_t caller,
-					  uint16_t port)
+static inline struct client_flow flow_new(struct fixture *fixture,
+					  uint32_t client_ip, uint16_t port)
 {
-	return (struct caller_flow){
-		.key = {.source = caller,
+	return (struct client_flow){
+		.key = {.source = client_ip,
 			.destination = ROUTE_IP,
-			.source_port = (uint16_t)bench->next_port++,
+			.source_port = (uint16_t)fixture->next_port++,
 			.destination_port = port,
 			.protocol = JT_PROTOCOL_TCP},
 		.sequence = 1000,
 	};
 }
 
-/* A packet of the flow; one that the node had held for @held_ms. */
+/* Sends a packet of the flow that the node has held for @held_ms; returns the
+ * forward action, if any. */
 static inline const struct jt_director_action *
-flow_offer(struct bench *bench, const struct caller_flow *flow, uint8_t flags,
-	   uint32_t length, uint32_t held_ms)
+flow_send_held(struct fixture *fixture, const struct client_flow *flow,
+	       uint8_t flags, uint32_t length, uint32_t held_ms)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PACKET};
 
@@ -235,22 +241,23 @@
 		.length = length,
 		.held_ms = held_ms,
 	};
-	bench_event(bench, &event);
-	return bench_find(bench, JT_DIRECTOR_FORWARD);
+	fixture_handle(fixture, &event);
+	return fixture_find_action(fixture, JT_DIRECTOR_FORWARD);
 }
 
 static inline const struct jt_director_action *
-flow_send(struct bench *bench, const struct caller_flow *flow, uint8_t flags,
-	  uint32_t length)
+flow_send(struct fixture *fixture, const struct client_flow *flow,
+	  uint8_t flags, uint32_t length)
 {
-	return flow_offer(bench, flow, flags, length, 0);
+	return flow_send_held(fixture, flow, flags, length, 0);
 }
 
-/* The first packet; the endpoint that got it, 0 when none did. */
-static inline uint64_t flow_syn(struct bench *bench, struct caller_flow *flow)
+/* Sends the first packet; returns the chosen endpoint's id, 0 if none. */
+static inline uint64_t flow_send_syn(struct fixture *fixture,
+				     struct client_flow *flow)
 {
 	const struct jt_director_action *forward =
-		flow_send(bench, flow, JT_PACKET_SYN, 0);
+		flow_send(fixture, flow, JT_PACKET_SYN, 0);
 
 	if (forward == NULL)
 		return 0;
@@ -258,75 +265,79 @@
 	return forward->endpoint_id;
 }
 
-/* The endpoint answered the first packet; the caller acknowledges that. */
-static inline void flow_open(struct bench *bench, struct caller_flow *flow)
+/* Opens the flow: sends the first packet and the client's acknowledgement of
+ * the endpoint's answer. */
+static inline void flow_open(struct fixture *fixture, struct client_flow *flow)
 {
-	assert_int_not_equal(flow_syn(bench, flow), 0);
+	assert_int_not_equal(flow_send_syn(fixture, flow), 0);
 	flow->label = jt_flow_label(flow->endpoint_id);
 	flow->sequence++;
 	flow->acknowledged = 5000;
-	bench->now_ms += 2;
-	flow_send(bench, flow, JT_PACKET_ACK, 0);
+	fixture->now_ms += 2;
+	flow_send(fixture, flow, JT_PACKET_ACK, 0);
 }
 
-/* One request and its answer of so many bytes. */
-static inline void flow_request_of(struct bench *bench,
-				   struct caller_flow *flow, uint64_t took_ms,
-				   uint32_t bytes)
+/* Sends a request; its answer of @bytes bytes is acknowledged after
+ * @latency_ms. */
+static inline void flow_request_sized(struct fixture *fixture,
+				      struct client_flow *flow,
+				      uint64_t latency_ms, uint32_t bytes)
 {
-	flow_send(bench, flow, JT_PACKET_ACK, 100);
+	flow_send(fixture, flow, JT_PACKET_ACK, 100);
 	flow->sequence += 100;
 	flow->acknowledged += bytes;
-	bench->now_ms += took_ms;
-	flow_send(bench, flow, JT_PACKET_ACK, 0);
+	fixture->now_ms += latency_ms;
+	flow_send(fixture, flow, JT_PACKET_ACK, 0);
 }
 
-static inline void flow_request(struct bench *bench, struct caller_flow *flow,
-				uint64_t took_ms)
+static inline void flow_request(struct fixture *fixture,
+				struct client_flow *flow, uint64_t latency_ms)
 {
-	flow_request_of(bench, flow, took_ms, 600);
+	flow_request_sized(fixture, flow, latency_ms, 600);
 }
 
-static inline struct bench *two_endpoints_of(struct bench *bench)
+static inline struct fixture *fixture_add_two_endpoints(struct fixture *fixture)
 {
-	bench_routing(bench, 1, 50, 50);
-	bench_endpoint(bench, 0x101, SERVICE_BOARD, ZONE_A, 2);
-	bench_endpoint(bench, 0x102, SERVICE_BOARD, ZONE_A, 3);
-	bench_listed(bench, 3);
-	/* Long enough to have seen the flows that were open before. */
-	bench_tick(bench, 20000);
-	return bench;
+	fixture_set_routing(fixture, 1, 50, 50);
+	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 2);
+	fixture_add_endpoint(fixture, 0x102, SERVICE_BOARD, ZONE_A, 3);
+	fixture_end_listing(fixture, 3);
+	/* Flows that were open before the start are known by now. */
+	fixture_tick(fixture, 20000);
+	return fixture;
 }
 
-static inline struct bench *two_endpoints(unsigned break_mechanism)
+static inline struct fixture *
+fixture_with_two_endpoints(unsigned injected_fault)
 {
-	return two_endpoints_of(bench_create(break_mechanism));
+	return fixture_add_two_endpoints(fixture_create(injected_fault));
 }
 
-/* Open so many new flows; returns how many came to the endpoint. */
-static inline unsigned flows_at(struct bench *bench, int count,
-				uint64_t endpoint_id)
+/* Opens @count new flows; returns how many went to the endpoint. */
+static inline unsigned count_flows_to(struct fixture *fixture, int count,
+				      uint64_t endpoint_id)
 {
-	unsigned there = 0;
+	unsigned matching = 0;
 
 	for (int i = 0; i < count; i++) {
-		struct caller_flow flow =
-			flow_new(bench, CALLER + (uint32_t)i, BOARD_PORT);
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP + (uint32_t)i, BOARD_PORT);
 
-		flow_open(bench, &flow);
-		there += flow.endpoint_id == endpoint_id;
+		flow_open(fixture, &flow);
+		matching += flow.endpoint_id == endpoint_id;
 	}
-	return there;
+	return matching;
 }
 
-static inline enum jt_incarnation_state state_of(const struct bench *bench,
-						 uint64_t id)
+static inline enum jt_incarnation_state
+endpoint_state(const struct fixture *fixture, uint64_t id)
 {
 	struct jt_endpoint_entry entry;
 	enum jt_incarnation_state state;
 
 	for (size_t i = 0;
-	     jt_director_endpoint_at(bench->director, i, &entry, &state); i++) {
+	     jt_director_endpoint_at(fixture->director, i, &entry, &state);
+	     i++) {
 		if (entry.id == id)
 			return state;
 	}
@@ -334,46 +345,49 @@
 	return JT_INCARNATION_DEAD;
 }
 
-/* A flow at each endpoint. */
-static inline void flow_at_each(struct bench *bench, struct caller_flow *first,
-				struct caller_flow *second)
+/* Opens a flow at each of the two endpoints. */
+static inline void open_flow_at_each(struct fixture *fixture,
+				     struct client_flow *first,
+				     struct client_flow *second)
 {
 	do {
-		*first = flow_new(bench, CALLER, BOARD_PORT);
-		flow_open(bench, first);
+		*first = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+		flow_open(fixture, first);
 	} while (first->endpoint_id != 0x101);
 	do {
-		*second = flow_new(bench, CALLER + 1, BOARD_PORT);
-		flow_open(bench, second);
+		*second = flow_new(fixture, CLIENT_IP + 1, BOARD_PORT);
+		flow_open(fixture, second);
 	} while (second->endpoint_id != 0x102);
 }
 
-/* The routing says this of one service, and nothing of others. */
-static inline void bench_service(struct bench *bench,
-				 const struct jt_routed_service *service)
+/* Replaces the routing's service settings by @service alone. */
+static inline void fixture_set_service(struct fixture *fixture,
+				       const struct jt_routed_service *service)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
-	const struct jt_routing *old = jt_director_routing(bench->director);
-	struct jt_routing *routing = talloc_zero(bench, struct jt_routing);
+	const struct jt_routing *current =
+		jt_director_routing(fixture->director);
+	struct jt_routing *routing = talloc_zero(fixture, struct jt_routing);
 
-	*routing = *old;
+	*routing = *current;
 	routing->version++;
 	routing->services =
 		talloc_memdup(routing, service, sizeof(*routing->services));
 	routing->service_count = 1;
-	routing->routes = talloc_memdup(
-		routing, old->routes, old->route_count * sizeof(*old->routes));
+	routing->routes =
+		talloc_memdup(routing, current->routes,
+			      current->route_count * sizeof(*current->routes));
 	event.u.routing = routing;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
-/* The service's endpoints hold so many flows each. */
-static inline void limit_connections(struct bench *bench, uint32_t limit)
+/* Limits the connections of each endpoint of the service. */
+static inline void limit_connections(struct fixture *fixture, uint32_t limit)
 {
 	const struct jt_routed_service service = {.id = SERVICE_BOARD,
 						  .connection_limit = limit};
 
-	bench_service(bench, &service);
+	fixture_set_service(fixture, &service);
 }
 
 #endif
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -1,5 +1,5 @@
-/* Who gets room when there is too little: closed loops of nodes and a simple
- * service in virtual time. What is checked is what callers get. */
+/* Tests admission control under overload: nodes and a simple service as a
+ * closed loop in virtual time. The checks are on what clients get. */
 #include "admission_model.h"
 #include "director_fixture.h"
 #include "jt_concurrency_limit.h"
@@ -7,14 +7,14 @@
 
 enum { SETTLED_MS = 3000, RUN_MS = 10000 };
 
-/* Of what can be done within the aim, work at every moment. */
-static const double busy_least = 0.85;
-/* Of those that found a place at an endpoint. */
-static const double in_aim_least = 0.97;
-static const double shed_most = 0.05;
-static const double floor_part = 0.05;
+/* Least utilisation of the slots under overload. */
+static const double min_utilisation = 0.85;
+/* Bounds for requests that an endpoint accepted. */
+static const double min_in_target = 0.97;
+static const double max_rejected = 0.05;
+static const double floor_share = 0.05;
 
-static unsigned both(const struct model *model, size_t offset)
+static unsigned sum_kinds(const struct model *model, size_t offset)
 {
 	const char *urgent = (const char *)&model->kinds[0];
 	const char *other = (const char *)&model->kinds[1];
@@ -23,68 +23,73 @@
 	       *(const unsigned *)(other + offset);
 }
 
-#define BOTH(model, field) both(model, offsetof(struct model_tally, field))
+#define SUM_KINDS(model, field)                                                \
+	sum_kinds(model, offsetof(struct model_tally, field))
 
-/* Slots are kept at work, and what is placed is done in time. */
+/* Asserts that slots are utilised and accepted requests meet the target. */
 static void assert_well_used(const struct model *model)
 {
-	unsigned in_aim = BOTH(model, in_aim), late = BOTH(model, late);
-	unsigned shed = BOTH(model, shed);
-
-	assert_true(model_busy(model) >= busy_least);
-	assert_true(model_part(in_aim, in_aim + late) >= in_aim_least);
-	assert_true(model_part(shed, in_aim + late + shed) <= shed_most);
+	unsigned in_target = SUM_KINDS(model, in_target),
+		 late = SUM_KINDS(model, late);
+	unsigned rejected = SUM_KINDS(model, rejected);
+
+	assert_true(model_utilisation(model) >= min_utilisation);
+	assert_true(model_ratio(in_target, in_target + late) >= min_in_target);
+	assert_true(model_ratio(rejected, in_target + late + rejected) <=
+		    max_rejected);
 }
 
-static double served(const struct model *model, unsigned kind)
+static double served_share(const struct model *model, unsigned kind)
 {
-	return model_part(model->kinds[kind].in_aim, model->kinds[kind].asked);
+	return model_ratio(model->kinds[kind].in_target,
+			   model->kinds[kind].arrived);
 }
 
-/* Urgent ones get what capacity allows, the others what is left. */
-static void test_overload_serves_the_urgent_first(void **state)
+/* Urgent requests get the capacity, the others the rest. */
+static void test_overload_serves_urgent_routes_first(void **state)
 {
 	const double demands[] = {1.2, 2, 5};
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(demands) / sizeof(demands[0]); i++) {
 		struct model *model = model_create();
-		double urgent = demands[i] * model->urgent_part;
-		double possible = urgent > 1 ? 1 / urgent : 1;
+		double urgent = demands[i] * model->urgent_share;
+		double achievable = urgent > 1 ? 1 / urgent : 1;
 
 		model_run(model, demands[i], SETTLED_MS);
-		model_count_anew(model);
+		model_reset_counters(model);
 		model_run(model, demands[i], RUN_MS);
-		assert_true(served(model, 0) >=
-			    0.9 * possible * (1 - floor_part));
+		assert_true(served_share(model, 0) >=
+			    0.9 * achievable * (1 - floor_share));
 		assert_well_used(model);
-		/* What is left, but for what the slots were idle. */
+		/* The rest of the capacity, less the idle time of the slots. */
 		if (urgent < 1)
-			assert_true(served(model, 1) * demands[i] *
-					    (1 - model->urgent_part) >=
-				    busy_least - urgent);
+			assert_true(served_share(model, 1) * demands[i] *
+					    (1 - model->urgent_share) >=
+				    min_utilisation - urgent);
 		talloc_free(model);
 	}
 }
 
-/* However many urgent ones come, the others get their floor. */
-static void test_less_urgent_do_not_starve(void **state)
+/* Lower-priority requests get their floor at any urgent demand. */
+static void test_lower_priority_keeps_its_floor(void **state)
 {
 	struct model *model = model_create();
-	double part;
+	double share;
 
 	(void)state;
-	model->urgent_part = 0.9;
+	model->urgent_share = 0.9;
 	model_run(model, 5, SETTLED_MS);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 5, RUN_MS);
-	part = model_part(model->kinds[1].in_aim, BOTH(model, in_aim));
-	assert_true(part >= floor_part / 2);
-	assert_true(part <= floor_part * 2);
+	share = model_ratio(model->kinds[1].in_target,
+			    SUM_KINDS(model, in_target));
+	assert_true(share >= floor_share / 2);
+	assert_true(share <= floor_share * 2);
 	talloc_free(model);
 }
 
-/* Without a floor they get nothing while the urgent want all. */
+/* Without a floor they get nothing while urgent demand exceeds capacity. */
 static void test_floor_is_a_setting(void **state)
 {
 	struct model *model = model_create();
@@ -92,101 +97,102 @@
 	(void)state;
 	model->options.admission_floor_permille = 0;
 	for (unsigned i = 0; i < MODEL_NODES; i++)
-		model_node_start(model, i);
-	model->urgent_part = 0.9;
+		model_restart_node(model, i);
+	model->urgent_share = 0.9;
 	model_run(model, 5, SETTLED_MS);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 5, RUN_MS);
-	assert_true(served(model, 1) < 0.01);
+	assert_true(served_share(model, 1) < 0.01);
 	talloc_free(model);
 }
 
-static void test_demand_doubles_at_once(void **state)
+static void test_demand_doubles(void **state)
 {
 	struct model *model = model_create();
 
 	(void)state;
 	model_run(model, 2, SETTLED_MS);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 4, 1000);
 	assert_well_used(model);
 	talloc_free(model);
 }
 
-/* From room for all to far too little: settled within a second. */
-static void test_overload_from_a_normal_day(void **state)
+/* Admission settles within a second after a change from low load to overload.
+ */
+static void test_overload_after_normal_load(void **state)
 {
 	struct model *model = model_create();
 
 	(void)state;
 	model_run(model, 0.3, SETTLED_MS);
 	model_run(model, 2, 1000);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 2, 2000);
-	assert_true(served(model, 0) >= 0.9);
+	assert_true(served_share(model, 0) >= 0.9);
 	assert_well_used(model);
 	talloc_free(model);
 }
 
-/* A node with half of all demand serves its callers about as well as others
- * serve theirs. */
+/* A node with half of all demand serves its clients about as well as the
+ * others. */
 static void test_node_with_half_of_the_demand(void **state)
 {
 	struct model *model = model_create();
-	double least = 1, most = 0;
+	double lowest = 1, highest = 0;
 
 	(void)state;
 	for (unsigned i = 0; i < MODEL_NODES; i++)
 		model->shares[i] = i == 0 ? 0.5 : 0.5 / (MODEL_NODES - 1);
-	model->tries = 1;
+	model->attempts = 1;
 	model_run(model, 2, 2 * SETTLED_MS);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 2, RUN_MS);
 	for (unsigned i = 0; i < MODEL_NODES; i++) {
-		double part = 1 - model_part(model->at[i].refused,
-					     model->at[i].asked);
+		double share = 1 - model_ratio(model->per_node[i].refused,
+					       model->per_node[i].arrived);
 
-		least = part < least ? part : least;
-		most = part > most ? part : most;
+		lowest = share < lowest ? share : lowest;
+		highest = share > highest ? share : highest;
 	}
-	assert_true(most - least <= 0.3);
+	assert_true(highest - lowest <= 0.3);
 	assert_well_used(model);
 	talloc_free(model);
 }
 
-static void test_half_of_the_nodes_start_anew(void **state)
+static void test_half_of_the_nodes_restart(void **state)
 {
 	struct model *model = model_create();
 
 	(void)state;
 	model_run(model, 2, SETTLED_MS);
 	for (unsigned i = 0; i < MODEL_NODES; i += 2)
-		model_node_start(model, i);
+		model_restart_node(model, i);
 	model_run(model, 2, 1000);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 2, RUN_MS);
-	assert_true(served(model, 0) >= 0.9);
+	assert_true(served_share(model, 0) >= 0.9);
 	assert_well_used(model);
 	talloc_free(model);
 }
 
-static void test_endpoints_are_halved(void **state)
+static void test_half_of_the_endpoints_are_removed(void **state)
 {
 	struct model *model = model_create();
 
 	(void)state;
 	model_run(model, 0.8, SETTLED_MS);
 	for (unsigned i = 0; i < MODEL_ENDPOINTS; i += 2)
-		model_endpoint_leave(model, i);
+		model_remove_endpoint(model, i);
 	model_run(model, 0.8, 1500);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 0.8, RUN_MS);
-	assert_true(served(model, 0) >= 0.9);
+	assert_true(served_share(model, 0) >= 0.9);
 	assert_well_used(model);
 	talloc_free(model);
 }
 
-static void test_room_for_all_refuses_nobody(void **state)
+static void test_sufficient_capacity_refuses_no_client(void **state)
 {
 	const double demands[] = {0.05, 0.3, 0.7};
 
@@ -195,51 +201,49 @@
 		struct model *model = model_create();
 
 		model_run(model, demands[i], RUN_MS);
-		assert_int_equal(BOTH(model, refused), 0);
-		assert_int_equal(model->began, 0);
+		assert_int_equal(SUM_KINDS(model, refused), 0);
+		assert_int_equal(model->limits_started, 0);
 		talloc_free(model);
 	}
 }
 
-/* Nor does it when an endpoint is slow, or all are in a part of the load that
- * leaves slots free. */
-static void test_slow_endpoints_refuse_nobody(void **state)
+/* Slow endpoints cause no refusals while slots are free. */
+static void test_slow_endpoints_refuse_no_client(void **state)
 {
 	struct model *model = model_create();
 
 	(void)state;
-	model->endpoints[0].slowness = 8;
+	model->endpoints[0].slowdown = 8;
 	model_run(model, 0.5, RUN_MS);
-	assert_int_equal(BOTH(model, refused), 0);
+	assert_int_equal(SUM_KINDS(model, refused), 0);
 	talloc_free(model);
 	model = model_create();
 	for (unsigned i = 0; i < MODEL_ENDPOINTS; i++)
-		model->endpoints[i].slowness = 4;
+		model->endpoints[i].slowdown = 4;
 	model_run(model, 0.07, RUN_MS);
-	assert_int_equal(BOTH(model, refused), 0);
+	assert_int_equal(SUM_KINDS(model, refused), 0);
 	talloc_free(model);
 }
 
-/* Answers wait long, but endpoints take what they get: nobody is refused for
- * that, since a late answer serves its caller better than none. */
-static void test_waiting_at_endpoints_with_room_refuses_nobody(void **state)
+/* Long waits alone cause no refusals while endpoints accept requests. */
+static void test_slow_answers_below_capacity_refuse_no_client(void **state)
 {
 	struct model *model = model_create();
 
 	(void)state;
 	for (unsigned i = 0; i < MODEL_ENDPOINTS; i++)
-		model->endpoints[i].slowness = 2;
+		model->endpoints[i].slowdown = 2;
 	model_run(model, 0.46, SETTLED_MS);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 0.46, RUN_MS);
-	assert_int_equal(BOTH(model, refused), 0);
-	assert_int_equal(model->began, 0);
+	assert_int_equal(SUM_KINDS(model, refused), 0);
+	assert_int_equal(model->limits_started, 0);
 	talloc_free(model);
 }
 
-/* Open flows are bound to endpoints that have turned slow; new ones find room
- * elsewhere, as the quickest answers show. */
-static void test_open_flows_at_slow_endpoints_refuse_nobody(void **state)
+/* Open flows stay at endpoints that have become slow; the fastest answers show
+ * that new flows find capacity. */
+static void test_open_flows_at_slow_endpoints_refuse_no_client(void **state)
 {
 	const struct jt_limit_service service = {
 		.target_ms = 400, .slots = 10, .nodes = 1};
@@ -259,7 +263,7 @@
 			jt_concurrency_limit_step(&limit, &service, now_ms),
 			JT_LIMIT_SAME);
 	}
-	/* All waiting is another thing. */
+	/* When all answers are slow the limit becomes active. */
 	for (int i = 0; i < 20; i++) {
 		jt_concurrency_limit_begun(&limit);
 		jt_concurrency_limit_answered(&limit, 350, 800);
@@ -268,10 +272,9 @@
 			 JT_LIMIT_BEGAN);
 }
 
-/* All requests on open flows wait long at the endpoints that these have, and
- * first ones of new flows meet free slots: nobody is refused, though only one
- * request in ten is a first one. */
-static void test_bound_requests_refuse_no_new_flows(void **state)
+/* Requests on open flows are slow, first requests of new flows are fast: no
+ * client is refused, though only one request in ten is a first one. */
+static void test_requests_on_open_flows_refuse_no_new_flows(void **state)
 {
 	struct model *model = model_create();
 	struct jt_admission *admission = model->nodes[0];
@@ -280,10 +283,10 @@
 	(void)state;
 	for (int step = 0; step < 50; step++, model->now_ms += 100) {
 		for (int i = 0; i < 60; i++) {
-			bool placed = i % 10 == 0;
-			uint64_t took_ms = placed ? 25 : MODEL_AIM_MS;
+			bool first_request = i % 10 == 0;
+			uint64_t took_ms = first_request ? 25 : MODEL_TARGET_MS;
 
-			assert_true(!placed ||
+			assert_true(!first_request ||
 				    jt_admission_ask(admission, route,
 						     model->now_ms)
 					    .admitted);
@@ -291,17 +294,17 @@
 					       model->now_ms);
 			jt_admission_answered(admission, MODEL_SERVICE,
 					      model->now_ms - took_ms,
-					      MODEL_BYTES, placed,
+					      MODEL_BYTES, first_request,
 					      model->now_ms);
 		}
 		jt_admission_tick(admission, model->table, 1, model->now_ms,
-				  model_changed, model);
+				  model_on_limit_change, model);
 	}
-	assert_int_equal(model->began, 0);
+	assert_int_equal(model->limits_started, 0);
 	talloc_free(model);
 }
 
-/* The demand is as before: nobody is refused any more a moment later. */
+/* Refusals end within 200 ms after the overload. */
 static void test_end_of_overload(void **state)
 {
 	struct model *model = model_create();
@@ -309,74 +312,74 @@
 	(void)state;
 	model_run(model, 5, SETTLED_MS);
 	model_run(model, 0.3, 200);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 0.3, RUN_MS);
-	assert_int_equal(BOTH(model, refused), 0);
+	assert_int_equal(SUM_KINDS(model, refused), 0);
 	talloc_free(model);
 }
 
-/* Callers that come back at once and for long change little for the urgent. */
-static void test_callers_that_return_for_ever(void **state)
+/* Clients that retry at once and many times change little for urgent requests.
+ */
+static void test_clients_that_retry_persistently(void **state)
 {
 	struct model *model = model_create();
 
 	(void)state;
-	model->tries = 50;
+	model->attempts = 50;
 	model_run(model, 2, SETTLED_MS);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 2, RUN_MS);
-	assert_true(served(model, 0) >= 0.9);
+	assert_true(served_share(model, 0) >= 0.9);
 	assert_well_used(model);
 	talloc_free(model);
 }
 
-/* Three groups that want little get it, whatever the fourth wants; it gets what
- * they leave. */
-static void test_greedy_group_takes_nothing_from_others(void **state)
+/* Three routes with low demand get all of it; the fourth gets the rest. */
+static void test_heavy_route_takes_nothing_from_others(void **state)
 {
 	struct model *model = model_create();
 
 	(void)state;
-	model->urgent_part = 0;
-	model->greedy_part = 0.9;
+	model->urgent_share = 0;
+	model->heavy_share = 0.9;
 	model_run(model, 4, SETTLED_MS);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 4, RUN_MS);
-	/* Each of the three wants 0.13 of all that the service can do. */
+	/* Each of the three demands 0.13 of the total capacity. */
 	for (unsigned i = 1; i < MODEL_GROUPS; i++)
-		assert_true(model_part(model->groups[i].in_aim,
-				       model->groups[i].asked) >= 0.9);
-	assert_true(model_part(model->groups[0].in_aim,
-			       model->groups[0].asked) >= 0.9 * 0.6 / 3.6);
+		assert_true(model_ratio(model->groups[i].in_target,
+					model->groups[i].arrived) >= 0.9);
+	assert_true(model_ratio(model->groups[0].in_target,
+				model->groups[0].arrived) >= 0.9 * 0.6 / 3.6);
 	assert_well_used(model);
 	talloc_free(model);
 }
 
-/* All want more than there is: each gets the same. */
-static void test_groups_share_evenly(void **state)
+/* All routes exceed their share: each gets the same. */
+static void test_overloaded_routes_share_evenly(void **state)
 {
 	struct model *model = model_create();
-	unsigned least = UINT32_MAX, most = 0;
+	unsigned lowest = UINT32_MAX, highest = 0;
 
 	(void)state;
-	model->urgent_part = 0;
-	model->greedy_part = 0.55;
+	model->urgent_share = 0;
+	model->heavy_share = 0.55;
 	model_run(model, 4, SETTLED_MS);
-	model_count_anew(model);
+	model_reset_counters(model);
 	model_run(model, 4, RUN_MS);
 	for (unsigned i = 0; i < MODEL_GROUPS; i++) {
-		unsigned done = model->groups[i].in_aim;
+		unsigned done = model->groups[i].in_target;
 
-		least = done < least ? done : least;
-		most = done > most ? done : most;
+		lowest = done < lowest ? done : lowest;
+		highest = done > highest ? done : highest;
 	}
-	assert_true(model_part(least, most) >= 0.7);
+	assert_true(model_ratio(lowest, highest) >= 0.7);
 	assert_well_used(model);
 	talloc_free(model);
 }
 
-/* What never ends, as far as a node sees, counts for its horizon only. */
-static void test_in_flight_forgets(void **state)
+/* Requests whose end is not seen are counted until the horizon only. */
+static void test_in_flight_requests_expire(void **state)
 {
 	struct jt_in_flight flight;
 
@@ -388,15 +391,16 @@
 	jt_in_flight_end(&flight, 1100, 1150);
 	assert_int_equal(jt_in_flight_count(&flight, 1150), 1);
 	assert_int_equal(jt_in_flight_count(&flight, 1250), 0);
-	/* Its end comes after it was forgotten. */
+	/* The end of an expired request is ignored. */
 	jt_in_flight_end(&flight, 1000, 1250);
 	assert_int_equal(jt_in_flight_count(&flight, 1250), 0);
 	jt_in_flight_begin(&flight, 100000);
 	assert_int_equal(jt_in_flight_count(&flight, 100010), 1);
 }
 
-/* Only a service whose routes differ in priority, and say what they want. */
-static void test_what_calls_for_admission(void **state)
+/* Admission applies only to services whose routes differ in priority and have a
+ * target. */
+static void test_services_subject_to_admission(void **state)
 {
 	const struct {
 		uint32_t priority;
@@ -414,7 +418,7 @@
 			model->routing->routes[k].target_ms =
 				cases[i].target_ms;
 		}
-		model_node_start(model, 0);
+		model_restart_node(model, 0);
 		assert_int_equal(
 			jt_admission_view_at(model->nodes[0], 0, &view),
 			cases[i].watched);
@@ -422,10 +426,10 @@
 	}
 }
 
-/* Peers tell what callers want with the routing. */
+/* Snapshots to peers hold the routes' targets and priorities. */
 static void test_target_reaches_peers(void **state)
 {
-	struct bench *bench = bench_create(0);
+	struct fixture *fixture = fixture_create(0);
 	struct model *model = model_create();
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
 	struct jt_knowledge_need need = {0};
@@ -434,41 +438,42 @@
 
 	(void)state;
 	event.u.routing = model->routing;
-	bench_event(bench, &event);
-	bench_listed(bench, 1);
-	assert_true(jt_knowledge_write(bench, bench->director, &need,
-				       bench->now_ms, &knowledge));
-	routing = jt_knowledge_routing(bench, &knowledge.routing);
-	assert_int_equal(routing->routes[0].target_ms, MODEL_AIM_MS);
+	fixture_handle(fixture, &event);
+	fixture_end_listing(fixture, 1);
+	assert_true(jt_knowledge_write(fixture, fixture->director, &need,
+				       fixture->now_ms, &knowledge));
+	routing = jt_knowledge_routing(fixture, &knowledge.routing);
+	assert_int_equal(routing->routes[0].target_ms, MODEL_TARGET_MS);
 	assert_int_equal(routing->routes[0].priority, 1);
-	talloc_free(bench);
+	talloc_free(fixture);
 	talloc_free(model);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_overload_serves_the_urgent_first),
-		cmocka_unit_test(test_less_urgent_do_not_starve),
+		cmocka_unit_test(test_overload_serves_urgent_routes_first),
+		cmocka_unit_test(test_lower_priority_keeps_its_floor),
 		cmocka_unit_test(test_floor_is_a_setting),
-		cmocka_unit_test(test_demand_doubles_at_once),
-		cmocka_unit_test(test_overload_from_a_normal_day),
+		cmocka_unit_test(test_demand_doubles),
+		cmocka_unit_test(test_overload_after_normal_load),
 		cmocka_unit_test(test_node_with_half_of_the_demand),
-		cmocka_unit_test(test_half_of_the_nodes_start_anew),
-		cmocka_unit_test(test_endpoints_are_halved),
-		cmocka_unit_test(test_room_for_all_refuses_nobody),
-		cmocka_unit_test(test_slow_endpoints_refuse_nobody),
+		cmocka_unit_test(test_half_of_the_nodes_restart),
+		cmocka_unit_test(test_half_of_the_endpoints_are_removed),
+		cmocka_unit_test(test_sufficient_capacity_refuses_no_client),
+		cmocka_unit_test(test_slow_endpoints_refuse_no_client),
+		cmocka_unit_test(
+			test_slow_answers_below_capacity_refuse_no_client),
 		cmocka_unit_test(
-			test_waiting_at_endpoints_with_room_refuses_nobody),
+			test_open_flows_at_slow_endpoints_refuse_no_client),
 		cmocka_unit_test(
-			test_open_flows_at_slow_endpoints_refuse_nobody),
-		cmocka_unit_test(test_bound_requests_refuse_no_new_flows),
+			test_requests_on_open_flows_refuse_no_new_flows),
 		cmocka_unit_test(test_end_of_overload),
-		cmocka_unit_test(test_callers_that_return_for_ever),
-		cmocka_unit_test(test_greedy_group_takes_nothing_from_others),
-		cmocka_unit_test(test_groups_share_evenly),
-		cmocka_unit_test(test_in_flight_forgets),
-		cmocka_unit_test(test_what_calls_for_admission),
+		cmocka_unit_test(test_clients_that_retry_persistently),
+		cmocka_unit_test(test_heavy_route_takes_nothing_from_others),
+		cmocka_unit_test(test_overloaded_routes_share_evenly),
+		cmocka_unit_test(test_in_flight_requests_expire),
+		cmocka_unit_test(test_services_subject_to_admission),
 		cmocka_unit_test(test_target_reaches_peers),
 	};
 
--- a/tests/test_choice.c
+++ b/tests/test_choice.c
@@ -1,5 +1,5 @@
-/* What callers get of the choice of endpoints, with news of half a second and
- * more, and what it rests on. */
+/* Tests the choice of endpoints with load reports that are half a second old or
+ * older: latency, zone locality, endpoint speed. */
 #include "choice_world.h"
 #include "jt_target.h"
 #include "jt_fill.h"
@@ -8,165 +8,167 @@
 
 enum { SEED = 1, NODES = 24 };
 
-static double world_mean_ms(const struct world *world)
+static double sim_mean_ms(const struct sim *sim)
 {
-	return world->took_ms / (double)world->requests;
+	return sim->latency_ms / (double)sim->requests;
 }
 
-static double world_far_part(const struct world *world)
+static double sim_cross_zone_share(const struct sim *sim)
 {
-	return (double)world->far / (double)world->requests;
+	return (double)sim->cross_zone / (double)sim->requests;
 }
 
-/* A whole run; the world's figures. */
-static struct world *world_played(double load, uint32_t without)
+/* Runs a whole simulation and prints its results. */
+static struct sim *sim_run_scenario(double load, uint32_t disabled_features)
 {
-	struct world *world = world_create(load, SEED, without);
+	struct sim *sim = sim_create(load, SEED, disabled_features);
 
-	world_run(world, WORLD_END_MS);
+	sim_run(sim, SIM_END_MS);
 	print_message("load %.1f, without %#x: mean %.1f ms, late %.2f%%, "
 		      "busiest over mean %.2f, to slow ones %.2f, far %.3f\n",
-		      load, without, world_mean_ms(world),
-		      100.0 * (double)world->late / (double)world->requests,
-		      world_imbalance(world), world_slow_share(world),
-		      world_far_part(world));
-	assert_int_equal(world->refused, 0);
-	return world;
+		      load, disabled_features, sim_mean_ms(sim),
+		      100.0 * (double)sim->late / (double)sim->requests,
+		      sim_imbalance(sim), sim_slow_share(sim),
+		      sim_cross_zone_share(sim));
+	assert_int_equal(sim->refused, 0);
+	return sim;
 }
 
-/* Callers wait less than with endpoints that all count alike, at any load. */
-static void test_speed_saves_time(void **state)
+/* Weighting endpoints by speed lowers latency at any load. */
+static void test_endpoint_speed_lowers_latency(void **state)
 {
 	static const struct {
-		double load, times;
+		double load, max_ratio;
 	} cases[] = {{0.3, 0.97}, {0.6, 0.9}, {0.9, 0.6}};
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		struct world *with = world_played(cases[i].load, 0);
-		struct world *even =
-			world_played(cases[i].load, JT_MECHANISM_SLOWNESS);
-
-		assert_true(world_mean_ms(with) <
-			    world_mean_ms(even) * cases[i].times);
-		assert_true(with->late <= even->late);
-		world_free(with);
-		world_free(even);
+		struct sim *with = sim_run_scenario(cases[i].load, 0);
+		struct sim *unweighted =
+			sim_run_scenario(cases[i].load, JT_MECHANISM_SLOWNESS);
+
+		assert_true(sim_mean_ms(with) <
+			    sim_mean_ms(unweighted) * cases[i].max_ratio);
+		assert_true(with->late <= unweighted->late);
+		sim_free(with);
+		sim_free(unweighted);
 	}
 }
 
-/* Slow ones get less than in proportion while fast ones are free, and callers
- * wait no longer for that. */
-static void test_fast_first(void **state)
+/* At low load slow endpoints get less than a proportional share, without higher
+ * latency. */
+static void test_fast_endpoints_are_preferred(void **state)
 {
-	struct world *first = world_played(0.3, 0);
-	struct world *proportional = world_played(0.3, JT_MECHANISM_FAST_FIRST);
+	struct sim *first = sim_run_scenario(0.3, 0);
+	struct sim *proportional =
+		sim_run_scenario(0.3, JT_MECHANISM_FAST_FIRST);
 
 	(void)state;
-	assert_true(world_slow_share(first) <
-		    world_slow_share(proportional) - 0.03);
-	assert_true(world_mean_ms(first) < world_mean_ms(proportional) * 1.01);
-	world_free(first);
-	world_free(proportional);
+	assert_true(sim_slow_share(first) <
+		    sim_slow_share(proportional) - 0.03);
+	assert_true(sim_mean_ms(first) < sim_mean_ms(proportional) * 1.01);
+	sim_free(first);
+	sim_free(proportional);
 }
 
-/* Each node's view of an endpoint, the mean over all. */
-static double slowness_seen(const struct world *world, uint32_t e)
+/* Returns an endpoint's relative response time as seen by the nodes, the mean
+ * over all. */
+static double mean_slowness(const struct sim *sim, uint32_t e)
 {
 	double sum = 0;
 
-	for (size_t n = 0; n < WORLD_NODES; n++) {
+	for (size_t n = 0; n < SIM_NODES; n++) {
 		const struct jt_incarnation *in = jt_endpoint_table_by_id(
-			world->nodes[n]->director->endpoints, e + 1);
+			sim->nodes[n]->director->endpoints, e + 1);
 
-		sum += jt_speed_slowness(&in->speed, WORLD_NODES,
-					 world->now_ms);
+		sum += jt_speed_slowness(&in->speed, SIM_NODES, sim->now_ms);
 	}
-	return sum / WORLD_NODES;
+	return sum / SIM_NODES;
 }
 
-/* Nodes that see few requests each know together which endpoints are fast. */
-static void test_nodes_agree_on_speed(void **state)
+/* Nodes that see few requests each still learn together which endpoints are
+ * fast. */
+static void test_nodes_converge_on_endpoint_speed(void **state)
 {
-	struct world *world = world_played(0.3, 0);
+	struct sim *sim = sim_run_scenario(0.3, 0);
 	double fast = 0, slow = 0;
 	unsigned fast_count = 0;
 
 	(void)state;
-	for (uint32_t e = 0; e < WORLD_ENDPOINTS; e++) {
-		if (world->endpoints[e].speed > 1) {
-			fast += slowness_seen(world, e);
+	for (uint32_t e = 0; e < SIM_ENDPOINTS; e++) {
+		if (sim->endpoints[e].speed > 1) {
+			fast += mean_slowness(sim, e);
 			fast_count++;
 		} else {
-			slow += slowness_seen(world, e);
+			slow += mean_slowness(sim, e);
 		}
 	}
 	fast /= fast_count;
-	slow /= WORLD_ENDPOINTS - fast_count;
-	/* 1.2 / .55, drawn nearer by the way and by what is not yet known. */
+	slow /= SIM_ENDPOINTS - fast_count;
+	/* Expected 1.2 / 0.55, reduced by network time and by uncertainty. */
 	assert_true(slow / fast > 1.4 && slow / fast < 2.4);
-	world_free(world);
+	sim_free(sim);
 }
 
-/* While all zones have room, nothing leaves its own. */
-static void test_own_zone_while_it_has_room(void **state)
+/* While all zones have headroom, requests stay in their own zone. */
+static void test_own_zone_is_used_below_capacity(void **state)
 {
-	struct world *world = world_played(0.3, 0);
+	struct sim *sim = sim_run_scenario(0.3, 0);
 
 	(void)state;
-	assert_true(world_far_part(world) < 0.02);
-	world_free(world);
+	assert_true(sim_cross_zone_share(sim) < 0.02);
+	sim_free(sim);
 }
 
-/* Part of the requests after @from that went to other zones, by the caller's
- * zone, in steps of a second. */
-static double zone_imbalance(struct world *world, uint64_t seconds)
+/* Returns the peak load of a zone in any second over the mean of all zones,
+ * over @seconds seconds. */
+static double zone_imbalance(struct sim *sim, uint64_t seconds)
 {
 	double most = 0, sum = 0;
 
 	for (uint64_t s = 0; s < seconds; s++) {
-		uint64_t busy[WORLD_ZONES] = {0};
-
-		for (size_t e = 0; e < WORLD_ENDPOINTS; e++)
-			world->endpoints[e].requests = 0;
-		world_run(world, world->now_ms + 1000);
-		for (size_t e = 0; e < WORLD_ENDPOINTS; e++)
-			busy[world->endpoints[e].zone] +=
-				world->endpoints[e].requests;
-		for (size_t z = 0; z < WORLD_ZONES; z++) {
+		uint64_t busy[SIM_ZONES] = {0};
+
+		for (size_t e = 0; e < SIM_ENDPOINTS; e++)
+			sim->endpoints[e].requests = 0;
+		sim_run(sim, sim->now_ms + 1000);
+		for (size_t e = 0; e < SIM_ENDPOINTS; e++)
+			busy[sim->endpoints[e].zone] +=
+				sim->endpoints[e].requests;
+		for (size_t z = 0; z < SIM_ZONES; z++) {
 			sum += (double)busy[z];
 			most = fmax(most, (double)busy[z]);
 		}
 	}
-	return most * WORLD_ZONES * (double)seconds / sum;
+	return most * SIM_ZONES * (double)seconds / sum;
 }
 
-/* A zone with more demand than it bears hands some on; none of the others gets
- * so much that it would hand that back. */
-static void test_zones_do_not_hand_load_back(void **state)
+/* An overloaded zone spills to the others, but not so much that these would
+ * spill back. */
+static void test_zone_spill_does_not_oscillate(void **state)
 {
-	struct world *world = world_create(0.5, SEED, 0);
+	struct sim *sim = sim_create(0.5, SEED, 0);
 	double most;
 
 	(void)state;
 	for (int k = 0; k < 2; k++) {
-		world->kinds[k].zone_rate[0] = 2.2;
-		world->kinds[k].zone_rate[1] = 0.4;
-		world->kinds[k].zone_rate[2] = 0.4;
+		sim->kinds[k].zone_demand[0] = 2.2;
+		sim->kinds[k].zone_demand[1] = 0.4;
+		sim->kinds[k].zone_demand[2] = 0.4;
 	}
-	world_run(world, WORLD_WARM_MS);
-	most = zone_imbalance(world, 15);
+	sim_run(sim, SIM_WARMUP_MS);
+	most = zone_imbalance(sim, 15);
 	print_message("uneven zones: busiest second of a zone over mean %.2f, "
 		      "mean %.1f ms, far %.3f\n",
-		      most, world_mean_ms(world), world_far_part(world));
+		      most, sim_mean_ms(sim), sim_cross_zone_share(sim));
 	assert_true(most < 1.6);
-	assert_true(world_far_part(world) > 0.1);
-	assert_true(world_far_part(world) < 0.5);
-	world_free(world);
+	assert_true(sim_cross_zone_share(sim) > 0.1);
+	assert_true(sim_cross_zone_share(sim) < 0.5);
+	sim_free(sim);
 }
 
-/* One answer of seven times the usual time says little. */
-static void test_tail_says_little(void **state)
+/* A single answer of seven times the usual time has little effect. */
+static void test_single_slow_answer_has_little_effect(void **state)
 {
 	struct jt_speed speed = {0};
 	struct jt_usual usual = {0};
@@ -181,26 +183,26 @@
 	assert_true(jt_usual_answered(&usual, 0) > -2.1);
 }
 
-/* What takes longer by its kind doesn't make the endpoint look slow. */
-static void test_kinds_are_measured_apart(void **state)
+/* A slow kind of request does not make the endpoint look slow. */
+static void test_response_times_are_kept_per_kind(void **state)
 {
 	struct jt_speed speed = {0};
-	struct jt_usual quick = {0}, long_one = {0};
+	struct jt_usual fast_kind = {0}, slow_kind = {0};
 
 	(void)state;
 	for (int i = 0; i < 100; i++) {
-		jt_usual_answered(&quick, 30);
-		jt_usual_answered(&long_one, 120);
+		jt_usual_answered(&fast_kind, 30);
+		jt_usual_answered(&slow_kind, 120);
 	}
 	for (int i = 0; i < 100; i++)
-		jt_speed_answered(&speed, jt_usual_answered(&long_one, 120), 1,
+		jt_speed_answered(&speed, jt_usual_answered(&slow_kind, 120), 1,
 				  1000);
 	assert_true(jt_speed_slowness(&speed, 1, 1000) == 1);
 }
 
-/* What is told has the same meaning at the peer; nothing known tells nothing,
- * and what no node tells does no harm. */
-static void test_speed_is_told(void **state)
+/* A reported speed has the same meaning at the peer; an unknown speed is
+ * reported as 0, and invalid values are bounded. */
+static void test_speed_report_round_trip(void **state)
 {
 	struct jt_speed own = {0}, peer = {0};
 
@@ -219,8 +221,8 @@
 	assert_true(jt_speed_slowness(&peer, NODES, 1000) <= 8.1);
 }
 
-/* What was known long ago counts for nothing. */
-static void test_speed_is_forgotten(void **state)
+/* Old measurements expire. */
+static void test_speed_expires(void **state)
 {
 	struct jt_speed speed = {0};
 
@@ -231,12 +233,12 @@
 	assert_true(jt_speed_slowness(&speed, NODES, 301000) == 1);
 }
 
-/* Whoever starts again under its id is another one. */
-static void test_speed_is_forgotten_at_a_restart(void **state)
+/* Guards against using the measured speed of a previous incarnation. */
+static void test_speed_is_reset_at_restart(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_endpoint_entry again =
-		entry_of(0x101, SERVICE_BOARD, ZONE_A, 9);
+		make_entry(0x101, SERVICE_BOARD, ZONE_A, 9);
 	struct jt_endpoint_load load = {
 		.label = jt_flow_label(0x101),
 		.speed = 2000u << 16 | 1000,
@@ -247,36 +249,37 @@
 	event.u.loads.peer = 7;
 	event.u.loads.loads = &load;
 	event.u.loads.count = 1;
-	bench_event(bench, &event);
-	assert_int_equal(jt_director_slow_count(bench->director, bench->now_ms),
-			 1);
-	again.born_ms = bench->now_ms;
-	bench_entry(bench, again);
-	assert_int_equal(jt_director_slow_count(bench->director, bench->now_ms),
-			 0);
-	talloc_free(bench);
+	fixture_handle(fixture, &event);
+	assert_int_equal(
+		jt_director_slow_count(fixture->director, fixture->now_ms), 1);
+	again.born_ms = fixture->now_ms;
+	fixture_set_entry(fixture, again);
+	assert_int_equal(
+		jt_director_slow_count(fixture->director, fixture->now_ms), 0);
+	talloc_free(fixture);
 }
 
-/* Callers that wait before they acknowledge a lone segment don't make their
- * endpoint look slow; where they don't wait, nothing is taken off. */
+/* The delay of clients' delayed acknowledgements is not counted as response
+ * time; without such delay nothing is subtracted. */
 static void test_delayed_acknowledgements(void **state)
 {
-	struct jt_usual waits = {0}, prompt = {0};
-	const struct jt_answer late = {70, true}, whole = {70, false},
-			       soon = {25, true};
+	struct jt_usual delaying = {0}, prompt = {0};
+	const struct jt_answer delayed = {70, true}, full = {70, false},
+			       prompt_answer = {25, true};
 
 	(void)state;
 	for (int i = 0; i < 50; i++) {
-		jt_usual_took_ms(&waits, &late);
-		jt_usual_took_ms(&prompt, i % 2 ? &late : &soon);
+		jt_usual_took_ms(&delaying, &delayed);
+		jt_usual_took_ms(&prompt, i % 2 ? &delayed : &prompt_answer);
 	}
-	assert_true(jt_usual_took_ms(&waits, &late) == 30);
-	assert_true(jt_usual_took_ms(&waits, &whole) == 70);
-	assert_true(jt_usual_took_ms(&prompt, &late) == 70);
+	assert_true(jt_usual_took_ms(&delaying, &delayed) == 30);
+	assert_true(jt_usual_took_ms(&delaying, &full) == 70);
+	assert_true(jt_usual_took_ms(&prompt, &delayed) == 70);
 }
 
-/* Slow endpoints rest until fast ones are busy, and all are full at last. */
-static void test_fill(void **state)
+/* Slow endpoints get load only when fast ones are loaded; at the end all are
+ * full. */
+static void test_optimal_load(void **state)
 {
 	const struct jt_fill_endpoint two[] = {{2, 0.5}, {2, 1.5}};
 	double before = 0, level, sum;
@@ -299,8 +302,8 @@
 		    3 * jt_fill_share(&two[1], INFINITY));
 }
 
-/* Nothing goes far for little; never more than without zones, and never both
- * ways. */
+/* Zones spill only for a clear difference, never more than without zones, and
+ * never in both directions. */
 static void test_zone_spill(void **state)
 {
 	struct jt_target near = {.level = 2, .slots = 20},
@@ -317,9 +320,9 @@
 	assert_true(jt_zone_spill(&near, &far) == 0);
 }
 
-/* While fast endpoints have room, a slow one should have next to nothing of an
- * ordinary part, and one like the others all of it. */
-static void test_slow_endpoint_is_wanted_little(void **state)
+/* While fast endpoints have headroom, a slow one's target is a small part of
+ * its ordinary share. */
+static void test_slow_endpoint_gets_small_target(void **state)
 {
 	enum { COUNT = 4, SLOW = COUNT - 1, SLOW_TIMES = 6 };
 	struct jt_service_pool pool = {.serve_ms = 24};
@@ -349,19 +352,19 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_slow_endpoint_is_wanted_little),
-		cmocka_unit_test(test_speed_saves_time),
-		cmocka_unit_test(test_fast_first),
-		cmocka_unit_test(test_nodes_agree_on_speed),
-		cmocka_unit_test(test_own_zone_while_it_has_room),
-		cmocka_unit_test(test_zones_do_not_hand_load_back),
-		cmocka_unit_test(test_tail_says_little),
-		cmocka_unit_test(test_kinds_are_measured_apart),
-		cmocka_unit_test(test_speed_is_told),
-		cmocka_unit_test(test_speed_is_forgotten),
-		cmocka_unit_test(test_speed_is_forgotten_at_a_restart),
+		cmocka_unit_test(test_slow_endpoint_gets_small_target),
+		cmocka_unit_test(test_endpoint_speed_lowers_latency),
+		cmocka_unit_test(test_fast_endpoints_are_preferred),
+		cmocka_unit_test(test_nodes_converge_on_endpoint_speed),
+		cmocka_unit_test(test_own_zone_is_used_below_capacity),
+		cmocka_unit_test(test_zone_spill_does_not_oscillate),
+		cmocka_unit_test(test_single_slow_answer_has_little_effect),
+		cmocka_unit_test(test_response_times_are_kept_per_kind),
+		cmocka_unit_test(test_speed_report_round_trip),
+		cmocka_unit_test(test_speed_expires),
+		cmocka_unit_test(test_speed_is_reset_at_restart),
 		cmocka_unit_test(test_delayed_acknowledgements),
-		cmocka_unit_test(test_fill),
+		cmocka_unit_test(test_optimal_load),
 		cmocka_unit_test(test_zone_spill),
 	};
 
--- a/tests/test_detector.c
+++ b/tests/test_detector.c
@@ -1,513 +1,532 @@
-/* The failure detector of endpoints: what proves death, and what does not. */
+/* Tests the failure detector of endpoints: what confirms a death and what does
+ * not. */
 #include "director_fixture.h"
 
-/* A request that is sent again without progress, after an other flow's
- * answer has shown that this node reaches the endpoints. */
-static void suspect(struct bench *bench, struct caller_flow *flow)
+/* Sends a request and its retransmission after 200 ms without progress. */
+static void send_and_retransmit(struct fixture *fixture,
+				struct client_flow *flow)
 {
-	flow_send(bench, flow, JT_PACKET_ACK, 100);
-	bench->now_ms += 200;
-	flow_send(bench, flow, JT_PACKET_ACK, 100);
+	flow_send(fixture, flow, JT_PACKET_ACK, 100);
+	fixture->now_ms += 200;
+	flow_send(fixture, flow, JT_PACKET_ACK, 100);
 }
 
-/* Whether an endpoint that ends without a word has its flows reset. */
-static bool dead_is_found(unsigned break_mechanism)
+/* Returns true if an endpoint that ends without announcing it has its flows
+ * reset. */
+static bool dead_endpoint_is_detected(unsigned injected_fault)
 {
-	struct bench *bench = two_endpoints(break_mechanism);
-	struct caller_flow dead, other;
+	struct fixture *fixture = fixture_with_two_endpoints(injected_fault);
+	struct client_flow dead, other;
 	bool reset;
 
-	flow_at_each(bench, &dead, &other);
-	suspect(bench, &dead);
-	bench->now_ms += 200;
-	flow_request(bench, &other, 200);
-	bench_probed(bench, 0x101, JT_PROBE_SILENT);
-	reset = bench_find(bench, JT_DIRECTOR_RESET) != NULL;
+	open_flow_at_each(fixture, &dead, &other);
+	send_and_retransmit(fixture, &dead);
+	fixture->now_ms += 200;
+	flow_request(fixture, &other, 200);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_SILENT);
+	reset = fixture_find_action(fixture, JT_DIRECTOR_RESET) != NULL;
 	if (reset) {
-		assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_DEAD);
-		/* The caller's later packets are answered at once. */
-		assert_null(flow_send(bench, &dead, JT_PACKET_ACK, 100));
-		assert_non_null(bench_find(bench, JT_DIRECTOR_RESET));
+		assert_int_equal(endpoint_state(fixture, 0x101),
+				 JT_INCARNATION_DEAD);
+		/* The client's later packets are reset at once. */
+		assert_null(flow_send(fixture, &dead, JT_PACKET_ACK, 100));
+		assert_non_null(
+			fixture_find_action(fixture, JT_DIRECTOR_RESET));
 	}
-	talloc_free(bench);
+	talloc_free(fixture);
 	return reset;
 }
 
-static void test_dead_endpoint_is_found(void **state)
+static void test_dead_endpoint_is_detected(void **state)
 {
 	(void)state;
-	assert_true(dead_is_found(0));
-	assert_false(dead_is_found(JT_DIRECTOR_BREAK_NO_DETECTOR));
+	assert_true(dead_endpoint_is_detected(0));
+	assert_false(dead_endpoint_is_detected(JT_DIRECTOR_BREAK_NO_DETECTOR));
 }
 
-/* Failure 43: a node whose link holds packets back hears the answers to what it
- * sent long ago, while its probes and what it sends now seem to get none. */
-static void test_late_answers_are_no_contact(void **state)
+/* Guards against taking an answer to a packet from before the probe as evidence
+ * that this node reaches the endpoints. */
+static void test_late_answers_do_not_show_reachability(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow suspected, other;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow suspected, other;
 
 	(void)state;
-	flow_at_each(bench, &suspected, &other);
-	flow_send(bench, &other, JT_PACKET_ACK, 100);
+	open_flow_at_each(fixture, &suspected, &other);
+	flow_send(fixture, &other, JT_PACKET_ACK, 100);
 	other.sequence += 100;
 	other.acknowledged += 600;
-	suspect(bench, &suspected);
-	bench->now_ms += 200;
-	/* The answer to what left before the probe. */
-	flow_send(bench, &other, JT_PACKET_ACK, 0);
-	bench_probed(bench, 0x101, JT_PROBE_SILENT);
-	assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_READY);
-	assert_null(bench_find(bench, JT_DIRECTOR_RESET));
-	talloc_free(bench);
+	send_and_retransmit(fixture, &suspected);
+	fixture->now_ms += 200;
+	/* The answer to a packet that was sent before the probe. */
+	flow_send(fixture, &other, JT_PACKET_ACK, 0);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_SILENT);
+	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_READY);
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
+	talloc_free(fixture);
 }
 
-static void test_refused_probe_is_proof(void **state)
+static void test_refused_probe_confirms_death(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow dead, other;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow dead, other;
 
 	(void)state;
-	flow_at_each(bench, &dead, &other);
-	suspect(bench, &dead);
-	bench_probed(bench, 0x101, JT_PROBE_REFUSED);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_RESET), 1);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_VERDICT));
-	talloc_free(bench);
+	open_flow_at_each(fixture, &dead, &other);
+	send_and_retransmit(fixture, &dead);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_RESET), 1);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_VERDICT));
+	talloc_free(fixture);
 }
 
-/* Whether a flow whose endpoint only seemed dead is left alone. */
-static bool living_is_left_alone(unsigned break_mechanism)
+/* Returns true if the flows of a live endpoint that seemed dead are not reset.
+ */
+static bool live_endpoint_keeps_flows(unsigned injected_fault)
 {
-	struct bench *bench = two_endpoints(break_mechanism);
-	struct caller_flow flow, other, third;
-	bool left_alone;
+	struct fixture *fixture = fixture_with_two_endpoints(injected_fault);
+	struct client_flow flow, other, third;
+	bool kept;
 
-	flow_at_each(bench, &flow, &other);
+	open_flow_at_each(fixture, &flow, &other);
 	do {
-		third = flow_new(bench, CALLER + 2, BOARD_PORT);
-		flow_open(bench, &third);
+		third = flow_new(fixture, CLIENT_IP + 2, BOARD_PORT);
+		flow_open(fixture, &third);
 	} while (third.endpoint_id != 0x101);
-	bench->now_ms += 10;
-	suspect(bench, &flow);
-	left_alone = bench_find(bench, JT_DIRECTOR_RESET) == NULL;
-	if (left_alone) {
-		/* Another of its flows gets an answer: it lives. */
-		flow_request(bench, &third, 20);
-		flow_request(bench, &other, 20);
-		bench_probed(bench, 0x101, JT_PROBE_SILENT);
-		left_alone = bench_find(bench, JT_DIRECTOR_RESET) == NULL;
+	fixture->now_ms += 10;
+	send_and_retransmit(fixture, &flow);
+	kept = fixture_find_action(fixture, JT_DIRECTOR_RESET) == NULL;
+	if (kept) {
+		/* Another flow of the endpoint gets an answer. */
+		flow_request(fixture, &third, 20);
+		flow_request(fixture, &other, 20);
+		fixture_probe_result(fixture, 0x101, JT_PROBE_SILENT);
+		kept = fixture_find_action(fixture, JT_DIRECTOR_RESET) == NULL;
 	}
-	talloc_free(bench);
-	return left_alone;
+	talloc_free(fixture);
+	return kept;
 }
 
-static void test_living_endpoint_keeps_its_flows(void **state)
+static void test_live_endpoint_keeps_its_flows(void **state)
 {
 	(void)state;
-	assert_true(living_is_left_alone(0));
-	assert_false(living_is_left_alone(JT_DIRECTOR_BREAK_GUESS_DEATH));
+	assert_true(live_endpoint_keeps_flows(0));
+	assert_false(live_endpoint_keeps_flows(JT_DIRECTOR_BREAK_GUESS_DEATH));
 }
 
-static void test_a_node_that_reaches_nobody_condemns_nobody(void **state)
+static void test_isolated_node_declares_no_endpoint_dead(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow, other;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow, other;
 
 	(void)state;
-	flow_at_each(bench, &flow, &other);
-	suspect(bench, &flow);
-	bench->now_ms += 400;
-	bench_probed(bench, 0x101, JT_PROBE_SILENT);
-	assert_null(bench_find(bench, JT_DIRECTOR_RESET));
-	assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_READY);
-	/* It is asked again instead. */
-	assert_non_null(bench_find(bench, JT_DIRECTOR_PROBE));
-	talloc_free(bench);
+	open_flow_at_each(fixture, &flow, &other);
+	send_and_retransmit(fixture, &flow);
+	fixture->now_ms += 400;
+	fixture_probe_result(fixture, 0x101, JT_PROBE_SILENT);
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
+	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_READY);
+	/* The endpoint is probed again. */
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
+	talloc_free(fixture);
 }
 
-/* Failure 25: whether an endpoint that takes no more flows keeps those it
- * has. It is silent to first packets and refuses connections. */
-static bool full_endpoint_lives(unsigned break_mechanism,
-				enum jt_probe_outcome outcome, uint32_t limit)
+/* Returns true if an endpoint at its connection limit, which ignores or refuses
+ * new connections, keeps its open flows. */
+static bool full_endpoint_keeps_flows(unsigned injected_fault,
+				      enum jt_probe_outcome outcome,
+				      uint32_t limit)
 {
-	struct bench *bench = two_endpoints(break_mechanism);
-	struct caller_flow rests, other, flow;
-	bool lives;
+	struct fixture *fixture = fixture_with_two_endpoints(injected_fault);
+	struct client_flow idle, other, flow;
+	bool kept;
 
-	limit_connections(bench, limit);
-	flow_at_each(bench, &rests, &other);
+	limit_connections(fixture, limit);
+	open_flow_at_each(fixture, &idle, &other);
 	do {
-		flow = flow_new(bench, CALLER + 3, BOARD_PORT);
-	} while (flow_syn(bench, &flow) != 0x101);
-	bench->now_ms += 200;
-	flow_syn(bench, &flow);
-	flow_request(bench, &other, 100);
-	bench_probed(bench, 0x101, outcome);
-	lives = bench_find(bench, JT_DIRECTOR_RESET) == NULL;
-	if (lives) {
-		/* New flows avoid it for a while. */
+		flow = flow_new(fixture, CLIENT_IP + 3, BOARD_PORT);
+	} while (flow_send_syn(fixture, &flow) != 0x101);
+	fixture->now_ms += 200;
+	flow_send_syn(fixture, &flow);
+	flow_request(fixture, &other, 100);
+	fixture_probe_result(fixture, 0x101, outcome);
+	kept = fixture_find_action(fixture, JT_DIRECTOR_RESET) == NULL;
+	if (kept) {
+		/* New flows avoid it for some time. */
 		for (int i = 0; i < 8; i++) {
-			flow = flow_new(bench, CALLER + 4 + i, BOARD_PORT);
-			assert_int_equal(flow_syn(bench, &flow), 0x102);
+			flow = flow_new(fixture, CLIENT_IP + 4 + i, BOARD_PORT);
+			assert_int_equal(flow_send_syn(fixture, &flow), 0x102);
 		}
-		assert_non_null(flow_send(bench, &rests, JT_PACKET_ACK, 10));
+		assert_non_null(flow_send(fixture, &idle, JT_PACKET_ACK, 10));
 	}
-	talloc_free(bench);
-	return lives;
+	talloc_free(fixture);
+	return kept;
 }
 
-/* Failure 28: a request waits in the queue of a full endpoint, and the caller
- * sends it again before it is acknowledged. */
-static void test_slow_and_full_is_no_dead_one(void **state)
+/* Guards against declaring a full endpoint dead for a request that waits in its
+ * queue. */
+static void test_slow_full_endpoint_is_not_declared_dead(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow, other;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow, other;
 
 	(void)state;
-	limit_connections(bench, 20);
-	flow_at_each(bench, &flow, &other);
-	flow_request(bench, &flow, 20);
-	suspect(bench, &flow);
-	bench_probed(bench, 0x101, JT_PROBE_REFUSED);
-	assert_null(bench_find(bench, JT_DIRECTOR_RESET));
-	/* Sent once more: not even the copy was acknowledged. */
-	bench->now_ms += 600;
-	flow_send(bench, &flow, JT_PACKET_ACK, 100);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_PROBE));
-	bench_probed(bench, 0x101, JT_PROBE_REFUSED);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_RESET), 1);
-	talloc_free(bench);
+	limit_connections(fixture, 20);
+	open_flow_at_each(fixture, &flow, &other);
+	flow_request(fixture, &flow, 20);
+	send_and_retransmit(fixture, &flow);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
+	/* A second retransmission: not even the first was acknowledged. */
+	fixture->now_ms += 600;
+	flow_send(fixture, &flow, JT_PACKET_ACK, 100);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
+	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_RESET), 1);
+	talloc_free(fixture);
 }
 
-/* A node that has just started can't know how full endpoints are. */
-/* Failure 29: an endpoint that became full between its answer to the first
- * packet and the caller's next one leaves that flow unanswered for good. */
-static void test_flow_that_never_opened_proves_nothing(void **state)
+/* A node that has just started does not know the endpoints' open connections.
+ */
+/* Guards against declaring an endpoint dead for a flow whose opening it dropped
+ * when it became full. */
+static void test_unopened_flow_does_not_confirm_death(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow rests, other, half;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow idle, other, half_open;
 
 	(void)state;
-	limit_connections(bench, 20);
-	flow_at_each(bench, &rests, &other);
+	limit_connections(fixture, 20);
+	open_flow_at_each(fixture, &idle, &other);
 	do {
-		half = flow_new(bench, CALLER + 5, BOARD_PORT);
-		flow_open(bench, &half);
-	} while (half.endpoint_id != 0x101);
+		half_open = flow_new(fixture, CLIENT_IP + 5, BOARD_PORT);
+		flow_open(fixture, &half_open);
+	} while (half_open.endpoint_id != 0x101);
 	for (int i = 0; i < 6; i++) {
-		flow_send(bench, &half, JT_PACKET_ACK, 100);
-		bench->now_ms += 600;
-		bench_probed(bench, 0x101, JT_PROBE_REFUSED);
-		assert_null(bench_find(bench, JT_DIRECTOR_RESET));
+		flow_send(fixture, &half_open, JT_PACKET_ACK, 100);
+		fixture->now_ms += 600;
+		fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+		assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
 	}
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
-static void test_node_just_started_condemns_with_care(void **state)
+static void test_starting_node_does_not_declare_death_early(void **state)
 {
-	struct bench *bench = bench_create(0);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_create(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
-	bench_routing(bench, 1, 1, 1);
-	bench_endpoint(bench, 0x101, SERVICE_BOARD, ZONE_A, 2);
-	bench_listed(bench, 2);
-	limit_connections(bench, 2000);
-	flow_open(bench, &flow);
-	bench->now_ms += 10;
-	suspect(bench, &flow);
-	bench_probed(bench, 0x101, JT_PROBE_REFUSED);
-	assert_null(bench_find(bench, JT_DIRECTOR_RESET));
-	talloc_free(bench);
+	fixture_set_routing(fixture, 1, 1, 1);
+	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 2);
+	fixture_end_listing(fixture, 2);
+	limit_connections(fixture, 2000);
+	flow_open(fixture, &flow);
+	fixture->now_ms += 10;
+	send_and_retransmit(fixture, &flow);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
+	talloc_free(fixture);
 }
 
-static void test_full_endpoint_is_no_dead_one(void **state)
+static void test_full_endpoint_is_not_declared_dead(void **state)
 {
 	(void)state;
-	assert_true(full_endpoint_lives(0, JT_PROBE_SILENT, 20));
-	assert_true(full_endpoint_lives(0, JT_PROBE_REFUSED, 20));
-	assert_false(full_endpoint_lives(JT_DIRECTOR_BREAK_GUESS_DEATH,
-					 JT_PROBE_SILENT, 20));
-	assert_false(full_endpoint_lives(JT_DIRECTOR_BREAK_GUESS_DEATH,
-					 JT_PROBE_REFUSED, 20));
+	assert_true(full_endpoint_keeps_flows(0, JT_PROBE_SILENT, 20));
+	assert_true(full_endpoint_keeps_flows(0, JT_PROBE_REFUSED, 20));
+	assert_false(full_endpoint_keeps_flows(JT_DIRECTOR_BREAK_GUESS_DEATH,
+					       JT_PROBE_SILENT, 20));
+	assert_false(full_endpoint_keeps_flows(JT_DIRECTOR_BREAK_GUESS_DEATH,
+					       JT_PROBE_REFUSED, 20));
 }
 
-/* Failure 34: an endpoint whose entry went serves on, but a connection to it
- * fails once: many nodes open one at that moment, or it takes no more. */
-static void test_one_failed_probe_is_no_proof(void **state)
+/* Guards against declaring an endpoint dead after one failed connection, as it
+ * happens under connection bursts. */
+static void test_one_failed_probe_does_not_confirm_death(void **state)
 {
 	const enum jt_probe_outcome outcomes[] = {JT_PROBE_SILENT,
 						  JT_PROBE_REFUSED};
 
 	(void)state;
 	for (int i = 0; i < 2; i++) {
-		struct bench *bench = two_endpoints(0);
-		struct caller_flow flow, other;
-
-		/* Long enough after the start to know how full it is. */
-		bench->now_ms += 120000;
-		flow_at_each(bench, &flow, &other);
-		bench_gone(bench, 0x101, 9);
-		assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), 1);
-		flow_request(bench, &other, 250);
-		bench_probed(bench, 0x101, outcomes[i]);
-		assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_LAPSED);
-		assert_int_equal(bench_count(bench, JT_DIRECTOR_RESET), 0);
-		/* It is looked at once more, and the second failure is. */
-		bench_tick(bench, 600);
-		assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), 1);
-		flow_request(bench, &other, 250);
-		bench_probed(bench, 0x101, outcomes[i]);
-		assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_DEAD);
-		assert_int_equal(bench_count(bench, JT_DIRECTOR_RESET), 1);
-		talloc_free(bench);
+		struct fixture *fixture = fixture_with_two_endpoints(0);
+		struct client_flow flow, other;
+
+		/* Long enough after the start to know its open connections. */
+		fixture->now_ms += 120000;
+		open_flow_at_each(fixture, &flow, &other);
+		fixture_remove_entry(fixture, 0x101, 9);
+		assert_int_equal(
+			fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 1);
+		flow_request(fixture, &other, 250);
+		fixture_probe_result(fixture, 0x101, outcomes[i]);
+		assert_int_equal(endpoint_state(fixture, 0x101),
+				 JT_INCARNATION_LAPSED);
+		assert_int_equal(
+			fixture_count_actions(fixture, JT_DIRECTOR_RESET), 0);
+		/* It is probed again; the second failure confirms the death. */
+		fixture_tick(fixture, 600);
+		assert_int_equal(
+			fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 1);
+		flow_request(fixture, &other, 250);
+		fixture_probe_result(fixture, 0x101, outcomes[i]);
+		assert_int_equal(endpoint_state(fixture, 0x101),
+				 JT_INCARNATION_DEAD);
+		assert_int_equal(
+			fixture_count_actions(fixture, JT_DIRECTOR_RESET), 1);
+		talloc_free(fixture);
 	}
 }
 
-static void test_void_probe_says_nothing(void **state)
+static void test_void_probe_is_ignored(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow, other;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow, other;
 
 	(void)state;
-	flow_at_each(bench, &flow, &other);
-	suspect(bench, &flow);
-	flow_request(bench, &other, 100);
-	bench_probed(bench, 0x101, JT_PROBE_VOID);
-	assert_null(bench_find(bench, JT_DIRECTOR_RESET));
-	talloc_free(bench);
+	open_flow_at_each(fixture, &flow, &other);
+	send_and_retransmit(fixture, &flow);
+	flow_request(fixture, &other, 100);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_VOID);
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
+	talloc_free(fixture);
 }
 
-/* Failure 35: a probe that can't even begin must not be tried again and again
- * without a pause: nothing else gets its turn. */
-static void test_probe_that_can_not_begin_waits(void **state)
+/* Guards against retrying a probe that can't be sent without a pause. */
+static void test_unsendable_probe_is_retried_after_a_pause(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow, other;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow, other;
 
 	(void)state;
-	flow_at_each(bench, &flow, &other);
-	suspect(bench, &flow);
-	bench_probed(bench, 0x101, JT_PROBE_VOID);
-	assert_int_equal(jt_director_counters(bench->director)->probes_void, 1);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), 0);
-	bench_tick(bench, 100);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), 0);
-	/* It is made up for after the pause between probes. */
-	bench_tick(bench, 500);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), 1);
-	bench_tick(bench, 500);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), 0);
-	talloc_free(bench);
+	open_flow_at_each(fixture, &flow, &other);
+	send_and_retransmit(fixture, &flow);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_VOID);
+	assert_int_equal(jt_director_counters(fixture->director)->probes_void,
+			 1);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 0);
+	fixture_tick(fixture, 100);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 0);
+	/* It is retried after the pause between probes. */
+	fixture_tick(fixture, 500);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 1);
+	fixture_tick(fixture, 500);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 0);
+	talloc_free(fixture);
 }
 
-static void test_refusal_to_the_caller_is_noticed(void **state)
+static void test_direct_refusal_to_the_client_is_detected(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 	uint64_t refuses;
 
 	(void)state;
-	bench_tick(bench, 20000);
-	refuses = flow_syn(bench, &flow);
-	/* The endpoint resets the caller directly; the caller tries again. */
-	bench->now_ms += 3;
-	flow = flow_new(bench, CALLER, BOARD_PORT);
-	assert_int_not_equal(flow_syn(bench, &flow), refuses);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_PROBE));
-	assert_int_equal(bench_find(bench, JT_DIRECTOR_PROBE)->endpoint_id,
-			 refuses);
-	bench_probed(bench, refuses, JT_PROBE_REFUSED);
-	assert_int_equal(state_of(bench, refuses), JT_INCARNATION_DEAD);
-	talloc_free(bench);
+	fixture_tick(fixture, 20000);
+	refuses = flow_send_syn(fixture, &flow);
+	/* The endpoint resets the client directly; the client tries again. */
+	fixture->now_ms += 3;
+	flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+	assert_int_not_equal(flow_send_syn(fixture, &flow), refuses);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
+	assert_int_equal(
+		fixture_find_action(fixture, JT_DIRECTOR_PROBE)->endpoint_id,
+		refuses);
+	fixture_probe_result(fixture, refuses, JT_PROBE_REFUSED);
+	assert_int_equal(endpoint_state(fixture, refuses), JT_INCARNATION_DEAD);
+	talloc_free(fixture);
 }
 
-/* Failure 40: copies of the first packet went through another node, which may
- * have opened the flow at a living endpoint. */
-static void test_flow_that_moved_on_is_not_reset(void **state)
+/* Guards against resetting a flow whose retransmitted first packet another node
+ * may have placed at a live endpoint. */
+static void test_flow_moved_to_another_node_is_not_reset(void **state)
 {
 	(void)state;
 	for (int copies = 0; copies < 2; copies++) {
-		struct bench *bench = two_endpoints(0);
+		struct fixture *fixture = fixture_with_two_endpoints(0);
 		struct jt_endpoint_entry entry =
-			entry_of(0x201, SERVICE_EXPORT, ZONE_A, 50);
-		struct caller_flow flow;
+			make_entry(0x201, SERVICE_EXPORT, ZONE_A, 50);
+		struct client_flow flow;
 
 		do {
-			flow = flow_new(bench, CALLER, BOARD_PORT);
-		} while (flow_syn(bench, &flow) != 0x101);
+			flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+		} while (flow_send_syn(fixture, &flow) != 0x101);
 		if (copies > 0) {
-			bench->now_ms += 200;
+			fixture->now_ms += 200;
 			flow.acknowledged = 1;
-			assert_int_equal(flow_syn(bench, &flow), 0x101);
+			assert_int_equal(flow_send_syn(fixture, &flow), 0x101);
 		}
-		/* A copy is due, and has not come here; one that is not due
-		 * does not keep the caller waiting. */
-		bench->now_ms += copies > 0 ? 300 : 350;
-		entry.address = entry_of(0x101, 0, 0, 0).address;
-		bench_entry(bench, entry);
-		assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_DEAD);
-		assert_int_equal(bench_count(bench, JT_DIRECTOR_RESET), copies);
-		talloc_free(bench);
+		/* A retransmission was due and has not arrived here; one that
+		 * is not yet due does not delay the reset. */
+		fixture->now_ms += copies > 0 ? 300 : 350;
+		entry.address = make_entry(0x101, 0, 0, 0).address;
+		fixture_set_entry(fixture, entry);
+		assert_int_equal(endpoint_state(fixture, 0x101),
+				 JT_INCARNATION_DEAD);
+		assert_int_equal(
+			fixture_count_actions(fixture, JT_DIRECTOR_RESET),
+			copies);
+		talloc_free(fixture);
 	}
 }
 
-static void test_dead_endpoint_comes_back(void **state)
+static void test_dead_endpoint_is_revived(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow dead, other;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow dead, other;
 
 	(void)state;
-	flow_at_each(bench, &dead, &other);
-	suspect(bench, &dead);
-	bench_probed(bench, 0x101, JT_PROBE_REFUSED);
-	bench_tick(bench, 1500);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_PROBE));
-	bench_probed(bench, 0x101, JT_PROBE_CONNECTED);
-	assert_null(bench_find(bench, JT_DIRECTOR_REVIVED));
-	assert_non_null(bench_find(bench, JT_DIRECTOR_IDENTIFY));
-	bench_identified(bench, 0x101, 0x101);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_REVIVED));
-	assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_READY);
-	talloc_free(bench);
+	open_flow_at_each(fixture, &dead, &other);
+	send_and_retransmit(fixture, &dead);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	fixture_tick(fixture, 1500);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
+	fixture_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_REVIVED));
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_IDENTIFY));
+	fixture_identify_result(fixture, 0x101, 0x101);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_REVIVED));
+	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_READY);
+	talloc_free(fixture);
 }
 
-/* The address went to another endpoint before discovery told of it. */
-static void test_who_answers_for_a_dead_endpoint(void **state)
+/* The address belongs to another endpoint before its entry is received. */
+static void test_other_endpoint_at_a_dead_address(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow dead, other;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow dead, other;
 
 	(void)state;
-	flow_at_each(bench, &dead, &other);
-	suspect(bench, &dead);
-	bench_probed(bench, 0x101, JT_PROBE_REFUSED);
-	bench_tick(bench, 1500);
-	bench_probed(bench, 0x101, JT_PROBE_CONNECTED);
-	bench_identified(bench, 0x101, 0x999);
-	assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_DEAD);
-	bench_tick(bench, 5000);
-	assert_null(bench_find(bench, JT_DIRECTOR_PROBE));
-	talloc_free(bench);
+	open_flow_at_each(fixture, &dead, &other);
+	send_and_retransmit(fixture, &dead);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	fixture_tick(fixture, 1500);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
+	fixture_identify_result(fixture, 0x101, 0x999);
+	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_DEAD);
+	fixture_tick(fixture, 5000);
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
+	talloc_free(fixture);
 }
 
-static void test_who_answers_where_flows_get_nothing(void **state)
+static void test_other_endpoint_at_an_unanswered_address(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow dead, other;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow dead, other;
 
 	(void)state;
-	flow_at_each(bench, &dead, &other);
-	suspect(bench, &dead);
-	bench_probed(bench, 0x101, JT_PROBE_CONNECTED);
-	assert_null(bench_find(bench, JT_DIRECTOR_IDENTIFY));
-	bench->now_ms += 600;
-	flow_send(bench, &dead, JT_PACKET_ACK, 100);
-	bench_probed(bench, 0x101, JT_PROBE_CONNECTED);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_IDENTIFY));
-	bench_identified(bench, 0x101, 0x999);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_RESET), 1);
-	talloc_free(bench);
+	open_flow_at_each(fixture, &dead, &other);
+	send_and_retransmit(fixture, &dead);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_IDENTIFY));
+	fixture->now_ms += 600;
+	flow_send(fixture, &dead, JT_PACKET_ACK, 100);
+	fixture_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_IDENTIFY));
+	fixture_identify_result(fixture, 0x101, 0x999);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_RESET), 1);
+	talloc_free(fixture);
 }
 
-/* A peer's verdict where this node has no flow: each of many nodes that probed
- * for itself would cost as many connections for one dead endpoint. */
-static void test_peers_verdict_without_flows_needs_no_probe(void **state)
+/* Guards against one probe from each of many nodes for one dead endpoint: a
+ * death report needs no probe where the node has no flow. */
+static void test_death_report_without_flows_needs_no_probe(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 
 	(void)state;
-	bench_suspicion(bench, 0x101);
-	assert_null(bench_find(bench, JT_DIRECTOR_PROBE));
-	assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_READY);
-	assert_int_equal(flows_at(bench, 20, 0x101), 0);
-	bench_tick(bench, 6000);
-	assert_in_range(flows_at(bench, 20, 0x101), 5, 20);
-	talloc_free(bench);
+	fixture_peer_death_report(fixture, 0x101);
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
+	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_READY);
+	assert_int_equal(count_flows_to(fixture, 20, 0x101), 0);
+	fixture_tick(fixture, 6000);
+	assert_in_range(count_flows_to(fixture, 20, 0x101), 5, 20);
+	talloc_free(fixture);
 }
 
-/* A flow of that endpoint comes this way: its caller needs a verdict. */
-static void test_flow_at_what_a_peer_found_dead_is_probed(void **state)
+/* A packet of the endpoint's flow arrives: its client needs a reset if the
+ * endpoint is dead. */
+static void test_death_report_with_a_flow_is_probed(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
 	flow.label = jt_flow_label(0x101);
-	bench_suspicion(bench, 0x101);
-	flow_send(bench, &flow, JT_PACKET_ACK, 100);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), 1);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_FORWARD));
-	bench_probed(bench, 0x101, JT_PROBE_REFUSED);
-	assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_DEAD);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_RESET), 1);
-	talloc_free(bench);
+	fixture_peer_death_report(fixture, 0x101);
+	flow_send(fixture, &flow, JT_PACKET_ACK, 100);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 1);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_FORWARD));
+	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_DEAD);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_RESET), 1);
+	talloc_free(fixture);
 }
 
-/* What shows that the endpoint lives ends the peer's verdict. */
-static void test_progress_ends_a_peers_verdict(void **state)
+/* Flow progress cancels a peer's death report. */
+static void test_flow_progress_ends_a_death_report(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow first, second;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow first, second;
 
 	(void)state;
-	flow_at_each(bench, &first, &second);
-	bench_suspicion(bench, 0x101);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), 1);
-	flow_request(bench, &first, 20);
-	assert_in_range(flows_at(bench, 20, 0x101), 5, 20);
-	talloc_free(bench);
+	open_flow_at_each(fixture, &first, &second);
+	fixture_peer_death_report(fixture, 0x101);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 1);
+	flow_request(fixture, &first, 20);
+	assert_in_range(count_flows_to(fixture, 20, 0x101), 5, 20);
+	talloc_free(fixture);
 }
 
-/* The first to find an endpoint dead tells all; the others need not. */
-static void test_verdict_is_told_by_the_first_alone(void **state)
+/* Only the first node to detect a death reports it to its peers. */
+static void test_death_is_reported_by_the_first_node_only(void **state)
 {
 	(void)state;
-	for (int told = 0; told < 2; told++) {
-		struct bench *bench = two_endpoints(0);
+	for (int known_to_peers = 0; known_to_peers < 2; known_to_peers++) {
+		struct fixture *fixture = fixture_with_two_endpoints(0);
 		const struct jt_director_action *verdict;
-		struct caller_flow dead, other;
+		struct client_flow dead, other;
 
-		flow_at_each(bench, &dead, &other);
-		if (told)
-			bench_suspicion(bench, 0x101);
+		open_flow_at_each(fixture, &dead, &other);
+		if (known_to_peers)
+			fixture_peer_death_report(fixture, 0x101);
 		else
-			suspect(bench, &dead);
-		bench_probed(bench, 0x101, JT_PROBE_REFUSED);
-		verdict = bench_find(bench, JT_DIRECTOR_VERDICT);
+			send_and_retransmit(fixture, &dead);
+		fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+		verdict = fixture_find_action(fixture, JT_DIRECTOR_VERDICT);
 		assert_non_null(verdict);
-		assert_int_equal(verdict->peers_know, told);
-		talloc_free(bench);
+		assert_int_equal(verdict->peers_know, known_to_peers);
+		talloc_free(fixture);
 	}
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_dead_endpoint_is_found),
-		cmocka_unit_test(test_late_answers_are_no_contact),
-		cmocka_unit_test(test_refused_probe_is_proof),
-		cmocka_unit_test(test_living_endpoint_keeps_its_flows),
+		cmocka_unit_test(test_dead_endpoint_is_detected),
+		cmocka_unit_test(test_late_answers_do_not_show_reachability),
+		cmocka_unit_test(test_refused_probe_confirms_death),
+		cmocka_unit_test(test_live_endpoint_keeps_its_flows),
+		cmocka_unit_test(test_isolated_node_declares_no_endpoint_dead),
+		cmocka_unit_test(test_slow_full_endpoint_is_not_declared_dead),
+		cmocka_unit_test(test_unopened_flow_does_not_confirm_death),
 		cmocka_unit_test(
-			test_a_node_that_reaches_nobody_condemns_nobody),
-		cmocka_unit_test(test_slow_and_full_is_no_dead_one),
-		cmocka_unit_test(test_flow_that_never_opened_proves_nothing),
-		cmocka_unit_test(test_node_just_started_condemns_with_care),
-		cmocka_unit_test(test_full_endpoint_is_no_dead_one),
-		cmocka_unit_test(test_one_failed_probe_is_no_proof),
-		cmocka_unit_test(test_void_probe_says_nothing),
-		cmocka_unit_test(test_probe_that_can_not_begin_waits),
-		cmocka_unit_test(test_refusal_to_the_caller_is_noticed),
-		cmocka_unit_test(test_flow_that_moved_on_is_not_reset),
-		cmocka_unit_test(test_dead_endpoint_comes_back),
-		cmocka_unit_test(test_who_answers_for_a_dead_endpoint),
-		cmocka_unit_test(test_who_answers_where_flows_get_nothing),
+			test_starting_node_does_not_declare_death_early),
+		cmocka_unit_test(test_full_endpoint_is_not_declared_dead),
+		cmocka_unit_test(test_one_failed_probe_does_not_confirm_death),
+		cmocka_unit_test(test_void_probe_is_ignored),
 		cmocka_unit_test(
-			test_peers_verdict_without_flows_needs_no_probe),
-		cmocka_unit_test(test_flow_at_what_a_peer_found_dead_is_probed),
-		cmocka_unit_test(test_progress_ends_a_peers_verdict),
-		cmocka_unit_test(test_verdict_is_told_by_the_first_alone),
+			test_unsendable_probe_is_retried_after_a_pause),
+		cmocka_unit_test(test_direct_refusal_to_the_client_is_detected),
+		cmocka_unit_test(test_flow_moved_to_another_node_is_not_reset),
+		cmocka_unit_test(test_dead_endpoint_is_revived),
+		cmocka_unit_test(test_other_endpoint_at_a_dead_address),
+		cmocka_unit_test(test_other_endpoint_at_an_unanswered_address),
+		cmocka_unit_test(
+			test_death_report_without_flows_needs_no_probe),
+		cmocka_unit_test(test_death_report_with_a_flow_is_probed),
+		cmocka_unit_test(test_flow_progress_ends_a_death_report),
+		cmocka_unit_test(test_death_is_reported_by_the_first_node_only),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_director.c
+++ b/tests/test_director.c
@@ -1,10 +1,12 @@
-/* Placement by flow label: the promises, each with the mechanism it needs. */
+/* Tests flow placement by label: each guarantee holds, and fails when the
+ * feature that provides it is broken. */
 #include "director_fixture.h"
 
 static void test_any_node_forwards_by_label(void **state)
 {
-	struct bench *first = two_endpoints(0), *second = two_endpoints(0);
-	struct caller_flow flow = flow_new(first, CALLER, BOARD_PORT);
+	struct fixture *first = fixture_with_two_endpoints(0),
+		       *second = fixture_with_two_endpoints(0);
+	struct client_flow flow = flow_new(first, CLIENT_IP, BOARD_PORT);
 	const struct jt_director_action *forward;
 
 	(void)state;
@@ -17,361 +19,379 @@
 	talloc_free(second);
 }
 
-static void test_packets_wait_for_the_start(void **state)
+static void test_packets_are_held_until_started(void **state)
 {
-	struct bench *bench = bench_create(0);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_create(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
-	assert_int_equal(flow_syn(bench, &flow), 0);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_HOLD));
-	assert_null(bench_find(bench, JT_DIRECTOR_RESET));
-	bench_routing(bench, 1, 1, 1);
-	assert_int_equal(flow_syn(bench, &flow), 0);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_HOLD));
-	bench_endpoint(bench, 0x101, SERVICE_BOARD, ZONE_A, 2);
-	bench_listed(bench, 2);
-	assert_int_equal(flow_syn(bench, &flow), 0x101);
-	talloc_free(bench);
+	assert_int_equal(flow_send_syn(fixture, &flow), 0);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_HOLD));
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
+	fixture_set_routing(fixture, 1, 1, 1);
+	assert_int_equal(flow_send_syn(fixture, &flow), 0);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_HOLD));
+	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 2);
+	fixture_end_listing(fixture, 2);
+	assert_int_equal(flow_send_syn(fixture, &flow), 0x101);
+	talloc_free(fixture);
 }
 
-static void test_unknown_route_is_answered_at_once(void **state)
+static void test_unknown_route_is_reset_at_once(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow = flow_new(bench, CALLER, 9999);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, 9999);
 
 	(void)state;
-	assert_int_equal(flow_syn(bench, &flow), 0);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_RESET));
-	assert_int_equal(bench_find(bench, JT_DIRECTOR_RESET)->reason,
-			 JT_DIRECTOR_NO_ROUTE);
-	talloc_free(bench);
+	assert_int_equal(flow_send_syn(fixture, &flow), 0);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
+	assert_int_equal(
+		fixture_find_action(fixture, JT_DIRECTOR_RESET)->reason,
+		JT_DIRECTOR_NO_ROUTE);
+	talloc_free(fixture);
 }
 
-static void test_what_only_endpoints_send_is_dropped(void **state)
+static void test_endpoint_side_packets_are_dropped(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
 	flow.label = jt_flow_label(0x101);
-	assert_null(flow_send(bench, &flow, JT_PACKET_SYN | JT_PACKET_ACK, 0));
-	assert_non_null(bench_find(bench, JT_DIRECTOR_DROP));
+	assert_null(
+		flow_send(fixture, &flow, JT_PACKET_SYN | JT_PACKET_ACK, 0));
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_DROP));
 	flow.label = 0;
-	assert_null(flow_send(bench, &flow, JT_PACKET_ACK, 10));
+	assert_null(flow_send(fixture, &flow, JT_PACKET_ACK, 10));
 	flow.label = 0xdeadbeef;
-	assert_null(flow_send(bench, &flow, JT_PACKET_ACK, 10));
-	assert_null(bench_find(bench, JT_DIRECTOR_RESET));
-	talloc_free(bench);
+	assert_null(flow_send(fixture, &flow, JT_PACKET_ACK, 10));
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
+	talloc_free(fixture);
 }
 
-/* Whether copies of first packets all reach the endpoint of the first. */
-static bool copies_stay(unsigned break_mechanism)
+/* Returns true if retransmitted first packets reach the endpoint of the
+ * original. */
+static bool copies_reach_same_endpoint(unsigned injected_fault)
 {
-	struct bench *bench = two_endpoints(break_mechanism);
-	bool stayed = true;
+	struct fixture *fixture = fixture_with_two_endpoints(injected_fault);
+	bool same = true;
 
 	for (int i = 0; i < 20; i++) {
-		struct caller_flow flow =
-			flow_new(bench, CALLER + i, BOARD_PORT);
-		uint64_t first = flow_syn(bench, &flow);
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP + i, BOARD_PORT);
+		uint64_t first = flow_send_syn(fixture, &flow);
 
-		bench->now_ms += 200;
+		fixture->now_ms += 200;
 		flow.acknowledged = 1;
-		stayed = stayed && flow_syn(bench, &flow) == first;
+		same = same && flow_send_syn(fixture, &flow) == first;
 	}
-	talloc_free(bench);
-	return stayed;
+	talloc_free(fixture);
+	return same;
 }
 
-static void test_copies_of_a_first_packet_stay(void **state)
+static void test_retransmitted_syn_goes_to_same_endpoint(void **state)
 {
 	(void)state;
-	assert_true(copies_stay(0));
-	assert_false(copies_stay(JT_DIRECTOR_BREAK_PLACE_COPIES));
+	assert_true(copies_reach_same_endpoint(0));
+	assert_false(
+		copies_reach_same_endpoint(JT_DIRECTOR_BREAK_PLACE_COPIES));
 }
 
-/* Failure 37: the network doubles a first packet, and the second one comes
- * when the flow is open already. */
-static void test_late_copy_of_a_first_packet_stays(void **state)
+/* Guards against placing a late duplicate of the first packet anew when the
+ * flow is already open. */
+static void test_late_duplicate_syn_goes_to_same_endpoint(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 
 	(void)state;
 	for (int i = 0; i < 20; i++) {
-		struct caller_flow flow =
-			flow_new(bench, CALLER + i, BOARD_PORT);
-		struct caller_flow first = flow;
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP + i, BOARD_PORT);
+		struct client_flow first = flow;
 		uint64_t endpoint_id;
 
-		flow_open(bench, &flow);
+		flow_open(fixture, &flow);
 		endpoint_id = flow.endpoint_id;
-		flow_request(bench, &flow, 20);
-		assert_int_equal(flow_syn(bench, &first), endpoint_id);
-		/* It says nothing against the endpoint. */
-		assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), 0);
+		flow_request(fixture, &flow, 20);
+		assert_int_equal(flow_send_syn(fixture, &first), endpoint_id);
+		/* The duplicate causes no suspicion of the endpoint. */
+		assert_int_equal(
+			fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 0);
 	}
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
-/* The same where this node never saw the first one. */
-static void test_late_first_packet_of_a_known_flow_stays(void **state)
+/* The same for a flow whose first packet went through another node. */
+static void test_late_syn_of_a_known_flow_goes_to_same_endpoint(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 
 	(void)state;
 	for (int i = 0; i < 20; i++) {
-		struct caller_flow flow =
-			flow_new(bench, CALLER + i, BOARD_PORT);
-		struct caller_flow first = flow;
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP + i, BOARD_PORT);
+		struct client_flow first = flow;
 
 		flow.label = jt_flow_label(0x101);
 		flow.sequence++;
 		flow.acknowledged = 5000;
-		flow_send(bench, &flow, JT_PACKET_ACK, 100);
-		assert_int_equal(flow_syn(bench, &first), 0x101);
+		flow_send(fixture, &flow, JT_PACKET_ACK, 100);
+		assert_int_equal(flow_send_syn(fixture, &first), 0x101);
 	}
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
-/* A caller that uses a port again, later, opens a new flow. */
-static void test_port_used_again_is_a_new_flow(void **state)
+/* A client that reuses a port later opens a new flow. */
+static void test_reused_port_is_a_new_flow(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 	struct jt_endpoint_entry entry;
 
 	(void)state;
-	flow_open(bench, &flow);
-	entry = entry_of(flow.endpoint_id, SERVICE_BOARD, ZONE_A, 50);
+	flow_open(fixture, &flow);
+	entry = make_entry(flow.endpoint_id, SERVICE_BOARD, ZONE_A, 50);
 	entry.draining = true;
-	bench_entry(bench, entry);
+	fixture_set_entry(fixture, entry);
 	flow.sequence += 0x20000000;
 	flow.acknowledged = 0;
 	flow.label = 0;
-	assert_int_not_equal(flow_syn(bench, &flow), entry.id);
-	talloc_free(bench);
+	assert_int_not_equal(flow_send_syn(fixture, &flow), entry.id);
+	talloc_free(fixture);
 }
 
-/* Failure 37: data that the network doubles was not sent again. */
-static void test_doubled_data_is_no_evidence(void **state)
+/* Guards against treating data duplicated by the network as a retransmission.
+ */
+static void test_duplicated_data_is_no_retransmission(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow, other;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow, other;
 
 	(void)state;
-	flow_at_each(bench, &flow, &other);
-	flow_request(bench, &flow, 20);
-	flow_send(bench, &flow, JT_PACKET_ACK, 100);
+	open_flow_at_each(fixture, &flow, &other);
+	flow_request(fixture, &flow, 20);
+	flow_send(fixture, &flow, JT_PACKET_ACK, 100);
 	for (int i = 0; i < 3; i++) {
-		bench->now_ms += 20;
-		flow_send(bench, &flow, JT_PACKET_ACK, 100);
-		assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), 0);
+		fixture->now_ms += 20;
+		flow_send(fixture, &flow, JT_PACKET_ACK, 100);
+		assert_int_equal(
+			fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 0);
 	}
-	/* The caller itself sends again after 200 ms. */
-	bench->now_ms += 140;
-	flow_send(bench, &flow, JT_PACKET_ACK, 100);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), 1);
-	talloc_free(bench);
+	/* The client's own retransmission comes after 200 ms. */
+	fixture->now_ms += 140;
+	flow_send(fixture, &flow, JT_PACKET_ACK, 100);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 1);
+	talloc_free(fixture);
 }
 
-static bool draining_gets_none(unsigned break_mechanism)
+static bool draining_gets_no_new_flows(unsigned injected_fault)
 {
-	struct bench *bench = two_endpoints(break_mechanism);
+	struct fixture *fixture = fixture_with_two_endpoints(injected_fault);
 	struct jt_endpoint_entry entry =
-		entry_of(0x101, SERVICE_BOARD, ZONE_A, 4);
-	struct caller_flow old = flow_new(bench, CALLER, BOARD_PORT);
+		make_entry(0x101, SERVICE_BOARD, ZONE_A, 4);
+	struct client_flow old = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 	bool none = true;
 
 	do {
-		old = flow_new(bench, CALLER, BOARD_PORT);
-		flow_open(bench, &old);
+		old = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+		flow_open(fixture, &old);
 	} while (old.endpoint_id != 0x101);
 	entry.draining = true;
-	bench_entry(bench, entry);
+	fixture_set_entry(fixture, entry);
 	for (int i = 0; i < 20; i++) {
-		struct caller_flow flow =
-			flow_new(bench, CALLER + i, BOARD_PORT);
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP + i, BOARD_PORT);
 
-		none = none && flow_syn(bench, &flow) == 0x102;
+		none = none && flow_send_syn(fixture, &flow) == 0x102;
 	}
-	/* Its flows stay where they are. */
-	assert_non_null(flow_send(bench, &old, JT_PACKET_ACK, 10));
-	talloc_free(bench);
+	/* Its open flows are still forwarded. */
+	assert_non_null(flow_send(fixture, &old, JT_PACKET_ACK, 10));
+	talloc_free(fixture);
 	return none;
 }
 
-static void test_draining_endpoint_keeps_only_its_flows(void **state)
+static void test_draining_endpoint_gets_no_new_flows(void **state)
 {
 	(void)state;
-	assert_true(draining_gets_none(0));
-	assert_false(draining_gets_none(JT_DIRECTOR_BREAK_DRAINING));
+	assert_true(draining_gets_no_new_flows(0));
+	assert_false(draining_gets_no_new_flows(JT_DIRECTOR_BREAK_DRAINING));
 }
 
-/* Whether a flow goes on at an endpoint whose entry went without a word. */
-static bool survives_lapse(unsigned break_mechanism)
+/* Returns true if a flow is still forwarded after its endpoint's entry expired.
+ */
+static bool flow_survives_entry_expiry(unsigned injected_fault)
 {
-	struct bench *bench = two_endpoints(break_mechanism);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_with_two_endpoints(injected_fault);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 	bool forwarded;
 
-	flow_open(bench, &flow);
-	bench_gone(bench, flow.endpoint_id, 9);
-	forwarded = flow_send(bench, &flow, JT_PACKET_ACK, 100) != NULL;
-	talloc_free(bench);
+	flow_open(fixture, &flow);
+	fixture_remove_entry(fixture, flow.endpoint_id, 9);
+	forwarded = flow_send(fixture, &flow, JT_PACKET_ACK, 100) != NULL;
+	talloc_free(fixture);
 	return forwarded;
 }
 
-static void test_flows_outlive_their_endpoints_entry(void **state)
+static void test_flows_survive_entry_expiry(void **state)
 {
 	(void)state;
-	assert_true(survives_lapse(0));
-	assert_false(survives_lapse(JT_DIRECTOR_BREAK_FORGET_GONE));
+	assert_true(flow_survives_entry_expiry(0));
+	assert_false(flow_survives_entry_expiry(JT_DIRECTOR_BREAK_FORGET_GONE));
 }
 
-static void test_all_lapsed_at_once_are_a_last_resort(void **state)
+static void test_expired_endpoints_are_a_last_resort(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
-	bench_gone(bench, 0x101, 8);
-	assert_int_equal(flow_syn(bench, &flow), 0x102);
-	bench_gone(bench, 0x102, 9);
-	flow = flow_new(bench, CALLER, BOARD_PORT);
-	assert_int_not_equal(flow_syn(bench, &flow), 0);
-	/* Not for longer than a leaving endpoint may get new flows. */
-	bench_tick(bench, 2500);
-	flow = flow_new(bench, CALLER, BOARD_PORT);
-	assert_int_equal(flow_syn(bench, &flow), 0);
-	talloc_free(bench);
+	fixture_remove_entry(fixture, 0x101, 8);
+	assert_int_equal(flow_send_syn(fixture, &flow), 0x102);
+	fixture_remove_entry(fixture, 0x102, 9);
+	flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+	assert_int_not_equal(flow_send_syn(fixture, &flow), 0);
+	/* Expired endpoints are a last resort only as long as a draining one
+	 * may get new flows. */
+	fixture_tick(fixture, 2500);
+	flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+	assert_int_equal(flow_send_syn(fixture, &flow), 0);
+	talloc_free(fixture);
 }
 
-/* Two endpoints, of which one lapses just after the store was away for a
- * while; returns to which of them the next flow goes. */
-static uint64_t lapsed_in_outage(struct bench *bench, bool answers,
-				 uint64_t later_ms)
+/* Lets the entry of one of two endpoints expire just after a store outage;
+ * returns the endpoint of the next flow. */
+static uint64_t place_after_expiry_in_outage(struct fixture *fixture,
+					     bool answers_requests,
+					     uint64_t delay_ms)
 {
 	struct jt_director_event tick = {.kind = JT_DIRECTOR_TICK};
-	struct caller_flow first, second, flow;
+	struct client_flow first, second, flow;
 
-	flow_at_each(bench, &first, &second);
+	open_flow_at_each(fixture, &first, &second);
 	tick.u.tick.nodes = 1;
 	tick.u.tick.store_age_ms = 9000;
-	bench_event(bench, &tick);
-	bench->now_ms += 100;
-	bench_gone(bench, 0x101, 8);
-	bench_tick(bench, later_ms);
-	if (answers)
-		flow_request(bench, &first, 20);
-	/* The other one is busy. */
+	fixture_handle(fixture, &tick);
+	fixture->now_ms += 100;
+	fixture_remove_entry(fixture, 0x101, 8);
+	fixture_tick(fixture, delay_ms);
+	if (answers_requests)
+		flow_request(fixture, &first, 20);
+	/* The other endpoint has more recent load. */
 	for (int i = 0; i < 5; i++)
-		flow_request(bench, &second, 20);
-	flow = flow_new(bench, CALLER, BOARD_PORT);
-	return flow_syn(bench, &flow);
+		flow_request(fixture, &second, 20);
+	flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+	return flow_send_syn(fixture, &flow);
 }
 
-static void test_lapse_of_an_outage_stops_no_live_endpoint(void **state)
+static void test_expiry_in_an_outage_keeps_live_endpoints(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 
 	(void)state;
-	assert_int_equal(lapsed_in_outage(bench, true, 100), 0x101);
-	talloc_free(bench);
-	/* One that shows no life is a last resort. */
-	bench = two_endpoints(0);
-	assert_int_equal(lapsed_in_outage(bench, false, 1500), 0x102);
-	talloc_free(bench);
-	/* One that is not back after two seconds is gone. */
-	bench = two_endpoints(0);
-	assert_int_equal(lapsed_in_outage(bench, true, 2200), 0x102);
-	talloc_free(bench);
+	assert_int_equal(place_after_expiry_in_outage(fixture, true, 100),
+			 0x101);
+	talloc_free(fixture);
+	/* An endpoint without recent answers is a last resort. */
+	fixture = fixture_with_two_endpoints(0);
+	assert_int_equal(place_after_expiry_in_outage(fixture, false, 1500),
+			 0x102);
+	talloc_free(fixture);
+	/* An entry that is not back after two seconds means that the endpoint
+	 * has left. */
+	fixture = fixture_with_two_endpoints(0);
+	assert_int_equal(place_after_expiry_in_outage(fixture, true, 2200),
+			 0x102);
+	talloc_free(fixture);
 }
 
-/* While the store is there, an entry that goes means that the endpoint does. */
-static void test_lapse_without_an_outage_stops_new_flows(void **state)
+/* While the store is reachable, a removed entry means that the endpoint has
+ * left. */
+static void test_expiry_without_an_outage_stops_new_flows(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow first, second, flow;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow first, second, flow;
 
 	(void)state;
-	flow_at_each(bench, &first, &second);
-	bench_gone(bench, 0x101, 8);
-	flow_request(bench, &first, 20);
+	open_flow_at_each(fixture, &first, &second);
+	fixture_remove_entry(fixture, 0x101, 8);
+	flow_request(fixture, &first, 20);
 	for (int i = 0; i < 5; i++)
-		flow_request(bench, &second, 20);
-	flow = flow_new(bench, CALLER, BOARD_PORT);
-	assert_int_equal(flow_syn(bench, &flow), 0x102);
-	talloc_free(bench);
+		flow_request(fixture, &second, 20);
+	flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+	assert_int_equal(flow_send_syn(fixture, &flow), 0x102);
+	talloc_free(fixture);
 }
 
-/* Failure 41: the reset of a first packet without an answer had sequence 0,
- * which hits a flow that the caller has opened through another node if its
- * endpoint began there. */
-static void test_reset_of_an_unanswered_flow_hits_no_open_one(void **state)
+/* Guards against a reset with sequence 0: it could hit a flow that the client
+ * has opened through another node. */
+static void
+test_reset_of_an_unanswered_flow_is_outside_open_windows(void **state)
 {
 	enum { RESETS = 100, WINDOW = 76800 };
 	unsigned near = 0;
 
 	(void)state;
 	for (int i = 0; i < RESETS; i++) {
-		struct bench *bench = two_endpoints(0);
-		struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+		struct fixture *fixture = fixture_with_two_endpoints(0);
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP, BOARD_PORT);
 		struct jt_endpoint_entry entry;
 		const struct jt_director_action *reset;
 
-		bench->next_port += (uint32_t)i;
-		flow_syn(bench, &flow);
+		fixture->next_port += (uint32_t)i;
+		flow_send_syn(fixture, &flow);
 		for (int extra = 0; extra < i; extra++) {
-			struct caller_flow none = flow_new(bench, CALLER, 9999);
+			struct client_flow none =
+				flow_new(fixture, CLIENT_IP, 9999);
 
-			flow_syn(bench, &none);
+			flow_send_syn(fixture, &none);
 		}
-		entry = entry_of(0x200, SERVICE_EXPORT, ZONE_A, 50);
-		entry.address = entry_of(flow.endpoint_id, 0, 0, 0).address;
-		bench_entry(bench, entry);
-		reset = bench_find(bench, JT_DIRECTOR_RESET);
+		entry = make_entry(0x200, SERVICE_EXPORT, ZONE_A, 50);
+		entry.address = make_entry(flow.endpoint_id, 0, 0, 0).address;
+		fixture_set_entry(fixture, entry);
+		reset = fixture_find_action(fixture, JT_DIRECTOR_RESET);
 		assert_non_null(reset);
 		near += reset->reset_sequence < WINDOW ||
 			reset->reset_sequence > UINT32_MAX - WINDOW;
-		talloc_free(bench);
+		talloc_free(fixture);
 	}
 	assert_int_equal(near, 0);
 }
 
-static void test_reused_address_ends_the_former_endpoint(void **state)
+static void test_reused_address_ends_the_previous_endpoint(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_endpoint_entry entry =
-		entry_of(0x201, SERVICE_EXPORT, ZONE_A, 9);
-	struct caller_flow flow, other;
+		make_entry(0x201, SERVICE_EXPORT, ZONE_A, 9);
+	struct client_flow flow, other;
 
 	(void)state;
-	flow_at_each(bench, &flow, &other);
-	entry.address = entry_of(0x101, 0, 0, 0).address;
-	bench_entry(bench, entry);
-	assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_DEAD);
-	assert_int_equal(bench_count(bench, JT_DIRECTOR_RESET), 1);
-	assert_int_equal(state_of(bench, 0x201), JT_INCARNATION_READY);
-	talloc_free(bench);
+	open_flow_at_each(fixture, &flow, &other);
+	entry.address = make_entry(0x101, 0, 0, 0).address;
+	fixture_set_entry(fixture, entry);
+	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_DEAD);
+	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_RESET), 1);
+	assert_int_equal(endpoint_state(fixture, 0x201), JT_INCARNATION_READY);
+	talloc_free(fixture);
 }
 
-/* Failure 24: the former endpoint's entry went after its successor had come;
- * told by a peer, it must not end the successor. */
-static void test_peers_news_of_a_former_endpoint(void **state)
+/* Guards against ending an address's new owner when a peer's snapshot holds the
+ * previous owner's later removal. */
+static void test_snapshot_with_a_previous_address_owner(void **state)
 {
-	struct bench *told = bench_create(0), *bench = two_endpoints(0);
+	struct fixture *receiver = fixture_create(0),
+		       *fixture = fixture_with_two_endpoints(0);
 	struct jt_endpoint_entry entry =
-		entry_of(0x201, SERVICE_EXPORT, ZONE_A, 9);
+		make_entry(0x201, SERVICE_EXPORT, ZONE_A, 9);
 	jt_wire_knowledge knowledge;
 
 	(void)state;
-	entry.address = entry_of(0x101, 0, 0, 0).address;
-	bench_entry(bench, entry);
-	bench_gone(bench, 0x101, 12);
-	assert_true(jt_knowledge_write(bench, bench->director,
+	entry.address = make_entry(0x101, 0, 0, 0).address;
+	fixture_set_entry(fixture, entry);
+	fixture_remove_entry(fixture, 0x101, 12);
+	assert_true(jt_knowledge_write(fixture, fixture->director,
 				       &(struct jt_knowledge_need){0},
-				       bench->now_ms, &knowledge));
+				       fixture->now_ms, &knowledge));
 	for (int pass = 0; pass < 2; pass++) {
 		for (u_int i = 0; i < knowledge.entries.entries_len; i++) {
 			u_int at = pass == 0 ? i
@@ -381,151 +401,156 @@
 
 			if (jt_knowledge_entry(
 				    &knowledge.entries.entries_val[at], &event))
-				bench_event(told, &event);
+				fixture_handle(receiver, &event);
 		}
 	}
-	assert_int_equal(state_of(told, 0x201), JT_INCARNATION_READY);
-	assert_int_equal(state_of(told, 0x101), JT_INCARNATION_DEAD);
-	assert_int_equal(state_of(told, 0x102), JT_INCARNATION_READY);
-	talloc_free(told);
-	talloc_free(bench);
+	assert_int_equal(endpoint_state(receiver, 0x201), JT_INCARNATION_READY);
+	assert_int_equal(endpoint_state(receiver, 0x101), JT_INCARNATION_DEAD);
+	assert_int_equal(endpoint_state(receiver, 0x102), JT_INCARNATION_READY);
+	talloc_free(receiver);
+	talloc_free(fixture);
 }
 
-/* The entries that a node which knows all up to @since is told. */
-static u_int entries_since(struct bench *bench, uint64_t since,
-			   jt_wire_knowledge *knowledge)
+/* Returns how many entries a snapshot for a node that knows all up to @since
+ * holds. */
+static u_int snapshot_entries_since(struct fixture *fixture, uint64_t since,
+				    jt_wire_knowledge *knowledge)
 {
 	assert_true(
-		jt_knowledge_write(bench, bench->director,
+		jt_knowledge_write(fixture, fixture->director,
 				   &(struct jt_knowledge_need){.since = since},
-				   bench->now_ms, knowledge));
+				   fixture->now_ms, knowledge));
 	return knowledge->entries.entries_len;
 }
 
-static void test_knowledge_is_what_has_changed_since(void **state)
+static void test_snapshot_holds_changes_since_revision(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	uint64_t version = jt_director_routing(bench->director)->version;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	uint64_t version = jt_director_routing(fixture->director)->version;
 	jt_wire_knowledge knowledge;
 
 	(void)state;
-	bench_endpoint(bench, 0x101, SERVICE_BOARD, ZONE_A, 20);
-	bench_gone(bench, 0x102, 30);
-	assert_int_equal(entries_since(bench, 0, &knowledge), 2);
-	assert_int_equal(entries_since(bench, 20, &knowledge), 1);
+	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 20);
+	fixture_remove_entry(fixture, 0x102, 30);
+	assert_int_equal(snapshot_entries_since(fixture, 0, &knowledge), 2);
+	assert_int_equal(snapshot_entries_since(fixture, 20, &knowledge), 1);
 	assert_int_equal(knowledge.since, 20);
 	assert_int_equal(knowledge.entries.entries_val[0].gone_revision, 30);
-	assert_int_equal(entries_since(bench, 30, &knowledge), 0);
-	/* The routing comes only where it is news. */
+	assert_int_equal(snapshot_entries_since(fixture, 30, &knowledge), 0);
+	/* The routing is sent only to a node that lacks its version. */
 	assert_int_equal(knowledge.routing.number, version);
 	assert_true(jt_knowledge_write(
-		bench, bench->director,
+		fixture, fixture->director,
 		&(struct jt_knowledge_need){.since = 30, .version = version},
-		bench->now_ms, &knowledge));
+		fixture->now_ms, &knowledge));
 	assert_int_equal(knowledge.routing.number, 0);
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
-/* Whether the node claims revision 40 after news of it. */
-static bool news_is_taken(struct bench *bench, uint64_t since, uint64_t version)
+/* Returns true if the node is at revision 40 after an update to it. */
+static bool update_is_accepted(struct fixture *fixture, uint64_t since,
+			       uint64_t version)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_NEWS};
 
 	event.u.news.since = since;
 	event.u.news.revision = 40;
 	event.u.news.routing_version = version;
-	bench_event(bench, &event);
-	return jt_director_revision(bench->director) == 40;
+	fixture_handle(fixture, &event);
+	return jt_director_revision(fixture->director) == 40;
 }
 
-/* Failure 39: news of a routing does not hold it; who claims to know all up to
- * there without it is told of it by nobody, and not by the store either. */
-static void test_news_claims_nothing_that_is_missing(void **state)
+/* Guards against advancing the revision past a routing or changes that the node
+ * lacks: no peer would send them again. */
+static void test_update_without_its_base_is_refused(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	uint64_t version = jt_director_routing(bench->director)->version;
-	uint64_t revision = jt_director_revision(bench->director);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	uint64_t version = jt_director_routing(fixture->director)->version;
+	uint64_t revision = jt_director_revision(fixture->director);
 
 	(void)state;
-	assert_false(news_is_taken(bench, revision, version + 1));
-	assert_false(news_is_taken(bench, revision + 1, version));
-	assert_true(news_is_taken(bench, revision, version));
-	talloc_free(bench);
+	assert_false(update_is_accepted(fixture, revision, version + 1));
+	assert_false(update_is_accepted(fixture, revision + 1, version));
+	assert_true(update_is_accepted(fixture, revision, version));
+	talloc_free(fixture);
 }
 
-/* A node that has forgotten what went tells all, and says so. */
-static void test_forgotten_entries_make_knowledge_whole(void **state)
+/* A node that has discarded old removals sends a whole snapshot and marks it
+ * so. */
+static void test_discarded_removals_make_snapshot_whole(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_director_event tick = {.kind = JT_DIRECTOR_TICK};
 	jt_wire_knowledge knowledge;
 
 	(void)state;
-	bench_gone(bench, 0x102, 30);
-	bench->now_ms += 2 * 3600 * 1000;
-	bench_event(bench, &tick);
-	assert_int_equal(entries_since(bench, 20, &knowledge), 1);
+	fixture_remove_entry(fixture, 0x102, 30);
+	fixture->now_ms += 2 * 3600 * 1000;
+	fixture_handle(fixture, &tick);
+	assert_int_equal(snapshot_entries_since(fixture, 20, &knowledge), 1);
 	assert_int_equal(knowledge.since, 0);
-	assert_int_equal(entries_since(bench, 30, &knowledge), 0);
+	assert_int_equal(snapshot_entries_since(fixture, 30, &knowledge), 0);
 	assert_int_equal(knowledge.since, 30);
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
-/* Whether news that comes late is refused. */
-static bool late_news_is_refused(unsigned break_mechanism)
+/* Returns true if entries older than the known ones are refused. */
+static bool stale_entry_is_refused(unsigned injected_fault)
 {
-	struct bench *bench = two_endpoints(break_mechanism);
+	struct fixture *fixture = fixture_with_two_endpoints(injected_fault);
 	struct jt_endpoint_entry entry =
-		entry_of(0x101, SERVICE_BOARD, ZONE_A, 7);
+		make_entry(0x101, SERVICE_BOARD, ZONE_A, 7);
 	bool refused;
 
 	entry.draining = true;
-	bench_entry(bench, entry);
-	bench_endpoint(bench, 0x101, SERVICE_BOARD, ZONE_A, 6);
-	refused = state_of(bench, 0x101) == JT_INCARNATION_DRAINING;
-	bench_gone(bench, 0x101, 8);
+	fixture_set_entry(fixture, entry);
+	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 6);
+	refused = endpoint_state(fixture, 0x101) == JT_INCARNATION_DRAINING;
+	fixture_remove_entry(fixture, 0x101, 8);
 	entry.revision = 7;
-	bench_entry(bench, entry);
-	refused = refused && state_of(bench, 0x101) == JT_INCARNATION_LAPSED;
-	talloc_free(bench);
+	fixture_set_entry(fixture, entry);
+	refused = refused &&
+		  endpoint_state(fixture, 0x101) == JT_INCARNATION_LAPSED;
+	talloc_free(fixture);
 	return refused;
 }
 
-static void test_late_entries_change_nothing(void **state)
+static void test_stale_entries_are_refused(void **state)
 {
 	(void)state;
-	assert_true(late_news_is_refused(0));
-	assert_false(late_news_is_refused(JT_DIRECTOR_BREAK_STALE_ENTRY));
+	assert_true(stale_entry_is_refused(0));
+	assert_false(stale_entry_is_refused(JT_DIRECTOR_BREAK_STALE_ENTRY));
 }
 
-/* Failure 26: what an endpoint said before its entry went, told afterwards. */
-static void test_leaving_is_heard_after_the_entry_went(void **state)
+/* Guards against choosing a draining endpoint as last resort when its draining
+ * entry is received after its removal. */
+static void test_draining_is_learned_after_the_entry_was_removed(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_endpoint_entry entry =
-		entry_of(0x101, SERVICE_BOARD, ZONE_A, 7);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+		make_entry(0x101, SERVICE_BOARD, ZONE_A, 7);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
-	bench_gone(bench, 0x102, 8);
-	bench_gone(bench, 0x101, 9);
+	fixture_remove_entry(fixture, 0x102, 8);
+	fixture_remove_entry(fixture, 0x101, 9);
 	entry.draining = true;
-	bench_entry(bench, entry);
-	assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_LAPSED);
-	/* The last resort is the one that never said that it leaves. */
-	assert_int_equal(flow_syn(bench, &flow), 0x102);
-	talloc_free(bench);
+	fixture_set_entry(fixture, entry);
+	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_LAPSED);
+	/* The last resort is the endpoint that was not draining. */
+	assert_int_equal(flow_send_syn(fixture, &flow), 0x102);
+	talloc_free(fixture);
 }
 
-static bool older_routing_is_refused(unsigned break_mechanism)
+static bool older_routing_is_refused(unsigned injected_fault)
 {
-	struct bench *bench = two_endpoints(break_mechanism);
+	struct fixture *fixture = fixture_with_two_endpoints(injected_fault);
 	bool refused;
 
-	bench_routing(bench, 7, 1, 1);
-	bench_routing(bench, 5, 1, 1);
-	refused = jt_director_routing(bench->director)->version == 7;
-	talloc_free(bench);
+	fixture_set_routing(fixture, 7, 1, 1);
+	fixture_set_routing(fixture, 5, 1, 1);
+	refused = jt_director_routing(fixture->director)->version == 7;
+	talloc_free(fixture);
 	return refused;
 }
 
@@ -536,170 +561,175 @@
 	assert_false(older_routing_is_refused(JT_DIRECTOR_BREAK_VERSION));
 }
 
-static void test_list_tells_what_is_gone(void **state)
+static void test_full_listing_removes_missing_entries(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_director_event event = {.kind = JT_DIRECTOR_LISTING};
 
 	(void)state;
-	bench_event(bench, &event);
-	bench_endpoint(bench, 0x102, SERVICE_BOARD, ZONE_A, 3);
-	bench_listed(bench, 20);
-	assert_int_equal(state_of(bench, 0x101), JT_INCARNATION_LAPSED);
-	assert_int_equal(state_of(bench, 0x102), JT_INCARNATION_READY);
-	talloc_free(bench);
+	fixture_handle(fixture, &event);
+	fixture_add_endpoint(fixture, 0x102, SERVICE_BOARD, ZONE_A, 3);
+	fixture_end_listing(fixture, 20);
+	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_LAPSED);
+	assert_int_equal(endpoint_state(fixture, 0x102), JT_INCARNATION_READY);
+	talloc_free(fixture);
 }
 
-/* Failure 30: what a node claims to know must be complete. */
-static void test_revision_is_of_what_is_complete(void **state)
+/* Guards against claiming a revision before all changes up to it are known. */
+static void test_revision_covers_complete_state_only(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_director_event event = {.kind = JT_DIRECTOR_LISTING};
 
 	(void)state;
-	assert_int_equal(jt_director_revision(bench->director), 3);
-	/* A page of a new list, with an entry newer than what comes later. */
-	bench_event(bench, &event);
-	bench_endpoint(bench, 0x101, SERVICE_BOARD, ZONE_A, 20);
-	assert_int_equal(jt_director_revision(bench->director), 3);
-	bench_endpoint(bench, 0x102, SERVICE_BOARD, ZONE_A, 15);
-	bench_listed(bench, 20);
-	assert_int_equal(jt_director_revision(bench->director), 20);
+	assert_int_equal(jt_director_revision(fixture->director), 3);
+	/* A page of a full listing, with an entry newer than one on a later
+	 * page. */
+	fixture_handle(fixture, &event);
+	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 20);
+	assert_int_equal(jt_director_revision(fixture->director), 3);
+	fixture_add_endpoint(fixture, 0x102, SERVICE_BOARD, ZONE_A, 15);
+	fixture_end_listing(fixture, 20);
+	assert_int_equal(jt_director_revision(fixture->director), 20);
 	event.kind = JT_DIRECTOR_CAUGHT_UP;
 	event.u.listed.revision = 23;
-	bench_event(bench, &event);
-	assert_int_equal(jt_director_revision(bench->director), 23);
-	talloc_free(bench);
+	fixture_handle(fixture, &event);
+	assert_int_equal(jt_director_revision(fixture->director), 23);
+	talloc_free(fixture);
 }
 
-static void test_parts_are_exact(void **state)
+static void test_route_weights_are_exact(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	unsigned exported = 0;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	unsigned to_export = 0;
 
 	(void)state;
-	bench_endpoint(bench, 0x301, SERVICE_EXPORT, ZONE_A, 5);
-	bench_routing(bench, 2, 90, 10);
+	fixture_add_endpoint(fixture, 0x301, SERVICE_EXPORT, ZONE_A, 5);
+	fixture_set_routing(fixture, 2, 90, 10);
 	for (int i = 0; i < 200; i++) {
-		struct caller_flow flow =
-			flow_new(bench, CALLER + i, SPLIT_PORT);
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP + i, SPLIT_PORT);
 
-		exported += flow_syn(bench, &flow) == 0x301;
+		to_export += flow_send_syn(fixture, &flow) == 0x301;
 	}
-	assert_in_range(exported, 19, 21);
-	talloc_free(bench);
+	assert_in_range(to_export, 19, 21);
+	talloc_free(fixture);
 }
 
-/* Failure 27: all endpoints of one part have crashed. */
-static void test_part_that_seems_dead_gives_way(void **state)
+/* Guards against sending flows to a route part whose endpoints have all
+ * crashed. */
+static void test_suspected_route_part_is_avoided(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow;
 	uint64_t at;
 
 	(void)state;
-	bench_endpoint(bench, 0x301, SERVICE_EXPORT, ZONE_A, 5);
+	fixture_add_endpoint(fixture, 0x301, SERVICE_EXPORT, ZONE_A, 5);
 	do {
-		flow = flow_new(bench, CALLER, SPLIT_PORT);
-		at = flow_syn(bench, &flow);
+		flow = flow_new(fixture, CLIENT_IP, SPLIT_PORT);
+		at = flow_send_syn(fixture, &flow);
 		if (at != 0x301)
-			flow_open(bench, &flow);
+			flow_open(fixture, &flow);
 	} while (at != 0x301);
-	/* Refused by the endpoint, the caller tries again at once. */
-	bench->now_ms += 3;
+	/* The client, refused by the endpoint, tries again at once. */
+	fixture->now_ms += 3;
 	for (int i = 0; i < 4; i++) {
-		flow = flow_new(bench, CALLER, SPLIT_PORT);
-		flow_open(bench, &flow);
+		flow = flow_new(fixture, CLIENT_IP, SPLIT_PORT);
+		flow_open(fixture, &flow);
 		assert_int_not_equal(flow.endpoint_id, 0x301);
 	}
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
-static void test_load_goes_to_the_own_zone_until_it_is_higher(void **state)
+static void test_own_zone_is_preferred_up_to_a_load_difference(void **state)
 {
-	struct bench *bench = bench_create(0);
+	struct fixture *fixture = fixture_create(0);
 
 	(void)state;
-	bench_routing(bench, 1, 1, 1);
-	bench_endpoint(bench, 0x101, SERVICE_BOARD, ZONE_A, 2);
-	bench_endpoint(bench, 0x102, SERVICE_BOARD, ZONE_B, 3);
-	bench_listed(bench, 3);
-	bench_tick(bench, LEARNED_MS);
-	assert_in_range(flows_at(bench, 100, 0x102), 35, 45);
-	talloc_free(bench);
+	fixture_set_routing(fixture, 1, 1, 1);
+	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 2);
+	fixture_add_endpoint(fixture, 0x102, SERVICE_BOARD, ZONE_B, 3);
+	fixture_end_listing(fixture, 3);
+	fixture_tick(fixture, INITIAL_SYNC_MS);
+	assert_in_range(count_flows_to(fixture, 100, 0x102), 35, 45);
+	talloc_free(fixture);
 }
 
-static void test_slow_endpoint_gets_fewer(void **state)
+static void test_slow_endpoint_gets_fewer_flows(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow slow, fast;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow slow, fast;
 
 	(void)state;
-	flow_at_each(bench, &slow, &fast);
+	open_flow_at_each(fixture, &slow, &fast);
 	for (int i = 0; i < 20; i++) {
-		flow_request(bench, &slow, 110);
-		flow_request(bench, &fast, 22);
+		flow_request(fixture, &slow, 110);
+		flow_request(fixture, &fast, 22);
 	}
-	/* It has just got as many requests as the fast one: for now that is
-	 * more than its share, a sixth. */
-	assert_in_range(flows_at(bench, 60, slow.endpoint_id), 0, 9);
-	/* Later on it gets a sixth of the flows. */
-	bench_tick(bench, 14000);
-	assert_in_range(flows_at(bench, 60, slow.endpoint_id), 5, 15);
-	talloc_free(bench);
+	/* Its recent load is as high as the fast one's, more than its share of
+	 * a sixth. */
+	assert_in_range(count_flows_to(fixture, 60, slow.endpoint_id), 0, 9);
+	/* Later it gets a sixth of the flows. */
+	fixture_tick(fixture, 14000);
+	assert_in_range(count_flows_to(fixture, 60, slow.endpoint_id), 5, 15);
+	talloc_free(fixture);
 }
 
-/* Flows differ: some carry many requests. What counts is those. */
-static void test_requests_count_not_flows(void **state)
+/* Flows carry different numbers of requests; load is counted in requests. */
+static void test_load_is_measured_in_requests(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow busy, resting;
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow loaded, idle;
 
 	(void)state;
-	flow_at_each(bench, &busy, &resting);
+	open_flow_at_each(fixture, &loaded, &idle);
 	for (int i = 0; i < 10; i++)
-		flow_request(bench, &busy, 10);
-	assert_in_range(flows_at(bench, 10, busy.endpoint_id), 0, 1);
-	/* Work of long ago counts no more. */
-	bench_tick(bench, 15000);
-	assert_in_range(flows_at(bench, 10, busy.endpoint_id), 4, 6);
-	talloc_free(bench);
+		flow_request(fixture, &loaded, 10);
+	assert_in_range(count_flows_to(fixture, 10, loaded.endpoint_id), 0, 1);
+	/* Old load has expired. */
+	fixture_tick(fixture, 15000);
+	assert_in_range(count_flows_to(fixture, 10, loaded.endpoint_id), 4, 6);
+	talloc_free(fixture);
 }
 
-/* An endpoint that has just come must not get all new flows at once. */
-static void test_newcomer_gets_its_share(void **state)
+/* Guards against sending all new flows to an endpoint that has just been added.
+ */
+static void test_new_endpoint_gets_its_share(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 
 	(void)state;
-	flows_at(bench, 40, 0x101);
-	bench_entry(bench, entry_of(0x103, SERVICE_BOARD, ZONE_A, 9));
-	assert_in_range(flows_at(bench, 30, 0x103), 8, 12);
-	talloc_free(bench);
+	count_flows_to(fixture, 40, 0x101);
+	fixture_set_entry(fixture, make_entry(0x103, SERVICE_BOARD, ZONE_A, 9));
+	assert_in_range(count_flows_to(fixture, 30, 0x103), 8, 12);
+	talloc_free(fixture);
 }
 
-static void test_full_endpoint_gets_none(void **state)
+static void test_full_endpoint_gets_no_new_flows(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 	unsigned placed = 0;
 
 	(void)state;
-	limit_connections(bench, 3);
+	limit_connections(fixture, 3);
 	for (int i = 0; i < 10; i++) {
-		struct caller_flow flow =
-			flow_new(bench, CALLER + i, BOARD_PORT);
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP + i, BOARD_PORT);
 
-		placed += flow_syn(bench, &flow) != 0;
+		placed += flow_send_syn(fixture, &flow) != 0;
 	}
 	assert_int_equal(placed, 6);
-	assert_int_equal(bench_find(bench, JT_DIRECTOR_RESET)->reason,
-			 JT_DIRECTOR_NO_CAPACITY);
-	talloc_free(bench);
+	assert_int_equal(
+		fixture_find_action(fixture, JT_DIRECTOR_RESET)->reason,
+		JT_DIRECTOR_NO_CAPACITY);
+	talloc_free(fixture);
 }
 
-/* What a peer has open at the two endpoints, a request on each flow. */
-static void peer_tells(struct bench *bench, uint64_t peer, uint32_t first,
-		       uint32_t second)
+/* Delivers a peer's loads of the two endpoints, with one request for each flow.
+ */
+static void send_peer_loads(struct fixture *fixture, uint64_t peer,
+			    uint32_t first, uint32_t second)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_LOADS};
 	struct jt_endpoint_load loads[2] = {
@@ -710,111 +740,113 @@
 	event.u.loads.peer = peer;
 	event.u.loads.loads = loads;
 	event.u.loads.count = 2;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
-static void test_peers_loads_count(void **state)
+static void test_peer_loads_are_counted(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_director_event tick = {.kind = JT_DIRECTOR_TICK};
-	struct caller_flow flow;
+	struct client_flow flow;
 	unsigned at_second = 0;
 
 	(void)state;
 	tick.u.tick.nodes = 3;
-	bench_event(bench, &tick);
-	peer_tells(bench, 7, 10, 4);
-	peer_tells(bench, 8, 10, 4);
-	/* This node's part of the difference is six flows, not eighteen. */
+	fixture_handle(fixture, &tick);
+	send_peer_loads(fixture, 7, 10, 4);
+	send_peer_loads(fixture, 8, 10, 4);
+	/* This node's share of the difference is six flows, not eighteen. */
 	for (int i = 0; i < 12; i++) {
-		flow = flow_new(bench, CALLER + i, BOARD_PORT);
-		flow_open(bench, &flow);
+		flow = flow_new(fixture, CLIENT_IP + i, BOARD_PORT);
+		flow_open(fixture, &flow);
 		at_second += flow.endpoint_id == 0x102;
 	}
 	assert_in_range(at_second, 8, 10);
-	/* A report that is old says nothing any more. */
-	bench_tick(bench, 20000);
-	flow = flow_new(bench, CALLER, BOARD_PORT);
-	flow_open(bench, &flow);
-	talloc_free(bench);
+	/* An old report is ignored. */
+	fixture_tick(fixture, 20000);
+	flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+	flow_open(fixture, &flow);
+	talloc_free(fixture);
 }
 
-static void test_full_by_all_nodes_flows(void **state)
+static void test_connection_limit_counts_peer_flows(void **state)
 {
-	struct bench *bench = two_endpoints(0);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_director_event tick = {.kind = JT_DIRECTOR_TICK};
-	struct caller_flow flow;
+	struct client_flow flow;
 
 	(void)state;
-	limit_connections(bench, 30);
+	limit_connections(fixture, 30);
 	tick.u.tick.nodes = 3;
-	bench_event(bench, &tick);
-	peer_tells(bench, 7, 16, 2);
-	peer_tells(bench, 8, 14, 2);
+	fixture_handle(fixture, &tick);
+	send_peer_loads(fixture, 7, 16, 2);
+	send_peer_loads(fixture, 8, 14, 2);
 	for (int i = 0; i < 20; i++) {
-		flow = flow_new(bench, CALLER + i, BOARD_PORT);
-		flow_open(bench, &flow);
+		flow = flow_new(fixture, CLIENT_IP + i, BOARD_PORT);
+		flow_open(fixture, &flow);
 		assert_int_equal(flow.endpoint_id, 0x102);
 	}
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
-static void test_flows_are_forgotten_at_rest(void **state)
+static void test_idle_flows_are_removed(void **state)
 {
-	struct bench *bench = two_endpoints(0);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_with_two_endpoints(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
-	flow_open(bench, &flow);
-	assert_int_equal(jt_director_flow_count(bench->director), 1);
-	bench_tick(bench, 16000);
-	assert_int_equal(jt_director_flow_count(bench->director), 0);
-	/* And are forwarded on by their label. */
-	assert_non_null(flow_send(bench, &flow, JT_PACKET_ACK, 10));
-	talloc_free(bench);
+	flow_open(fixture, &flow);
+	assert_int_equal(jt_director_flow_count(fixture->director), 1);
+	fixture_tick(fixture, 16000);
+	assert_int_equal(jt_director_flow_count(fixture->director), 0);
+	/* Its packets are still forwarded by their label. */
+	assert_non_null(flow_send(fixture, &flow, JT_PACKET_ACK, 10));
+	talloc_free(fixture);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_any_node_forwards_by_label),
-		cmocka_unit_test(test_packets_wait_for_the_start),
-		cmocka_unit_test(test_unknown_route_is_answered_at_once),
-		cmocka_unit_test(test_what_only_endpoints_send_is_dropped),
-		cmocka_unit_test(test_copies_of_a_first_packet_stay),
-		cmocka_unit_test(test_late_copy_of_a_first_packet_stays),
-		cmocka_unit_test(test_late_first_packet_of_a_known_flow_stays),
-		cmocka_unit_test(test_port_used_again_is_a_new_flow),
-		cmocka_unit_test(test_doubled_data_is_no_evidence),
-		cmocka_unit_test(test_draining_endpoint_keeps_only_its_flows),
-		cmocka_unit_test(test_flows_outlive_their_endpoints_entry),
-		cmocka_unit_test(test_all_lapsed_at_once_are_a_last_resort),
+		cmocka_unit_test(test_packets_are_held_until_started),
+		cmocka_unit_test(test_unknown_route_is_reset_at_once),
+		cmocka_unit_test(test_endpoint_side_packets_are_dropped),
+		cmocka_unit_test(test_retransmitted_syn_goes_to_same_endpoint),
+		cmocka_unit_test(test_late_duplicate_syn_goes_to_same_endpoint),
 		cmocka_unit_test(
-			test_lapse_of_an_outage_stops_no_live_endpoint),
-		cmocka_unit_test(test_lapse_without_an_outage_stops_new_flows),
+			test_late_syn_of_a_known_flow_goes_to_same_endpoint),
+		cmocka_unit_test(test_reused_port_is_a_new_flow),
+		cmocka_unit_test(test_duplicated_data_is_no_retransmission),
+		cmocka_unit_test(test_draining_endpoint_gets_no_new_flows),
+		cmocka_unit_test(test_flows_survive_entry_expiry),
+		cmocka_unit_test(test_expired_endpoints_are_a_last_resort),
+		cmocka_unit_test(test_expiry_in_an_outage_keeps_live_endpoints),
+		cmocka_unit_test(test_expiry_without_an_outage_stops_new_flows),
 		cmocka_unit_test(
-			test_reset_of_an_unanswered_flow_hits_no_open_one),
-		cmocka_unit_test(test_reused_address_ends_the_former_endpoint),
-		cmocka_unit_test(test_peers_news_of_a_former_endpoint),
-		cmocka_unit_test(test_knowledge_is_what_has_changed_since),
-		cmocka_unit_test(test_news_claims_nothing_that_is_missing),
-		cmocka_unit_test(test_forgotten_entries_make_knowledge_whole),
-		cmocka_unit_test(test_late_entries_change_nothing),
-		cmocka_unit_test(test_leaving_is_heard_after_the_entry_went),
+			test_reset_of_an_unanswered_flow_is_outside_open_windows),
+		cmocka_unit_test(
+			test_reused_address_ends_the_previous_endpoint),
+		cmocka_unit_test(test_snapshot_with_a_previous_address_owner),
+		cmocka_unit_test(test_snapshot_holds_changes_since_revision),
+		cmocka_unit_test(test_update_without_its_base_is_refused),
+		cmocka_unit_test(test_discarded_removals_make_snapshot_whole),
+		cmocka_unit_test(test_stale_entries_are_refused),
+		cmocka_unit_test(
+			test_draining_is_learned_after_the_entry_was_removed),
 		cmocka_unit_test(test_routing_never_goes_back),
-		cmocka_unit_test(test_list_tells_what_is_gone),
-		cmocka_unit_test(test_revision_is_of_what_is_complete),
-		cmocka_unit_test(test_parts_are_exact),
-		cmocka_unit_test(test_part_that_seems_dead_gives_way),
+		cmocka_unit_test(test_full_listing_removes_missing_entries),
+		cmocka_unit_test(test_revision_covers_complete_state_only),
+		cmocka_unit_test(test_route_weights_are_exact),
+		cmocka_unit_test(test_suspected_route_part_is_avoided),
 		cmocka_unit_test(
-			test_load_goes_to_the_own_zone_until_it_is_higher),
-		cmocka_unit_test(test_slow_endpoint_gets_fewer),
-		cmocka_unit_test(test_requests_count_not_flows),
-		cmocka_unit_test(test_newcomer_gets_its_share),
-		cmocka_unit_test(test_full_endpoint_gets_none),
-		cmocka_unit_test(test_peers_loads_count),
-		cmocka_unit_test(test_full_by_all_nodes_flows),
-		cmocka_unit_test(test_flows_are_forgotten_at_rest),
+			test_own_zone_is_preferred_up_to_a_load_difference),
+		cmocka_unit_test(test_slow_endpoint_gets_fewer_flows),
+		cmocka_unit_test(test_load_is_measured_in_requests),
+		cmocka_unit_test(test_new_endpoint_gets_its_share),
+		cmocka_unit_test(test_full_endpoint_gets_no_new_flows),
+		cmocka_unit_test(test_peer_loads_are_counted),
+		cmocka_unit_test(test_connection_limit_counts_peer_flows),
+		cmocka_unit_test(test_idle_flows_are_removed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_learning.c
+++ b/tests/test_learning.c
@@ -1,38 +1,40 @@
-/* Endpoints are still coming back to the store: packets wait for them. */
+/* Tests the initial synchronisation of a node: packets are held while endpoints
+ * may be missing. */
 #include "director_fixture.h"
 #include "jt_mechanism.h"
 
 enum {
-	HELD_MOST_MS = 2500,
-	ATTEMPT_MS = 1400, /* of a caller to open a flow */
+	HELD_MAX_MS = 2500,
+	ATTEMPT_MS = 1400, /* of a client to open a flow */
 	FLOWS = 40,
 };
 
-static void bench_informed(struct bench *bench, uint64_t revision,
-			   uint32_t learning_ms)
+static void fixture_receive_snapshot(struct fixture *fixture, uint64_t revision,
+				     uint32_t learning_ms)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_INFORMED};
 
 	event.u.listed.revision = revision;
 	event.u.listed.learning_ms = learning_ms;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
-/* A node that has just read its first list, with one endpoint in it. */
-static struct bench *one_endpoint(uint32_t without)
+/* Creates a node after its first full listing, with one endpoint. */
+static struct fixture *fixture_with_one_endpoint(uint32_t disabled_features)
 {
-	struct bench *bench = bench_create_without(0, without);
+	struct fixture *fixture = fixture_create_without(0, disabled_features);
 
-	bench_routing(bench, 1, 50, 50);
-	bench_endpoint(bench, 0x101, SERVICE_BOARD, ZONE_A, 2);
-	bench_listed(bench, 2);
-	return bench;
+	fixture_set_routing(fixture, 1, 50, 50);
+	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 2);
+	fixture_end_listing(fixture, 2);
+	return fixture;
 }
 
-/* An open flow of an endpoint that this node does not know. */
-static struct caller_flow flow_of(struct bench *bench, uint64_t endpoint_id)
+/* Returns an open flow of the endpoint, which this node may not know. */
+static struct client_flow make_open_flow(struct fixture *fixture,
+					 uint64_t endpoint_id)
 {
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	flow.label = jt_flow_label(endpoint_id);
 	flow.sequence = 2000;
@@ -40,80 +42,84 @@
 	return flow;
 }
 
-static bool is_reason(const struct bench *bench,
-		      enum jt_director_action_kind kind,
-		      enum jt_director_reason reason)
+static bool action_has_reason(const struct fixture *fixture,
+			      enum jt_director_action_kind kind,
+			      enum jt_director_reason reason)
 {
-	const struct jt_director_action *action = bench_find(bench, kind);
+	const struct jt_director_action *action =
+		fixture_find_action(fixture, kind);
 
 	return action != NULL && action->reason == reason;
 }
 
-static void test_open_flow_waits_for_its_endpoint(void **state)
+static void test_open_flow_is_held_for_its_endpoint(void **state)
 {
-	struct bench *bench = one_endpoint(0);
-	struct caller_flow flow = flow_of(bench, 0x102);
+	struct fixture *fixture = fixture_with_one_endpoint(0);
+	struct client_flow flow = make_open_flow(fixture, 0x102);
 	const struct jt_director_action *forward;
 
 	(void)state;
-	assert_null(flow_send(bench, &flow, JT_PACKET_ACK, 100));
-	assert_true(
-		is_reason(bench, JT_DIRECTOR_HOLD, JT_DIRECTOR_UNKNOWN_LABEL));
-	bench_endpoint(bench, 0x102, SERVICE_BOARD, ZONE_A, 3);
-	forward = flow_send(bench, &flow, JT_PACKET_ACK, 100);
+	assert_null(flow_send(fixture, &flow, JT_PACKET_ACK, 100));
+	assert_true(action_has_reason(fixture, JT_DIRECTOR_HOLD,
+				      JT_DIRECTOR_UNKNOWN_LABEL));
+	fixture_add_endpoint(fixture, 0x102, SERVICE_BOARD, ZONE_A, 3);
+	forward = flow_send(fixture, &flow, JT_PACKET_ACK, 100);
 	assert_non_null(forward);
 	assert_int_equal(forward->endpoint_id, 0x102);
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
-static void test_without_it_the_packet_is_dropped(void **state)
+static void test_hold_switched_off_drops_the_packet(void **state)
 {
-	struct bench *bench = one_endpoint(JT_MECHANISM_HOLD_UNKNOWN);
-	struct caller_flow flow = flow_of(bench, 0x102);
+	struct fixture *fixture =
+		fixture_with_one_endpoint(JT_MECHANISM_HOLD_UNKNOWN);
+	struct client_flow flow = make_open_flow(fixture, 0x102);
 
 	(void)state;
-	assert_null(flow_send(bench, &flow, JT_PACKET_ACK, 100));
-	assert_true(
-		is_reason(bench, JT_DIRECTOR_DROP, JT_DIRECTOR_UNKNOWN_LABEL));
-	talloc_free(bench);
+	assert_null(flow_send(fixture, &flow, JT_PACKET_ACK, 100));
+	assert_true(action_has_reason(fixture, JT_DIRECTOR_DROP,
+				      JT_DIRECTOR_UNKNOWN_LABEL));
+	talloc_free(fixture);
 }
 
-static void test_learning_ends(void **state)
+static void test_initial_sync_ends(void **state)
 {
-	struct bench *bench = one_endpoint(0);
-	struct caller_flow flow = flow_of(bench, 0x102);
+	struct fixture *fixture = fixture_with_one_endpoint(0);
+	struct client_flow flow = make_open_flow(fixture, 0x102);
 
 	(void)state;
 	assert_int_equal(
-		jt_director_learning_ms(bench->director, bench->now_ms),
-		LEARNED_MS);
-	bench_tick(bench, LEARNED_MS);
+		jt_director_learning_ms(fixture->director, fixture->now_ms),
+		INITIAL_SYNC_MS);
+	fixture_tick(fixture, INITIAL_SYNC_MS);
 	assert_int_equal(
-		jt_director_learning_ms(bench->director, bench->now_ms), 0);
-	assert_null(flow_send(bench, &flow, JT_PACKET_ACK, 100));
-	assert_true(
-		is_reason(bench, JT_DIRECTOR_DROP, JT_DIRECTOR_UNKNOWN_LABEL));
-	talloc_free(bench);
+		jt_director_learning_ms(fixture->director, fixture->now_ms), 0);
+	assert_null(flow_send(fixture, &flow, JT_PACKET_ACK, 100));
+	assert_true(action_has_reason(fixture, JT_DIRECTOR_DROP,
+				      JT_DIRECTOR_UNKNOWN_LABEL));
+	talloc_free(fixture);
 }
 
-/* What a peer tells is complete where the peer has known it for long. */
-static void test_complete_peer_leaves_nothing_to_learn(void **state)
+/* A snapshot from a peer that has ended its initial synchronisation is
+ * complete. */
+static void test_snapshot_of_a_synchronised_peer_ends_sync(void **state)
 {
-	struct bench *bench = bench_create(0);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_create(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
-	bench_routing(bench, 1, 50, 50);
-	bench_informed(bench, 2, 0);
-	assert_int_equal(flow_syn(bench, &flow), 0);
-	assert_true(
-		is_reason(bench, JT_DIRECTOR_RESET, JT_DIRECTOR_NO_ENDPOINT));
-	talloc_free(bench);
+	fixture_set_routing(fixture, 1, 50, 50);
+	fixture_receive_snapshot(fixture, 2, 0);
+	assert_int_equal(flow_send_syn(fixture, &flow), 0);
+	assert_true(action_has_reason(fixture, JT_DIRECTOR_RESET,
+				      JT_DIRECTOR_NO_ENDPOINT));
+	talloc_free(fixture);
 }
 
-static void test_learning_peer_tells_that_it_learns(void **state)
+static void test_peer_reports_its_initial_sync(void **state)
 {
-	struct bench *from = one_endpoint(0), *to = bench_create(0);
+	struct fixture *from = fixture_with_one_endpoint(0),
+		       *to = fixture_create(0);
 	jt_wire_knowledge knowledge;
 
 	(void)state;
@@ -121,183 +127,197 @@
 	assert_true(jt_knowledge_write(from, from->director,
 				       &(struct jt_knowledge_need){0},
 				       from->now_ms, &knowledge));
-	assert_int_equal(knowledge.learning_ms, LEARNED_MS - 500);
-	bench_routing(to, 1, 50, 50);
-	bench_informed(to, 2, knowledge.learning_ms);
+	assert_int_equal(knowledge.learning_ms, INITIAL_SYNC_MS - 500);
+	fixture_set_routing(to, 1, 50, 50);
+	fixture_receive_snapshot(to, 2, knowledge.learning_ms);
 	assert_int_equal(jt_director_learning_ms(to->director, to->now_ms),
-			 LEARNED_MS - 500);
-	/* Later ones do not make it learn anew; one that is done ends it. */
+			 INITIAL_SYNC_MS - 500);
+	/* Later snapshots do not extend it; one of a synchronised peer ends it.
+	 */
 	to->now_ms += 100;
-	bench_informed(to, 3, LEARNED_MS);
+	fixture_receive_snapshot(to, 3, INITIAL_SYNC_MS);
 	assert_int_equal(jt_director_learning_ms(to->director, to->now_ms),
-			 LEARNED_MS - 600);
-	bench_informed(to, 4, 0);
+			 INITIAL_SYNC_MS - 600);
+	fixture_receive_snapshot(to, 4, 0);
 	assert_int_equal(jt_director_learning_ms(to->director, to->now_ms), 0);
 	talloc_free(from);
 	talloc_free(to);
 }
 
-/* First packets of new flows in one moment: how many go on at once. */
-static unsigned flows_at_once(uint32_t without)
+/* Sends the first packets of new flows at the same time; returns how many are
+ * forwarded at once. */
+static unsigned count_flows_placed_at_once(uint32_t disabled_features)
 {
-	struct bench *bench = one_endpoint(without);
+	struct fixture *fixture = fixture_with_one_endpoint(disabled_features);
 	unsigned placed = 0;
 
 	for (int i = 0; i < FLOWS; i++) {
-		struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
-		if (flow_syn(bench, &flow) != 0)
+		if (flow_send_syn(fixture, &flow) != 0)
 			placed++;
 		else
-			assert_true(is_reason(bench, JT_DIRECTOR_HOLD,
-					      JT_DIRECTOR_LEARNING));
+			assert_true(action_has_reason(fixture, JT_DIRECTOR_HOLD,
+						      JT_DIRECTOR_LEARNING));
 	}
-	talloc_free(bench);
+	talloc_free(fixture);
 	return placed;
 }
 
 static void test_first_endpoint_does_not_get_all_flows(void **state)
 {
 	(void)state;
-	assert_int_equal(flows_at_once(0), 1);
-	assert_int_equal(flows_at_once(JT_MECHANISM_SPREAD_LEARNING), FLOWS);
+	assert_int_equal(count_flows_placed_at_once(0), 1);
+	assert_int_equal(
+		count_flows_placed_at_once(JT_MECHANISM_SPREAD_LEARNING),
+		FLOWS);
 }
 
-static void test_held_flows_go_on_by_and_by(void **state)
+static void test_held_flows_are_placed_gradually(void **state)
 {
-	struct bench *bench = one_endpoint(0);
+	struct fixture *fixture = fixture_with_one_endpoint(0);
 	unsigned placed = 0;
 
 	(void)state;
 	for (int i = 0; i < FLOWS; i++) {
-		struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
-		placed += flow_syn(bench, &flow) != 0;
-		bench->now_ms += 25;
+		placed += flow_send_syn(fixture, &flow) != 0;
+		fixture->now_ms += 25;
 	}
-	/* A slot bears 40 a second, there are two. */
+	/* Each of the two slots takes 40 flows a second. */
 	assert_int_equal(placed, FLOWS);
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
 static void test_packets_held_too_long_are_dropped(void **state)
 {
-	struct bench *bench = one_endpoint(0);
-	struct caller_flow first = flow_new(bench, CALLER, BOARD_PORT);
-	struct caller_flow open = flow_of(bench, 0x101);
+	struct fixture *fixture = fixture_with_one_endpoint(0);
+	struct client_flow first = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+	struct client_flow open = make_open_flow(fixture, 0x101);
 
 	(void)state;
-	flow_offer(bench, &first, JT_PACKET_SYN, 0, ATTEMPT_MS);
-	assert_true(is_reason(bench, JT_DIRECTOR_DROP, JT_DIRECTOR_LEARNING));
-	flow_offer(bench, &open, JT_PACKET_ACK, 0, HELD_MOST_MS);
-	assert_true(is_reason(bench, JT_DIRECTOR_DROP, JT_DIRECTOR_LEARNING));
-	flow_offer(bench, &open, JT_PACKET_ACK, 0, HELD_MOST_MS - 1);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_FORWARD));
-	talloc_free(bench);
+	flow_send_held(fixture, &first, JT_PACKET_SYN, 0, ATTEMPT_MS);
+	assert_true(action_has_reason(fixture, JT_DIRECTOR_DROP,
+				      JT_DIRECTOR_LEARNING));
+	flow_send_held(fixture, &open, JT_PACKET_ACK, 0, HELD_MAX_MS);
+	assert_true(action_has_reason(fixture, JT_DIRECTOR_DROP,
+				      JT_DIRECTOR_LEARNING));
+	flow_send_held(fixture, &open, JT_PACKET_ACK, 0, HELD_MAX_MS - 1);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_FORWARD));
+	talloc_free(fixture);
 }
 
-/* A first packet and its copy waited together: that says nothing against the
- * endpoint. */
-static void test_held_copy_casts_no_doubt(void **state)
+/* A first packet and its retransmission were held together: this causes no
+ * suspicion of the endpoint. */
+static void test_held_retransmission_causes_no_probe(void **state)
 {
-	struct bench *bench = one_endpoint(0);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_with_one_endpoint(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
-	flow_offer(bench, &flow, JT_PACKET_SYN, 0, 300);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_FORWARD));
+	flow_send_held(fixture, &flow, JT_PACKET_SYN, 0, 300);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_FORWARD));
 	flow.acknowledged = 1;
-	flow_offer(bench, &flow, JT_PACKET_SYN, 0, 100);
-	assert_non_null(bench_find(bench, JT_DIRECTOR_FORWARD));
-	assert_null(bench_find(bench, JT_DIRECTOR_PROBE));
-	talloc_free(bench);
+	flow_send_held(fixture, &flow, JT_PACKET_SYN, 0, 100);
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_FORWARD));
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
+	talloc_free(fixture);
 }
 
-/* Some endpoints and all drains of zones are told; more will be. */
-static void bench_partly_told(struct bench *bench)
+/* Delivers the end of a partial snapshot: some endpoints and all zone drains.
+ */
+static void fixture_receive_partial_snapshot(struct fixture *fixture)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PARTLY_TOLD};
 
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
-/* A node that has just started, and has heard of one endpoint of many. */
-static struct bench *first_page(uint32_t without)
+/* Creates a node that has just started and has received one endpoint of many.
+ */
+static struct fixture *fixture_with_partial_state(uint32_t disabled_features)
 {
-	struct bench *bench = bench_create_without(0, without);
+	struct fixture *fixture = fixture_create_without(0, disabled_features);
 
-	bench_routing(bench, 1, 50, 50);
-	bench_endpoint(bench, 0x101, SERVICE_BOARD, ZONE_A, 2);
-	return bench;
+	fixture_set_routing(fixture, 1, 50, 50);
+	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 2);
+	return fixture;
 }
 
-static void test_a_part_is_enough_for_new_flows(void **state)
+static void test_partial_state_places_new_flows(void **state)
 {
-	struct bench *bench = first_page(0);
-	struct caller_flow first = flow_new(bench, CALLER, BOARD_PORT);
-	struct caller_flow open = flow_of(bench, 0x102);
+	struct fixture *fixture = fixture_with_partial_state(0);
+	struct client_flow first = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+	struct client_flow open = make_open_flow(fixture, 0x102);
 
 	(void)state;
-	assert_int_equal(flow_syn(bench, &first), 0);
-	assert_true(
-		is_reason(bench, JT_DIRECTOR_HOLD, JT_DIRECTOR_NOT_STARTED));
-	bench_partly_told(bench);
-	assert_int_equal(flow_syn(bench, &first), 0x101);
-	/* It has not started: others don't learn from it yet. */
-	assert_false(jt_director_started(bench->director));
-	/* What an open flow's label names may be told later. */
-	bench->now_ms += 2 * LEARNED_MS;
-	assert_null(flow_send(bench, &open, JT_PACKET_ACK, 100));
-	assert_true(
-		is_reason(bench, JT_DIRECTOR_HOLD, JT_DIRECTOR_NOT_STARTED));
-	bench_endpoint(bench, 0x102, SERVICE_BOARD, ZONE_A, 3);
-	assert_non_null(flow_send(bench, &open, JT_PACKET_ACK, 100));
-	talloc_free(bench);
+	assert_int_equal(flow_send_syn(fixture, &first), 0);
+	assert_true(action_has_reason(fixture, JT_DIRECTOR_HOLD,
+				      JT_DIRECTOR_NOT_STARTED));
+	fixture_receive_partial_snapshot(fixture);
+	assert_int_equal(flow_send_syn(fixture, &first), 0x101);
+	/* It has not started: it sends no complete snapshots yet. */
+	assert_false(jt_director_started(fixture->director));
+	/* The endpoint of an open flow's label may be received later. */
+	fixture->now_ms += 2 * INITIAL_SYNC_MS;
+	assert_null(flow_send(fixture, &open, JT_PACKET_ACK, 100));
+	assert_true(action_has_reason(fixture, JT_DIRECTOR_HOLD,
+				      JT_DIRECTOR_NOT_STARTED));
+	fixture_add_endpoint(fixture, 0x102, SERVICE_BOARD, ZONE_A, 3);
+	assert_non_null(flow_send(fixture, &open, JT_PACKET_ACK, 100));
+	talloc_free(fixture);
 }
 
-static void test_without_it_new_flows_wait_for_all(void **state)
+static void test_partial_state_switched_off_holds_new_flows(void **state)
 {
-	struct bench *bench = first_page(JT_MECHANISM_PARTLY_KNOWN);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture =
+		fixture_with_partial_state(JT_MECHANISM_PARTLY_KNOWN);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
-	bench_partly_told(bench);
-	assert_int_equal(flow_syn(bench, &flow), 0);
-	bench_listed(bench, 2);
-	assert_int_equal(flow_syn(bench, &flow), 0x101);
-	talloc_free(bench);
+	fixture_receive_partial_snapshot(fixture);
+	assert_int_equal(flow_send_syn(fixture, &flow), 0);
+	fixture_end_listing(fixture, 2);
+	assert_int_equal(flow_send_syn(fixture, &flow), 0x101);
+	talloc_free(fixture);
 }
 
-/* A new flow waits for an endpoint of its own service. */
-static void test_a_part_without_the_service_holds(void **state)
+/* A new flow is held until an endpoint of its service is known. */
+static void test_partial_state_without_the_service_holds(void **state)
 {
-	struct bench *bench = bench_create(0);
-	struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
+	struct fixture *fixture = fixture_create(0);
+	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
-	bench_routing(bench, 1, 50, 50);
-	bench_endpoint(bench, 0x201, SERVICE_EXPORT, ZONE_A, 2);
-	bench_partly_told(bench);
-	assert_int_equal(flow_syn(bench, &flow), 0);
-	assert_true(is_reason(bench, JT_DIRECTOR_HOLD, JT_DIRECTOR_LEARNING));
-	talloc_free(bench);
+	fixture_set_routing(fixture, 1, 50, 50);
+	fixture_add_endpoint(fixture, 0x201, SERVICE_EXPORT, ZONE_A, 2);
+	fixture_receive_partial_snapshot(fixture);
+	assert_int_equal(flow_send_syn(fixture, &flow), 0);
+	assert_true(action_has_reason(fixture, JT_DIRECTOR_HOLD,
+				      JT_DIRECTOR_LEARNING));
+	talloc_free(fixture);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_open_flow_waits_for_its_endpoint),
-		cmocka_unit_test(test_without_it_the_packet_is_dropped),
-		cmocka_unit_test(test_learning_ends),
-		cmocka_unit_test(test_complete_peer_leaves_nothing_to_learn),
-		cmocka_unit_test(test_learning_peer_tells_that_it_learns),
+		cmocka_unit_test(test_open_flow_is_held_for_its_endpoint),
+		cmocka_unit_test(test_hold_switched_off_drops_the_packet),
+		cmocka_unit_test(test_initial_sync_ends),
+		cmocka_unit_test(
+			test_snapshot_of_a_synchronised_peer_ends_sync),
+		cmocka_unit_test(test_peer_reports_its_initial_sync),
 		cmocka_unit_test(test_first_endpoint_does_not_get_all_flows),
-		cmocka_unit_test(test_held_flows_go_on_by_and_by),
+		cmocka_unit_test(test_held_flows_are_placed_gradually),
 		cmocka_unit_test(test_packets_held_too_long_are_dropped),
-		cmocka_unit_test(test_held_copy_casts_no_doubt),
-		cmocka_unit_test(test_a_part_is_enough_for_new_flows),
-		cmocka_unit_test(test_without_it_new_flows_wait_for_all),
-		cmocka_unit_test(test_a_part_without_the_service_holds),
+		cmocka_unit_test(test_held_retransmission_causes_no_probe),
+		cmocka_unit_test(test_partial_state_places_new_flows),
+		cmocka_unit_test(
+			test_partial_state_switched_off_holds_new_flows),
+		cmocka_unit_test(test_partial_state_without_the_service_holds),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_list_gaps.c
+++ b/tests/test_list_gaps.c
@@ -1,15 +1,13 @@
-/*
- * What a node that took a whole list tells others. It knows what is there, and
- * nothing of what came and went before: a peer that knows such an endpoint must
- * hear of its end (failure 68).
- */
+/* Tests listing gaps. A full listing shows what exists, not what was removed
+ * before: guards against keeping removed endpoints that such a node's peers
+ * still know. */
 #include "director_fixture.h"
 #include "jt_knowledge_fetch.h"
 #include "jt_list_gaps.h"
 
-enum { ENDS = 0x101, STAYS = 0x102, COMES = 0x103, LISTED_AT = 19 };
+enum { REMOVED = 0x101, KEPT = 0x102, ADDED = 0x103, LISTED_AT = 19 };
 
-static void test_gaps(void **state)
+static void test_gap_tracking(void **state)
 {
 	struct jt_list_gaps gaps = {0};
 
@@ -21,15 +19,15 @@
 	assert_false(jt_list_gaps_know(&gaps, 11));
 	assert_false(jt_list_gaps_know(&gaps, 19));
 	assert_true(jt_list_gaps_know(&gaps, 20));
-	/* Nothing lies between neighbours. */
+	/* There is no gap between adjacent revisions. */
 	jt_list_gaps_add(&gaps, (struct jt_list_gap){20, 21});
 	assert_int_equal(gaps.newest.to, 20);
-	/* Of two gaps only the newer one is known exactly. */
+	/* Only the newest of several gaps is kept exactly. */
 	jt_list_gaps_add(&gaps, (struct jt_list_gap){25, 30});
 	assert_false(jt_list_gaps_know(&gaps, 10));
 	assert_true(jt_list_gaps_know(&gaps, 20));
 	assert_false(jt_list_gaps_know(&gaps, 29));
-	/* An earlier one that a peer tells of. */
+	/* An earlier gap reported by a peer. */
 	jt_list_gaps_add(&gaps, (struct jt_list_gap){21, 24});
 	assert_false(jt_list_gaps_know(&gaps, 22));
 	assert_true(jt_list_gaps_know(&gaps, 24));
@@ -38,7 +36,7 @@
 	assert_true(jt_list_gaps_know(&gaps, 50));
 }
 
-static void test_what_is_taken_over(void **state)
+static void test_gap_after_revision(void **state)
 {
 	struct jt_list_gaps gaps = {.newest = {10, 20}};
 
@@ -49,43 +47,44 @@
 	assert_int_equal(jt_list_gaps_after(&gaps, 20).to, 0);
 }
 
-/* A node that has watched all along, up to the revision before the end. */
-static struct bench *watcher(void)
+/* Creates a node that has watched all changes up to the revision before the
+ * removal. */
+static struct fixture *fixture_watching(void)
 {
-	struct bench *bench = bench_create(0);
-
-	bench_routing(bench, 1, 50, 50);
-	bench_endpoint(bench, ENDS, SERVICE_BOARD, ZONE_A, 2);
-	bench_endpoint(bench, STAYS, SERVICE_BOARD, ZONE_A, 3);
-	bench_listed(bench, 18);
-	bench_tick(bench, LEARNED_MS);
-	return bench;
+	struct fixture *fixture = fixture_create(0);
+
+	fixture_set_routing(fixture, 1, 50, 50);
+	fixture_add_endpoint(fixture, REMOVED, SERVICE_BOARD, ZONE_A, 2);
+	fixture_add_endpoint(fixture, KEPT, SERVICE_BOARD, ZONE_A, 3);
+	fixture_end_listing(fixture, 18);
+	fixture_tick(fixture, INITIAL_SYNC_MS);
+	return fixture;
 }
 
-/* A node that started from a list after the end. */
-static struct bench *starter(void)
+/* Creates a node that started from a full listing after the removal. */
+static struct fixture *fixture_from_listing(void)
 {
-	struct bench *bench = bench_create(0);
+	struct fixture *fixture = fixture_create(0);
 
-	bench_routing(bench, 1, 50, 50);
-	bench_endpoint(bench, STAYS, SERVICE_BOARD, ZONE_A, 3);
-	bench_listed(bench, LISTED_AT);
-	bench_tick(bench, LEARNED_MS);
-	return bench;
+	fixture_set_routing(fixture, 1, 50, 50);
+	fixture_add_endpoint(fixture, KEPT, SERVICE_BOARD, ZONE_A, 3);
+	fixture_end_listing(fixture, LISTED_AT);
+	fixture_tick(fixture, INITIAL_SYNC_MS);
+	return fixture;
 }
 
-static void knowledge_of(struct bench *bench, uint64_t since,
-			 jt_wire_knowledge *knowledge)
+static void write_snapshot(struct fixture *fixture, uint64_t since,
+			   jt_wire_knowledge *snapshot)
 {
 	const struct jt_knowledge_need need = {.since = since, .version = 1};
 
-	assert_true(jt_knowledge_write(bench, bench->director, &need,
-				       bench->now_ms, knowledge));
+	assert_true(jt_knowledge_write(fixture, fixture->director, &need,
+				       fixture->now_ms, snapshot));
 }
 
-/* The node takes what a peer told, as the driver hands it on. */
-static void learn(struct bench *bench, const jt_wire_knowledge *knowledge,
-		  uint64_t since)
+/* Applies a peer's snapshot as the driver does. */
+static void apply_snapshot(struct fixture *fixture,
+			   const jt_wire_knowledge *snapshot, uint64_t since)
 {
 	struct jt_knowledge_fetch fetch = {0};
 	const struct jt_own_state own = {
@@ -93,151 +92,160 @@
 	struct jt_director_event event;
 
 	(void)jt_knowledge_fetch_need(&fetch, &own);
-	for (u_int i = 0; i < knowledge->entries.entries_len; i++) {
-		if (jt_knowledge_entry(&knowledge->entries.entries_val[i],
+	for (u_int i = 0; i < snapshot->entries.entries_len; i++) {
+		if (jt_knowledge_entry(&snapshot->entries.entries_val[i],
 				       &event))
-			bench_event(bench, &event);
+			fixture_handle(fixture, &event);
 	}
-	if (jt_knowledge_slices(bench, knowledge, &event))
-		bench_event(bench, &event);
-	assert_true(jt_knowledge_fetch_took(&fetch, knowledge, bench->now_ms));
+	if (jt_knowledge_slices(fixture, snapshot, &event))
+		fixture_handle(fixture, &event);
+	assert_true(jt_knowledge_fetch_took(&fetch, snapshot, fixture->now_ms));
 	event = (struct jt_director_event){.kind = JT_DIRECTOR_INFORMED};
 	event.u.listed.revision = fetch.revision;
 	event.u.listed.gap = fetch.gap;
 	event.u.listed.forgotten = fetch.forgotten;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 }
 
-/* Soak seed 1017: the peer that had just started was asked for what had changed
- * since, and knew of no end: new flows went to the endpoint for 3.5 s. */
-static void test_end_before_a_peers_list_is_learned(void **state)
+/* Guards against new flows to a removed endpoint when changes are fetched from
+ * a peer whose listing was after the removal. */
+static void test_removal_before_a_peers_listing_is_learned(void **state)
 {
-	struct bench *old = watcher(), *young = starter();
-	jt_wire_knowledge knowledge;
+	struct fixture *watching = fixture_watching(),
+		       *listing = fixture_from_listing();
+	jt_wire_knowledge snapshot;
 
 	(void)state;
-	knowledge_of(young, 18, &knowledge);
-	assert_int_equal(knowledge.since, 0);
-	learn(old, &knowledge, 18);
-	assert_int_equal(jt_director_revision(old->director), LISTED_AT);
-	assert_int_equal(state_of(old, ENDS), JT_INCARNATION_LAPSED);
-	assert_int_equal(state_of(old, STAYS), JT_INCARNATION_READY);
-	assert_int_equal(flows_at(old, 20, STAYS), 20);
-	talloc_free(old);
-	talloc_free(young);
+	write_snapshot(listing, 18, &snapshot);
+	assert_int_equal(snapshot.since, 0);
+	apply_snapshot(watching, &snapshot, 18);
+	assert_int_equal(jt_director_revision(watching->director), LISTED_AT);
+	assert_int_equal(endpoint_state(watching, REMOVED),
+			 JT_INCARNATION_LAPSED);
+	assert_int_equal(endpoint_state(watching, KEPT), JT_INCARNATION_READY);
+	assert_int_equal(count_flows_to(watching, 20, KEPT), 20);
+	talloc_free(watching);
+	talloc_free(listing);
 }
 
-/* Who hears of it from that node hears of the end as well. */
-static void test_end_is_told_on(void **state)
+/* The removal is sent on to the node's own peers. */
+static void test_removal_is_forwarded(void **state)
 {
-	struct bench *old = watcher(), *young = starter(), *third = watcher();
-	jt_wire_knowledge knowledge;
+	struct fixture *watching = fixture_watching(),
+		       *listing = fixture_from_listing(),
+		       *other = fixture_watching();
+	jt_wire_knowledge snapshot;
 
 	(void)state;
-	knowledge_of(young, 18, &knowledge);
-	learn(old, &knowledge, 18);
-	knowledge_of(old, 18, &knowledge);
-	assert_int_equal(knowledge.since, 18);
-	learn(third, &knowledge, 18);
-	assert_int_equal(state_of(third, ENDS), JT_INCARNATION_LAPSED);
-	talloc_free(old);
-	talloc_free(young);
-	talloc_free(third);
+	write_snapshot(listing, 18, &snapshot);
+	apply_snapshot(watching, &snapshot, 18);
+	write_snapshot(watching, 18, &snapshot);
+	assert_int_equal(snapshot.since, 18);
+	apply_snapshot(other, &snapshot, 18);
+	assert_int_equal(endpoint_state(other, REMOVED), JT_INCARNATION_LAPSED);
+	talloc_free(watching);
+	talloc_free(listing);
+	talloc_free(other);
 }
 
-/* The list skipped a time in which an endpoint came and went; a third node,
- * which knows it from then, learns through one that took the list's part over.
- */
-static void test_gap_is_taken_over(void **state)
+/* A listing skipped the removal of an endpoint that a third node knows; it
+ * learns of it through a node that took over the gap. */
+static void test_gap_is_forwarded(void **state)
 {
-	struct bench *old = watcher(), *lister = watcher(), *third = watcher();
-	jt_wire_knowledge knowledge;
+	struct fixture *watching = fixture_watching(),
+		       *relisted = fixture_watching(),
+		       *other = fixture_watching();
+	jt_wire_knowledge snapshot;
 
 	(void)state;
-	bench_endpoint(third, COMES, SERVICE_BOARD, ZONE_A, 20);
-	bench_listed(third, 20);
-	bench_endpoint(lister, ENDS, SERVICE_BOARD, ZONE_A, 2);
-	bench_endpoint(lister, STAYS, SERVICE_BOARD, ZONE_A, 3);
-	bench_listed(lister, 25);
-	knowledge_of(lister, 18, &knowledge);
-	assert_int_equal(knowledge.since, 18);
-	learn(old, &knowledge, 18);
-	knowledge_of(old, 20, &knowledge);
-	assert_int_equal(knowledge.since, 0);
-	learn(third, &knowledge, 20);
-	assert_int_equal(state_of(third, COMES), JT_INCARNATION_LAPSED);
-	talloc_free(old);
-	talloc_free(lister);
-	talloc_free(third);
+	fixture_add_endpoint(other, ADDED, SERVICE_BOARD, ZONE_A, 20);
+	fixture_end_listing(other, 20);
+	fixture_add_endpoint(relisted, REMOVED, SERVICE_BOARD, ZONE_A, 2);
+	fixture_add_endpoint(relisted, KEPT, SERVICE_BOARD, ZONE_A, 3);
+	fixture_end_listing(relisted, 25);
+	write_snapshot(relisted, 18, &snapshot);
+	assert_int_equal(snapshot.since, 18);
+	apply_snapshot(watching, &snapshot, 18);
+	write_snapshot(watching, 20, &snapshot);
+	assert_int_equal(snapshot.since, 0);
+	apply_snapshot(other, &snapshot, 20);
+	assert_int_equal(endpoint_state(other, ADDED), JT_INCARNATION_LAPSED);
+	talloc_free(watching);
+	talloc_free(relisted);
+	talloc_free(other);
 }
 
-/* Changes that were watched are told one by one, as before. */
-static void test_watched_changes_are_told_alone(void **state)
+/* Changes that were observed are sent one by one. */
+static void test_watched_changes_are_sent_individually(void **state)
 {
-	struct bench *bench = watcher();
+	struct fixture *fixture = fixture_watching();
 	struct jt_director_event event = {.kind = JT_DIRECTOR_CAUGHT_UP};
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 
 	(void)state;
-	bench_endpoint(bench, COMES, SERVICE_BOARD, ZONE_A, 20);
-	bench_gone(bench, ENDS, 25);
+	fixture_add_endpoint(fixture, ADDED, SERVICE_BOARD, ZONE_A, 20);
+	fixture_remove_entry(fixture, REMOVED, 25);
 	event.u.listed.revision = 25;
-	bench_event(bench, &event);
-	knowledge_of(bench, 20, &knowledge);
-	assert_int_equal(knowledge.since, 20);
-	assert_int_equal(knowledge.entries.entries_len, 1);
-	assert_int_equal(knowledge.gap_to, 0);
-	talloc_free(bench);
+	fixture_handle(fixture, &event);
+	write_snapshot(fixture, 20, &snapshot);
+	assert_int_equal(snapshot.since, 20);
+	assert_int_equal(snapshot.entries.entries_len, 1);
+	assert_int_equal(snapshot.gap_to, 0);
+	talloc_free(fixture);
 }
 
-/* A node without room for all endpoints says nothing of what it lacks. */
-static void test_incomplete_knowledge_ends_nothing(void **state)
+/* A snapshot of a node that can't store all endpoints removes nothing. */
+static void test_incomplete_snapshot_removes_nothing(void **state)
 {
-	struct bench *old = watcher(), *young = starter();
-	jt_wire_knowledge knowledge;
+	struct fixture *watching = fixture_watching(),
+		       *listing = fixture_from_listing();
+	jt_wire_knowledge snapshot;
 	struct jt_director_event event;
 
 	(void)state;
-	knowledge_of(young, 18, &knowledge);
-	knowledge.complete = FALSE;
-	assert_false(jt_knowledge_slices(old, &knowledge, &event));
-	/* Nor does one that told some of what it knows so far. */
-	knowledge.complete = TRUE;
-	knowledge.slice_next = knowledge.slice;
-	assert_false(jt_knowledge_slices(old, &knowledge, &event));
-	talloc_free(old);
-	talloc_free(young);
+	write_snapshot(listing, 18, &snapshot);
+	snapshot.complete = FALSE;
+	assert_false(jt_knowledge_slices(watching, &snapshot, &event));
+	/* A partial snapshot doesn't either. */
+	snapshot.complete = TRUE;
+	snapshot.slice_next = snapshot.slice;
+	assert_false(jt_knowledge_slices(watching, &snapshot, &event));
+	talloc_free(watching);
+	talloc_free(listing);
 }
 
-/* What is newer than the peer's knowledge is none of its matters. */
-static void test_newer_entries_stay(void **state)
+/* Entries newer than the peer's revision are kept. */
+static void test_newer_entries_are_kept(void **state)
 {
-	struct bench *old = watcher(), *young = starter();
-	jt_wire_knowledge knowledge;
+	struct fixture *watching = fixture_watching(),
+		       *listing = fixture_from_listing();
+	jt_wire_knowledge snapshot;
 	struct jt_director_event event;
 
 	(void)state;
-	bench_endpoint(old, COMES, SERVICE_BOARD, ZONE_A, 30);
-	knowledge_of(young, 18, &knowledge);
-	assert_true(jt_knowledge_slices(old, &knowledge, &event));
-	bench_event(old, &event);
-	assert_int_equal(state_of(old, COMES), JT_INCARNATION_READY);
-	assert_int_equal(state_of(old, ENDS), JT_INCARNATION_LAPSED);
-	talloc_free(old);
-	talloc_free(young);
+	fixture_add_endpoint(watching, ADDED, SERVICE_BOARD, ZONE_A, 30);
+	write_snapshot(listing, 18, &snapshot);
+	assert_true(jt_knowledge_slices(watching, &snapshot, &event));
+	fixture_handle(watching, &event);
+	assert_int_equal(endpoint_state(watching, ADDED), JT_INCARNATION_READY);
+	assert_int_equal(endpoint_state(watching, REMOVED),
+			 JT_INCARNATION_LAPSED);
+	talloc_free(watching);
+	talloc_free(listing);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_gaps),
-		cmocka_unit_test(test_what_is_taken_over),
-		cmocka_unit_test(test_end_before_a_peers_list_is_learned),
-		cmocka_unit_test(test_end_is_told_on),
-		cmocka_unit_test(test_gap_is_taken_over),
-		cmocka_unit_test(test_watched_changes_are_told_alone),
-		cmocka_unit_test(test_incomplete_knowledge_ends_nothing),
-		cmocka_unit_test(test_newer_entries_stay),
+		cmocka_unit_test(test_gap_tracking),
+		cmocka_unit_test(test_gap_after_revision),
+		cmocka_unit_test(
+			test_removal_before_a_peers_listing_is_learned),
+		cmocka_unit_test(test_removal_is_forwarded),
+		cmocka_unit_test(test_gap_is_forwarded),
+		cmocka_unit_test(test_watched_changes_are_sent_individually),
+		cmocka_unit_test(test_incomplete_snapshot_removes_nothing),
+		cmocka_unit_test(test_newer_entries_are_kept),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
