--- a/tests/test_mechanisms.c
+++ b/tests/test_mechanisms.c
@@ -1,42 +1,43 @@
-/* Each mechanism that a setting can switch off does something, and only as long
- * as it is on. */
+/* Tests feature switches: each feature has an effect when on and none when off.
+ */
 #include "director_fixture.h"
 #include "jt_mechanism.h"
 #include "jt_membership.h"
 
-enum { CALLERS = 20, MANY = 60, HALF_LEAST = 25, HALF_MOST = 35 };
+enum { CLIENTS = 20, FLOWS = 60, HALF_MIN = 25, HALF_MAX = 35 };
 
-/* Two endpoints of the own zone, without @mechanism when @off. */
-static struct bench *two_without(enum jt_mechanism mechanism, bool off)
+/* Creates two endpoints in the own zone, without @feature if @off. */
+static struct fixture *fixture_with_feature(enum jt_mechanism feature, bool off)
 {
-	return two_endpoints_of(
-		bench_create_without(0, off ? (uint32_t)mechanism : 0));
+	return fixture_add_two_endpoints(
+		fixture_create_without(0, off ? (uint32_t)feature : 0));
 }
 
 static void test_zone_first(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench = bench_create_without(
+		struct fixture *fixture = fixture_create_without(
 			0, off ? JT_MECHANISM_ZONE_FIRST : 0);
 
-		bench_routing(bench, 1, 1, 1);
-		bench_endpoint(bench, 0x101, SERVICE_BOARD, ZONE_A, 2);
-		bench_endpoint(bench, 0x102, SERVICE_BOARD, ZONE_B, 3);
-		bench_listed(bench, 3);
-		bench_tick(bench, LEARNED_MS);
-		assert_in_range(flows_at(bench, MANY, 0x102),
-				off ? HALF_LEAST : 15,
-				off ? HALF_MOST : HALF_LEAST - 1);
-		talloc_free(bench);
+		fixture_set_routing(fixture, 1, 1, 1);
+		fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 2);
+		fixture_add_endpoint(fixture, 0x102, SERVICE_BOARD, ZONE_B, 3);
+		fixture_end_listing(fixture, 3);
+		fixture_tick(fixture, INITIAL_SYNC_MS);
+		assert_in_range(count_flows_to(fixture, FLOWS, 0x102),
+				off ? HALF_MIN : 15,
+				off ? HALF_MAX : HALF_MIN - 1);
+		talloc_free(fixture);
 	}
 }
 
-static void test_peer_work(void **state)
+static void test_peer_load(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench = two_without(JT_MECHANISM_PEER_WORK, off);
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_PEER_WORK, off);
 		struct jt_endpoint_load load = {jt_flow_label(0x101), 0,
 						50 * JT_WORK_UNIT, 0};
 		struct jt_director_event event = {.kind = JT_DIRECTOR_LOADS};
@@ -44,29 +45,30 @@
 		event.u.loads.peer = 7;
 		event.u.loads.loads = &load;
 		event.u.loads.count = 1;
-		bench_event(bench, &event);
-		assert_in_range(flows_at(bench, MANY, 0x101),
-				off ? HALF_LEAST : 0, off ? HALF_MOST : 15);
-		talloc_free(bench);
+		fixture_handle(fixture, &event);
+		assert_in_range(count_flows_to(fixture, FLOWS, 0x101),
+				off ? HALF_MIN : 0, off ? HALF_MAX : 15);
+		talloc_free(fixture);
 	}
 }
 
-static void test_slowness(void **state)
+static void test_response_time_weighting(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench = two_without(JT_MECHANISM_SLOWNESS, off);
-		struct caller_flow slow, fast;
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_SLOWNESS, off);
+		struct client_flow slow, fast;
 
-		flow_at_each(bench, &slow, &fast);
+		open_flow_at_each(fixture, &slow, &fast);
 		for (int i = 0; i < 20; i++) {
-			flow_request(bench, &slow, 110);
-			flow_request(bench, &fast, 22);
+			flow_request(fixture, &slow, 110);
+			flow_request(fixture, &fast, 22);
 		}
-		bench_tick(bench, 14000);
-		assert_in_range(flows_at(bench, MANY, 0x101),
-				off ? HALF_LEAST : 5, off ? HALF_MOST : 15);
-		talloc_free(bench);
+		fixture_tick(fixture, 14000);
+		assert_in_range(count_flows_to(fixture, FLOWS, 0x101),
+				off ? HALF_MIN : 5, off ? HALF_MAX : 15);
+		talloc_free(fixture);
 	}
 }
 
@@ -74,115 +76,125 @@
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench = two_without(JT_MECHANISM_FAST_FIRST, off);
-		struct caller_flow slow, fast;
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_FAST_FIRST, off);
+		struct client_flow slow, fast;
 
-		flow_at_each(bench, &slow, &fast);
+		open_flow_at_each(fixture, &slow, &fast);
 		for (int i = 0; i < 20; i++) {
-			flow_request(bench, &slow, 110);
-			flow_request(bench, &fast, 55);
+			flow_request(fixture, &slow, 110);
+			flow_request(fixture, &fast, 55);
 		}
-		bench_tick(bench, 5000);
-		/* For four requests the fast one has room enough. */
-		for (int i = 0, there = 0; i < 10; i++) {
-			there += (int)flows_at(bench, 4, 0x101);
-			bench_tick(bench, 4000);
+		fixture_tick(fixture, 5000);
+		/* The fast endpoint has capacity for four requests. */
+		for (int i = 0, at_slow = 0; i < 10; i++) {
+			at_slow += (int)count_flows_to(fixture, 4, 0x101);
+			fixture_tick(fixture, 4000);
 			if (i == 9)
-				assert_in_range(there, off ? 10 : 0,
+				assert_in_range(at_slow, off ? 10 : 0,
 						off ? 20 : 4);
 		}
-		talloc_free(bench);
+		talloc_free(fixture);
 	}
 }
 
-static void test_zone_room(void **state)
+static void test_zone_headroom(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench = bench_create_without(
+		struct fixture *fixture = fixture_create_without(
 			0, off ? JT_MECHANISM_ZONE_ROOM : 0);
-		struct caller_flow near, far;
-
-		bench_routing(bench, 1, 1, 1);
-		bench_endpoint(bench, 0x101, SERVICE_BOARD, ZONE_A, 2);
-		bench_endpoint(bench, 0x102, SERVICE_BOARD, ZONE_B, 3);
-		bench_listed(bench, 3);
-		bench_tick(bench, LEARNED_MS);
-		flow_at_each(bench, &near, &far);
+		struct client_flow nearby, distant;
+
+		fixture_set_routing(fixture, 1, 1, 1);
+		fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 2);
+		fixture_add_endpoint(fixture, 0x102, SERVICE_BOARD, ZONE_B, 3);
+		fixture_end_listing(fixture, 3);
+		fixture_tick(fixture, INITIAL_SYNC_MS);
+		open_flow_at_each(fixture, &nearby, &distant);
 		for (int i = 0; i < 10; i++) {
-			flow_request(bench, &near, 10);
-			flow_request(bench, &far, 10);
+			flow_request(fixture, &nearby, 10);
+			flow_request(fixture, &distant, 10);
 		}
-		bench_tick(bench, 5000);
-		/* A few requests of 10 ms are nothing to one of two slots. */
-		assert_in_range(flows_at(bench, 10, 0x102), off ? 3 : 0,
+		fixture_tick(fixture, 5000);
+		/* A few requests of 10 ms are far below the capacity of two
+		 * slots. */
+		assert_in_range(count_flows_to(fixture, 10, 0x102), off ? 3 : 0,
 				off ? 5 : 0);
-		talloc_free(bench);
+		talloc_free(fixture);
 	}
 }
 
-static void test_cold(void **state)
+static void test_slow_start(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench = two_without(JT_MECHANISM_COLD, off);
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_COLD, off);
 		struct jt_endpoint_entry entry =
-			entry_of(0x101, SERVICE_BOARD, ZONE_A, 9);
+			make_entry(0x101, SERVICE_BOARD, ZONE_A, 9);
 
 		entry.cold_left_ms = 60000;
-		bench_entry(bench, entry);
-		assert_in_range(flows_at(bench, MANY, 0x101),
-				off ? HALF_LEAST : 15,
-				off ? HALF_MOST : HALF_LEAST - 1);
-		talloc_free(bench);
+		fixture_set_entry(fixture, entry);
+		assert_in_range(count_flows_to(fixture, FLOWS, 0x101),
+				off ? HALF_MIN : 15,
+				off ? HALF_MAX : HALF_MIN - 1);
+		talloc_free(fixture);
 	}
 }
 
-static void test_newcomer_share(void **state)
+static void test_new_endpoint_share(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench =
-			two_without(JT_MECHANISM_NEWCOMER_SHARE, off);
-
-		flows_at(bench, MANY, 0);
-		bench_entry(bench, entry_of(0x103, SERVICE_BOARD, ZONE_A, 9));
-		assert_in_range(flows_at(bench, 12, 0x103), off ? 10 : 3,
-				off ? 12 : 6);
-		talloc_free(bench);
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_NEWCOMER_SHARE, off);
+
+		count_flows_to(fixture, FLOWS, 0);
+		fixture_set_entry(fixture,
+				  make_entry(0x103, SERVICE_BOARD, ZONE_A, 9));
+		assert_in_range(count_flows_to(fixture, 12, 0x103),
+				off ? 10 : 3, off ? 12 : 6);
+		talloc_free(fixture);
 	}
 }
 
-static void test_doubt_opening(void **state)
+static void test_probe_after_unanswered_syn(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench =
-			two_without(JT_MECHANISM_DOUBT_OPENING, off);
-		struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
-
-		flow_syn(bench, &flow);
-		bench_tick(bench, 100);
-		assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), !off);
-		talloc_free(bench);
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_DOUBT_OPENING, off);
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP, BOARD_PORT);
+
+		flow_send_syn(fixture, &flow);
+		fixture_tick(fixture, 100);
+		assert_int_equal(
+			fixture_count_actions(fixture, JT_DIRECTOR_PROBE),
+			!off);
+		talloc_free(fixture);
 	}
 }
 
-static void test_doubt_resent(void **state)
+static void test_probe_after_retransmission(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench =
-			two_without(JT_MECHANISM_DOUBT_RESENT, off);
-		struct caller_flow flow = flow_new(bench, CALLER, BOARD_PORT);
-
-		flow_open(bench, &flow);
-		flow_request(bench, &flow, 20);
-		flow_send(bench, &flow, JT_PACKET_ACK, 100);
-		bench->now_ms += 200;
-		flow_send(bench, &flow, JT_PACKET_ACK, 100);
-		assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), !off);
-		talloc_free(bench);
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_DOUBT_RESENT, off);
+		struct client_flow flow =
+			flow_new(fixture, CLIENT_IP, BOARD_PORT);
+
+		flow_open(fixture, &flow);
+		flow_request(fixture, &flow, 20);
+		flow_send(fixture, &flow, JT_PACKET_ACK, 100);
+		fixture->now_ms += 200;
+		flow_send(fixture, &flow, JT_PACKET_ACK, 100);
+		assert_int_equal(
+			fixture_count_actions(fixture, JT_DIRECTOR_PROBE),
+			!off);
+		talloc_free(fixture);
 	}
 }
 
@@ -190,14 +202,16 @@
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench =
-			two_without(JT_MECHANISM_PEER_SUSPICION, off);
-		struct caller_flow first, second;
-
-		flow_at_each(bench, &first, &second);
-		bench_suspicion(bench, 0x101);
-		assert_int_equal(bench_count(bench, JT_DIRECTOR_PROBE), !off);
-		talloc_free(bench);
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_PEER_SUSPICION, off);
+		struct client_flow first, second;
+
+		open_flow_at_each(fixture, &first, &second);
+		fixture_peer_death_report(fixture, 0x101);
+		assert_int_equal(
+			fixture_count_actions(fixture, JT_DIRECTOR_PROBE),
+			!off);
+		talloc_free(fixture);
 	}
 }
 
@@ -205,15 +219,16 @@
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench = two_without(JT_MECHANISM_OUTLIERS, off);
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_OUTLIERS, off);
 		struct jt_director_event event = {.kind = JT_DIRECTOR_OVERDUE};
 
-		bench_endpoint(bench, 0x103, SERVICE_BOARD, ZONE_A, 9);
+		fixture_add_endpoint(fixture, 0x103, SERVICE_BOARD, ZONE_A, 9);
 		event.u.suspicion.id = 0x101;
-		bench_event(bench, &event);
-		assert_in_range(flows_at(bench, 12, 0x101), off ? 1 : 0,
+		fixture_handle(fixture, &event);
+		assert_in_range(count_flows_to(fixture, 12, 0x101), off ? 1 : 0,
 				off ? 12 : 0);
-		talloc_free(bench);
+		talloc_free(fixture);
 	}
 }
 
@@ -221,22 +236,23 @@
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench = two_endpoints_of(bench_create_without(
-			0, off ? JT_MECHANISM_SHORT_ANSWERS : 0));
-		struct caller_flow bad, good;
+		struct fixture *fixture =
+			fixture_add_two_endpoints(fixture_create_without(
+				0, off ? JT_MECHANISM_SHORT_ANSWERS : 0));
+		struct client_flow bad, good;
 
-		flow_at_each(bench, &bad, &good);
+		open_flow_at_each(fixture, &bad, &good);
 		for (int i = 0; i < 20; i++) {
-			flow_request(bench, &bad, 20);
-			flow_request(bench, &good, 20);
+			flow_request(fixture, &bad, 20);
+			flow_request(fixture, &good, 20);
 		}
 		for (int i = 0; i < 20; i++) {
-			flow_request_of(bench, &bad, 20, 100);
-			flow_request(bench, &good, 20);
+			flow_request_sized(fixture, &bad, 20, 100);
+			flow_request(fixture, &good, 20);
 		}
-		assert_in_range(flows_at(bench, 12, 0x101), off ? 4 : 0,
+		assert_in_range(count_flows_to(fixture, 12, 0x101), off ? 4 : 0,
 				off ? 8 : 2);
-		talloc_free(bench);
+		talloc_free(fixture);
 	}
 }
 
@@ -244,74 +260,75 @@
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench =
-			two_without(JT_MECHANISM_REFUSE_FULL, off);
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_REFUSE_FULL, off);
 		unsigned placed = 0;
 
-		limit_connections(bench, 3);
+		limit_connections(fixture, 3);
 		for (uint32_t i = 0; i < 10; i++) {
-			struct caller_flow flow =
-				flow_new(bench, CALLER + i, BOARD_PORT);
+			struct client_flow flow =
+				flow_new(fixture, CLIENT_IP + i, BOARD_PORT);
 
-			placed += flow_syn(bench, &flow) != 0;
+			placed += flow_send_syn(fixture, &flow) != 0;
 		}
 		assert_int_equal(placed, off ? 10 : 6);
-		talloc_free(bench);
+		talloc_free(fixture);
 	}
 }
 
-static void test_parts_give_way(void **state)
+static void test_suspected_parts_are_avoided(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench =
-			two_without(JT_MECHANISM_PARTS_GIVE_WAY, off);
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_PARTS_GIVE_WAY, off);
 		unsigned at_suspected = 0;
-		struct caller_flow flow;
+		struct client_flow flow;
 
-		bench_endpoint(bench, 0x301, SERVICE_EXPORT, ZONE_A, 5);
+		fixture_add_endpoint(fixture, 0x301, SERVICE_EXPORT, ZONE_A, 5);
 		do {
-			flow = flow_new(bench, CALLER, SPLIT_PORT);
-		} while (flow_syn(bench, &flow) != 0x301);
-		bench->now_ms += 3;
+			flow = flow_new(fixture, CLIENT_IP, SPLIT_PORT);
+		} while (flow_send_syn(fixture, &flow) != 0x301);
+		fixture->now_ms += 3;
 		for (int i = 0; i < 4; i++) {
-			flow = flow_new(bench, CALLER, SPLIT_PORT);
-			flow_open(bench, &flow);
+			flow = flow_new(fixture, CLIENT_IP, SPLIT_PORT);
+			flow_open(fixture, &flow);
 			at_suspected += flow.endpoint_id == 0x301;
 		}
 		assert_in_range(at_suspected, off ? 1 : 0, off ? 4 : 0);
-		talloc_free(bench);
+		talloc_free(fixture);
 	}
 }
 
-static void test_outage_lapses(void **state)
+static void test_expiry_in_outage(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench =
-			two_without(JT_MECHANISM_OUTAGE_LAPSES, off);
+		struct fixture *fixture =
+			fixture_with_feature(JT_MECHANISM_OUTAGE_LAPSES, off);
 		struct jt_director_event tick = {.kind = JT_DIRECTOR_TICK};
-		struct caller_flow first, second;
+		struct client_flow first, second;
 
-		flow_at_each(bench, &first, &second);
+		open_flow_at_each(fixture, &first, &second);
 		tick.u.tick.nodes = 1;
 		tick.u.tick.store_age_ms = 9000;
-		bench_event(bench, &tick);
-		bench_gone(bench, 0x101, 8);
-		assert_in_range(flows_at(bench, 10, 0x101), off ? 0 : 4,
+		fixture_handle(fixture, &tick);
+		fixture_remove_entry(fixture, 0x101, 8);
+		assert_in_range(count_flows_to(fixture, 10, 0x101), off ? 0 : 4,
 				off ? 0 : 6);
-		talloc_free(bench);
+		talloc_free(fixture);
 	}
 }
 
-/* Membership */
+/* Membership. */
 
-static struct jt_membership *member_without(uint32_t without, uint64_t peers)
+static struct jt_membership *member_without(uint32_t disabled_features,
+					    uint64_t peers)
 {
 	struct jt_membership *membership = jt_membership_create(
 		NULL, 50, (struct jt_address){50, 7720}, ZONE_A);
 
-	membership->without = without;
+	membership->without = disabled_features;
 	for (uint64_t id = 1; id <= peers; id++) {
 		const struct jt_address address = {(uint32_t)id + 100, 7720};
 		const jt_wire_digest digest = {
@@ -328,7 +345,7 @@
 
 static void test_near_digests(void **state)
 {
-	unsigned near[2] = {0, 0};
+	unsigned nearby[2] = {0, 0};
 
 	(void)state;
 	for (int off = 0; off < 2; off++) {
@@ -340,18 +357,18 @@
 			size_t count = jt_membership_round(membership, targets);
 
 			for (size_t t = 0; t < count; t++)
-				near[off] += targets[t].ip % 5 == 0;
+				nearby[off] += targets[t].ip % 5 == 0;
 		}
 		talloc_free(membership);
 	}
-	assert_in_range(near[0], 150, 400);
-	assert_in_range(near[1], 20, 130);
+	assert_in_range(nearby[0], 150, 400);
+	assert_in_range(nearby[1], 20, 130);
 }
 
-static void test_readers(void **state)
+static void test_store_readers(void **state)
 {
 	const struct {
-		uint32_t without;
+		uint32_t disabled_features;
 		uint64_t peers;
 		uint32_t weight;
 		enum jt_reading_turn turn;
@@ -360,20 +377,20 @@
 		{JT_MECHANISM_FEW_READERS, 12, 500, JT_TURN_OF_ALL},
 		{0, 12, 1000, JT_TURN_OF_ZONE},
 		{JT_MECHANISM_ONE_WATCHER, 12, 1000, JT_TURN_OF_ALL},
-		/* Many nodes: each zone has its own. */
+		/* With many nodes each zone has its own reader. */
 		{0, 40, 500, JT_TURN_NONE},
 		{0, 40, 1000, JT_TURN_OF_ALL},
 	};
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		struct jt_membership *membership =
-			member_without(cases[i].without, cases[i].peers);
+		struct jt_membership *membership = member_without(
+			cases[i].disabled_features, cases[i].peers);
 		const struct jt_address stronger = {7, 7720};
 		const jt_wire_digest digest = {
 			.zone = ZONE_B, .started = true, .weight = 2000};
 
-		/* Of the own zone none goes before a node of weight 1000. */
+		/* No node of the own zone precedes a node of weight 1000. */
 		membership->id = 1;
 		jt_membership_digest(membership, 7, stronger, &digest, 1000);
 		assert_int_equal(
@@ -383,33 +400,34 @@
 	}
 }
 
-/* Callers open flows with a request each, all are answered after so long. */
-static void requests_at_once(struct bench *bench, uint64_t took_ms)
+/* Opens flows with a request each; all are answered after @took_ms. */
+static void run_request_batch(struct fixture *fixture, uint64_t took_ms)
 {
-	struct caller_flow flows[CALLERS];
+	struct client_flow flows[CLIENTS];
 
-	for (int i = 0; i < CALLERS; i++) {
-		flows[i] = flow_new(bench, CALLER, BOARD_PORT);
-		flow_open(bench, &flows[i]);
+	for (int i = 0; i < CLIENTS; i++) {
+		flows[i] = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+		flow_open(fixture, &flows[i]);
 	}
-	for (int i = 0; i < CALLERS; i++) {
-		flow_send(bench, &flows[i], JT_PACKET_ACK, 100);
+	for (int i = 0; i < CLIENTS; i++) {
+		flow_send(fixture, &flows[i], JT_PACKET_ACK, 100);
 		flows[i].sequence += 100;
 		flows[i].acknowledged += 600;
 	}
-	bench->now_ms += took_ms;
-	for (int i = 0; i < CALLERS; i++)
-		flow_send(bench, &flows[i], JT_PACKET_ACK, 0);
-	bench_tick(bench, 0);
+	fixture->now_ms += took_ms;
+	for (int i = 0; i < CLIENTS; i++)
+		flow_send(fixture, &flows[i], JT_PACKET_ACK, 0);
+	fixture_tick(fixture, 0);
 }
 
-/* A service whose routes differ in priority, with one slot and slow answers. */
-static void fill_service(struct bench *bench)
+/* Overloads a service whose routes differ in priority, with one slot and slow
+ * answers. */
+static void overload_service(struct fixture *fixture)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
-	struct jt_routing *routing = talloc_zero(bench, struct jt_routing);
+	struct jt_routing *routing = talloc_zero(fixture, struct jt_routing);
 	struct jt_endpoint_entry entry =
-		entry_of(0x101, SERVICE_BOARD, ZONE_A, 2);
+		make_entry(0x101, SERVICE_BOARD, ZONE_A, 2);
 
 	routing->version = 1;
 	routing->routes = talloc_zero_array(routing, struct jt_route, 2);
@@ -423,30 +441,30 @@
 			.target_ms = 200,
 		};
 	event.u.routing = routing;
-	bench_event(bench, &event);
+	fixture_handle(fixture, &event);
 	entry.capacity = 1;
-	bench_entry(bench, entry);
-	bench_listed(bench, 2);
-	bench_tick(bench, LEARNED_MS);
+	fixture_set_entry(fixture, entry);
+	fixture_end_listing(fixture, 2);
+	fixture_tick(fixture, INITIAL_SYNC_MS);
 	for (int round = 0; round < 7; round++)
-		requests_at_once(bench, round < 6 ? 10 : 150);
+		run_request_batch(fixture, round < 6 ? 10 : 150);
 }
 
 static void test_admission(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct bench *bench = bench_create_without(
+		struct fixture *fixture = fixture_create_without(
 			0, off ? JT_MECHANISM_ADMISSION : 0);
 		const struct jt_director_action *reset = NULL;
 
-		fill_service(bench);
+		overload_service(fixture);
 		for (uint32_t i = 0; i < 40 && reset == NULL; i++) {
-			struct caller_flow flow =
-				flow_new(bench, CALLER + i, BOARD_PORT + 1);
+			struct client_flow flow = flow_new(
+				fixture, CLIENT_IP + i, BOARD_PORT + 1);
 
-			flow_syn(bench, &flow);
-			reset = bench_find(bench, JT_DIRECTOR_RESET);
+			flow_send_syn(fixture, &flow);
+			reset = fixture_find_action(fixture, JT_DIRECTOR_RESET);
 		}
 		if (off) {
 			assert_null(reset);
@@ -457,7 +475,7 @@
 			assert_in_range(reset->room.delay_ms,
 					reset->room.allowed_ms, 150);
 		}
-		talloc_free(bench);
+		talloc_free(fixture);
 	}
 }
 
@@ -465,23 +483,23 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_zone_first),
-		cmocka_unit_test(test_peer_work),
-		cmocka_unit_test(test_slowness),
+		cmocka_unit_test(test_peer_load),
+		cmocka_unit_test(test_response_time_weighting),
 		cmocka_unit_test(test_fast_first),
-		cmocka_unit_test(test_zone_room),
-		cmocka_unit_test(test_cold),
-		cmocka_unit_test(test_newcomer_share),
-		cmocka_unit_test(test_doubt_opening),
-		cmocka_unit_test(test_doubt_resent),
+		cmocka_unit_test(test_zone_headroom),
+		cmocka_unit_test(test_slow_start),
+		cmocka_unit_test(test_new_endpoint_share),
+		cmocka_unit_test(test_probe_after_unanswered_syn),
+		cmocka_unit_test(test_probe_after_retransmission),
 		cmocka_unit_test(test_peer_suspicion),
 		cmocka_unit_test(test_outliers),
 		cmocka_unit_test(test_short_answers),
 		cmocka_unit_test(test_refuse_full),
 		cmocka_unit_test(test_admission),
-		cmocka_unit_test(test_parts_give_way),
-		cmocka_unit_test(test_outage_lapses),
+		cmocka_unit_test(test_suspected_parts_are_avoided),
+		cmocka_unit_test(test_expiry_in_outage),
 		cmocka_unit_test(test_near_digests),
-		cmocka_unit_test(test_readers),
+		cmocka_unit_test(test_store_readers),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
