--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -15,7 +15,7 @@
 enum {
 	MODEL_NODES = 8,
 	MODEL_ENDPOINTS = 12,
-	MODEL_SLOTS = 2, /* of an endpoint */
+	MODEL_SLOTS = 2, /* per endpoint */
 	MODEL_QUEUE = 8,
 	MODEL_SERVICE = 11,
 	MODEL_URGENT_PORT = 8080,
@@ -27,7 +27,7 @@
 	MODEL_GROUPS = 4,	  /* lower-priority routes */
 	MODEL_BYTES = 800,	  /* answer size */
 	MODEL_REJECT_BYTES = 120, /* answer of a full endpoint */
-	MODEL_ATTEMPTS = 3,	  /* of a client, each at a random node */
+	MODEL_ATTEMPTS = 3,	  /* per client */
 	MODEL_ENDPOINT_REQUESTS = MODEL_SLOTS + MODEL_QUEUE,
 };
 
@@ -43,14 +43,12 @@
 	bool removed;
 	unsigned slowdown;
 	struct model_request
-		queue[MODEL_ENDPOINT_REQUESTS]; /* in order of arrival; the
-						   first MODEL_SLOTS are
-						   processed */
+		queue[MODEL_ENDPOINT_REQUESTS]; /* in arrival order */
 	unsigned count;
 };
 
 /* Results of one kind of request. */
-struct model_tally {
+struct model_counters {
 	unsigned arrived;
 	unsigned in_target;
 	unsigned late;
@@ -66,17 +64,16 @@
 	struct model_endpoint endpoints[MODEL_ENDPOINTS];
 	struct jt_random random;
 	uint64_t now_ms;
-	double urgent_share; /* urgent requests as a fraction of the demand */
-	double heavy_share;  /* fraction of the lower-priority demand on the
-				first route */
-	double shares[MODEL_NODES]; /* fraction of the demand at each node */
+	double urgent_share; /* fraction of the demand */
+	double heavy_share;  /* lower-priority demand on the first route */
+	double shares[MODEL_NODES]; /* fraction of the demand */
 	double arrivals_due;	    /* clients that have yet to arrive */
-	unsigned attempts;	    /* of each client */
-	uint64_t
-		reject_latency_ms; /* until a client has received a rejection */
-	struct model_tally kinds[2];
-	struct model_tally per_node[MODEL_NODES]; /* by the first node tried */
-	struct model_tally groups[MODEL_GROUPS];
+	unsigned attempts;	    /* per client */
+	uint64_t reject_latency_ms; /* delay of a rejection */
+	struct model_counters kinds[2];
+	struct model_counters
+		per_node[MODEL_NODES]; /* by the first node tried */
+	struct model_counters groups[MODEL_GROUPS];
 	uint64_t busy_ms;	 /* processing time of all slots */
 	uint64_t slots_ms;	 /* available time of all slots */
 	unsigned limits_started; /* limits that became active */
@@ -185,7 +182,6 @@
 
 /* Runs one attempt of a client; returns true if the endpoint took the request.
  */
-
 static inline bool model_attempt(struct model *model, unsigned node,
 				 unsigned kind, unsigned group)
 {
@@ -258,16 +254,16 @@
 static inline void model_record_answer(struct model *model,
 				       const struct model_request *request)
 {
-	struct model_tally *tally = &model->kinds[request->kind];
+	struct model_counters *counters = &model->kinds[request->kind];
 
 	jt_admission_answered(model->nodes[request->node], MODEL_SERVICE,
 			      request->sent_ms, MODEL_BYTES, true,
 			      model->now_ms);
 	if (model->now_ms - request->sent_ms > MODEL_TARGET_MS) {
-		tally->late++;
+		counters->late++;
 		return;
 	}
-	tally->in_target++;
+	counters->in_target++;
 	model->groups[request->group].in_target += request->kind != 0;
 }
 
--- a/tests/choice_world.h
+++ b/tests/choice_world.h
@@ -54,11 +54,10 @@
 /* A kind of request, on its own route. */
 struct sim_kind {
 	double work_ms;
-	double requests_per_flow;      /* mean number of requests */
+	double requests_per_flow;      /* mean count */
 	double think_time_ms;	       /* mean time between two requests */
 	double weight;		       /* share of all requests */
-	double zone_demand[SIM_ZONES]; /* flow rate of each zone, 1: as
-					  configured */
+	double zone_demand[SIM_ZONES]; /* flow rate, 1: as configured */
 };
 
 struct sim {
--- a/tests/director_fixture.h
+++ b/tests/director_fixture.h
@@ -164,8 +164,9 @@
 	fixture_handle(fixture, &event);
 }
 
-static inline void fixture_probe_result(struct fixture *fixture, uint64_t id,
-					enum jt_probe_outcome outcome)
+static inline void fixture_deliver_probe_result(struct fixture *fixture,
+						uint64_t id,
+						enum jt_probe_outcome outcome)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PROBED};
 
@@ -174,8 +175,8 @@
 	fixture_handle(fixture, &event);
 }
 
-static inline void fixture_identify_result(struct fixture *fixture, uint64_t id,
-					   uint64_t found)
+static inline void fixture_deliver_identity(struct fixture *fixture,
+					    uint64_t id, uint64_t found)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_IDENTIFIED};
 
@@ -185,8 +186,8 @@
 }
 
 /* Delivers a peer's report that the endpoint is dead. */
-static inline void fixture_peer_death_report(struct fixture *fixture,
-					     uint64_t id)
+static inline void fixture_deliver_death_report(struct fixture *fixture,
+						uint64_t id)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_SUSPICION};
 
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -24,10 +24,10 @@
 }
 
 #define SUM_KINDS(model, field)                                                \
-	sum_kinds(model, offsetof(struct model_tally, field))
+	sum_kinds(model, offsetof(struct model_counters, field))
 
 /* Asserts that slots are utilised and accepted requests meet the target. */
-static void assert_well_used(const struct model *model)
+static void assert_efficient(const struct model *model)
 {
 	unsigned in_target = SUM_KINDS(model, in_target),
 		 late = SUM_KINDS(model, late);
@@ -61,7 +61,7 @@
 		model_run(model, demands[i], RUN_MS);
 		assert_true(served_share(model, 0) >=
 			    0.9 * achievable * (1 - floor_share));
-		assert_well_used(model);
+		assert_efficient(model);
 		/* The rest of the capacity, less the idle time of the slots. */
 		if (urgent < 1)
 			assert_true(served_share(model, 1) * demands[i] *
@@ -114,7 +114,7 @@
 	model_run(model, 2, SETTLED_MS);
 	model_reset_counters(model);
 	model_run(model, 4, 1000);
-	assert_well_used(model);
+	assert_efficient(model);
 	talloc_free(model);
 }
 
@@ -130,7 +130,7 @@
 	model_reset_counters(model);
 	model_run(model, 2, 2000);
 	assert_true(served_share(model, 0) >= 0.9);
-	assert_well_used(model);
+	assert_efficient(model);
 	talloc_free(model);
 }
 
@@ -156,7 +156,7 @@
 		highest = share > highest ? share : highest;
 	}
 	assert_true(highest - lowest <= 0.3);
-	assert_well_used(model);
+	assert_efficient(model);
 	talloc_free(model);
 }
 
@@ -172,7 +172,7 @@
 	model_reset_counters(model);
 	model_run(model, 2, RUN_MS);
 	assert_true(served_share(model, 0) >= 0.9);
-	assert_well_used(model);
+	assert_efficient(model);
 	talloc_free(model);
 }
 
@@ -188,7 +188,7 @@
 	model_reset_counters(model);
 	model_run(model, 0.8, RUN_MS);
 	assert_true(served_share(model, 0) >= 0.9);
-	assert_well_used(model);
+	assert_efficient(model);
 	talloc_free(model);
 }
 
@@ -284,7 +284,8 @@
 	for (int step = 0; step < 50; step++, model->now_ms += 100) {
 		for (int i = 0; i < 60; i++) {
 			bool first_request = i % 10 == 0;
-			uint64_t took_ms = first_request ? 25 : MODEL_TARGET_MS;
+			uint64_t latency_ms =
+				first_request ? 25 : MODEL_TARGET_MS;
 
 			assert_true(!first_request ||
 				    jt_admission_ask(admission, route,
@@ -293,7 +294,7 @@
 			jt_admission_requested(admission, MODEL_SERVICE,
 					       model->now_ms);
 			jt_admission_answered(admission, MODEL_SERVICE,
-					      model->now_ms - took_ms,
+					      model->now_ms - latency_ms,
 					      MODEL_BYTES, first_request,
 					      model->now_ms);
 		}
@@ -330,7 +331,7 @@
 	model_reset_counters(model);
 	model_run(model, 2, RUN_MS);
 	assert_true(served_share(model, 0) >= 0.9);
-	assert_well_used(model);
+	assert_efficient(model);
 	talloc_free(model);
 }
 
@@ -351,7 +352,7 @@
 					model->groups[i].arrived) >= 0.9);
 	assert_true(model_ratio(model->groups[0].in_target,
 				model->groups[0].arrived) >= 0.9 * 0.6 / 3.6);
-	assert_well_used(model);
+	assert_efficient(model);
 	talloc_free(model);
 }
 
@@ -374,7 +375,7 @@
 		highest = done > highest ? done : highest;
 	}
 	assert_true(model_ratio(lowest, highest) >= 0.7);
-	assert_well_used(model);
+	assert_efficient(model);
 	talloc_free(model);
 }
 
@@ -434,15 +435,15 @@
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
 	struct jt_knowledge_need need = {0};
 	struct jt_routing *routing;
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 
 	(void)state;
 	event.u.routing = model->routing;
 	fixture_handle(fixture, &event);
 	fixture_end_listing(fixture, 1);
 	assert_true(jt_knowledge_write(fixture, fixture->director, &need,
-				       fixture->now_ms, &knowledge));
-	routing = jt_knowledge_routing(fixture, &knowledge.routing);
+				       fixture->now_ms, &snapshot));
+	routing = jt_knowledge_routing(fixture, &snapshot.routing);
 	assert_int_equal(routing->routes[0].target_ms, MODEL_TARGET_MS);
 	assert_int_equal(routing->routes[0].priority, 1);
 	talloc_free(fixture);
--- a/tests/test_choice.c
+++ b/tests/test_choice.c
@@ -24,8 +24,9 @@
 	struct sim *sim = sim_create(load, SEED, disabled_features);
 
 	sim_run(sim, SIM_END_MS);
-	print_message("load %.1f, without %#x: mean %.1f ms, late %.2f%%, "
-		      "busiest over mean %.2f, to slow ones %.2f, far %.3f\n",
+	print_message("load %.1f, disabled %#x: mean %.1f ms, late %.2f%%, "
+		      "busiest over mean %.2f, slow share %.2f, "
+		      "cross-zone %.3f\n",
 		      load, disabled_features, sim_mean_ms(sim),
 		      100.0 * (double)sim->late / (double)sim->requests,
 		      sim_imbalance(sim), sim_slow_share(sim),
@@ -43,14 +44,14 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		struct sim *with = sim_run_scenario(cases[i].load, 0);
+		struct sim *weighted = sim_run_scenario(cases[i].load, 0);
 		struct sim *unweighted =
 			sim_run_scenario(cases[i].load, JT_MECHANISM_SLOWNESS);
 
-		assert_true(sim_mean_ms(with) <
+		assert_true(sim_mean_ms(weighted) <
 			    sim_mean_ms(unweighted) * cases[i].max_ratio);
-		assert_true(with->late <= unweighted->late);
-		sim_free(with);
+		assert_true(weighted->late <= unweighted->late);
+		sim_free(weighted);
 		sim_free(unweighted);
 	}
 }
@@ -59,15 +60,15 @@
  * latency. */
 static void test_fast_endpoints_are_preferred(void **state)
 {
-	struct sim *first = sim_run_scenario(0.3, 0);
+	struct sim *preferred = sim_run_scenario(0.3, 0);
 	struct sim *proportional =
 		sim_run_scenario(0.3, JT_MECHANISM_FAST_FIRST);
 
 	(void)state;
-	assert_true(sim_slow_share(first) <
+	assert_true(sim_slow_share(preferred) <
 		    sim_slow_share(proportional) - 0.03);
-	assert_true(sim_mean_ms(first) < sim_mean_ms(proportional) * 1.01);
-	sim_free(first);
+	assert_true(sim_mean_ms(preferred) < sim_mean_ms(proportional) * 1.01);
+	sim_free(preferred);
 	sim_free(proportional);
 }
 
@@ -75,15 +76,15 @@
  * over all. */
 static double mean_slowness(const struct sim *sim, uint32_t e)
 {
-	double sum = 0;
+	double total = 0;
 
 	for (size_t n = 0; n < SIM_NODES; n++) {
 		const struct jt_incarnation *in = jt_endpoint_table_by_id(
 			sim->nodes[n]->director->endpoints, e + 1);
 
-		sum += jt_speed_slowness(&in->speed, SIM_NODES, sim->now_ms);
+		total += jt_speed_slowness(&in->speed, SIM_NODES, sim->now_ms);
 	}
-	return sum / SIM_NODES;
+	return total / SIM_NODES;
 }
 
 /* Nodes that see few requests each still learn together which endpoints are
@@ -124,23 +125,23 @@
  * over @seconds seconds. */
 static double zone_imbalance(struct sim *sim, uint64_t seconds)
 {
-	double most = 0, sum = 0;
+	double peak = 0, total = 0;
 
 	for (uint64_t s = 0; s < seconds; s++) {
-		uint64_t busy[SIM_ZONES] = {0};
+		uint64_t zone_requests[SIM_ZONES] = {0};
 
 		for (size_t e = 0; e < SIM_ENDPOINTS; e++)
 			sim->endpoints[e].requests = 0;
 		sim_run(sim, sim->now_ms + 1000);
 		for (size_t e = 0; e < SIM_ENDPOINTS; e++)
-			busy[sim->endpoints[e].zone] +=
+			zone_requests[sim->endpoints[e].zone] +=
 				sim->endpoints[e].requests;
 		for (size_t z = 0; z < SIM_ZONES; z++) {
-			sum += (double)busy[z];
-			most = fmax(most, (double)busy[z]);
+			total += (double)zone_requests[z];
+			peak = fmax(peak, (double)zone_requests[z]);
 		}
 	}
-	return most * SIM_ZONES * (double)seconds / sum;
+	return peak * SIM_ZONES * (double)seconds / total;
 }
 
 /* An overloaded zone spills to the others, but not so much that these would
@@ -148,7 +149,7 @@
 static void test_zone_spill_does_not_oscillate(void **state)
 {
 	struct sim *sim = sim_create(0.5, SEED, 0);
-	double most;
+	double peak;
 
 	(void)state;
 	for (int k = 0; k < 2; k++) {
@@ -157,11 +158,11 @@
 		sim->kinds[k].zone_demand[2] = 0.4;
 	}
 	sim_run(sim, SIM_WARMUP_MS);
-	most = zone_imbalance(sim, 15);
+	peak = zone_imbalance(sim, 15);
 	print_message("uneven zones: busiest second of a zone over mean %.2f, "
-		      "mean %.1f ms, far %.3f\n",
-		      most, sim_mean_ms(sim), sim_cross_zone_share(sim));
-	assert_true(most < 1.6);
+		      "mean %.1f ms, cross-zone %.3f\n",
+		      peak, sim_mean_ms(sim), sim_cross_zone_share(sim));
+	assert_true(peak < 1.6);
 	assert_true(sim_cross_zone_share(sim) > 0.1);
 	assert_true(sim_cross_zone_share(sim) < 0.5);
 	sim_free(sim);
@@ -237,7 +238,7 @@
 static void test_speed_is_reset_at_restart(void **state)
 {
 	struct fixture *fixture = fixture_with_two_endpoints(0);
-	struct jt_endpoint_entry again =
+	struct jt_endpoint_entry restarted =
 		make_entry(0x101, SERVICE_BOARD, ZONE_A, 9);
 	struct jt_endpoint_load load = {
 		.label = jt_flow_label(0x101),
@@ -252,8 +253,8 @@
 	fixture_handle(fixture, &event);
 	assert_int_equal(
 		jt_director_slow_count(fixture->director, fixture->now_ms), 1);
-	again.born_ms = fixture->now_ms;
-	fixture_set_entry(fixture, again);
+	restarted.born_ms = fixture->now_ms;
+	fixture_set_entry(fixture, restarted);
 	assert_int_equal(
 		jt_director_slow_count(fixture->director, fixture->now_ms), 0);
 	talloc_free(fixture);
@@ -282,20 +283,20 @@
 static void test_optimal_load(void **state)
 {
 	const struct jt_fill_endpoint two[] = {{2, 0.5}, {2, 1.5}};
-	double before = 0, level, sum;
+	double previous_level = 0, level, total;
 
 	(void)state;
 	level = jt_fill_level(two, 2, 1);
 	assert_true(jt_fill_share(&two[1], level) < 0.05);
 	for (int tenths = 12; tenths < 50; tenths += 2) {
-		double busy = tenths / 10.0;
-
-		level = jt_fill_level(two, 2, busy);
-		sum = jt_fill_share(&two[0], level) +
-		      jt_fill_share(&two[1], level);
-		assert_true(fabs(sum - busy) < 0.02);
-		assert_true(level > before);
-		before = level;
+		double demand = tenths / 10.0;
+
+		level = jt_fill_level(two, 2, demand);
+		total = jt_fill_share(&two[0], level) +
+			jt_fill_share(&two[1], level);
+		assert_true(fabs(total - demand) < 0.02);
+		assert_true(level > previous_level);
+		previous_level = level;
 	}
 	assert_true(isinf(jt_fill_level(two, 2, 10)));
 	assert_true(jt_fill_share(&two[0], INFINITY) ==
@@ -306,25 +307,25 @@
  * never in both directions. */
 static void test_zone_spill(void **state)
 {
-	struct jt_target near = {.level = 2, .slots = 20},
-			 far = {.level = 1.8, .slots = 40};
+	struct jt_target local = {.level = 2, .slots = 20},
+			 remote = {.level = 1.8, .slots = 40};
 
 	(void)state;
-	assert_true(jt_zone_spill(&near, &far) == 0);
-	near.level = 5;
-	assert_true(jt_zone_spill(&near, &far) > 0);
-	assert_true(jt_zone_spill(&far, &near) == 0);
-	near.level = INFINITY;
-	assert_true(fabs(jt_zone_spill(&near, &far) - 2 / 3.0) < 1e-9);
-	far.level = INFINITY;
-	assert_true(jt_zone_spill(&near, &far) == 0);
+	assert_true(jt_zone_spill(&local, &remote) == 0);
+	local.level = 5;
+	assert_true(jt_zone_spill(&local, &remote) > 0);
+	assert_true(jt_zone_spill(&remote, &local) == 0);
+	local.level = INFINITY;
+	assert_true(fabs(jt_zone_spill(&local, &remote) - 2 / 3.0) < 1e-9);
+	remote.level = INFINITY;
+	assert_true(jt_zone_spill(&local, &remote) == 0);
 }
 
 /* While fast endpoints have headroom, a slow one's target is a small part of
  * its ordinary share. */
 static void test_slow_endpoint_gets_small_target(void **state)
 {
-	enum { COUNT = 4, SLOW = COUNT - 1, SLOW_TIMES = 6 };
+	enum { COUNT = 4, SLOW = COUNT - 1, SLOW_FACTOR = 6 };
 	struct jt_service_pool pool = {.serve_ms = 24};
 	struct jt_incarnation endpoints[COUNT] = {0};
 	struct jt_incarnation *known[COUNT];
@@ -339,13 +340,13 @@
 		jt_work_add(&endpoints[i].work, 10, 1000);
 		for (int k = 0; k < 24; k++)
 			jt_speed_answered(&endpoints[i].speed,
-					  i == SLOW ? log(SLOW_TIMES) : 0, 1,
+					  i == SLOW ? log(SLOW_FACTOR) : 0, 1,
 					  1000);
 	}
 	jt_target_aim(&target, known, SLOW, 1000);
 	assert_true(jt_target_part(&target, &endpoints[0], 1000) > 0.99);
 	assert_true(jt_target_part(&target, &endpoints[SLOW], 1000) <
-		    1.0 / SLOW_TIMES);
+		    1.0 / SLOW_FACTOR);
 	talloc_free(target.peer_loads);
 }
 
--- a/tests/test_detector.c
+++ b/tests/test_detector.c
@@ -23,7 +23,7 @@
 	send_and_retransmit(fixture, &dead);
 	fixture->now_ms += 200;
 	flow_request(fixture, &other, 200);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_SILENT);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_SILENT);
 	reset = fixture_find_action(fixture, JT_DIRECTOR_RESET) != NULL;
 	if (reset) {
 		assert_int_equal(endpoint_state(fixture, 0x101),
@@ -60,7 +60,7 @@
 	fixture->now_ms += 200;
 	/* The answer to a packet that was sent before the probe. */
 	flow_send(fixture, &other, JT_PACKET_ACK, 0);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_SILENT);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_SILENT);
 	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_READY);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
 	talloc_free(fixture);
@@ -74,7 +74,7 @@
 	(void)state;
 	open_flow_at_each(fixture, &dead, &other);
 	send_and_retransmit(fixture, &dead);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
 	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_RESET), 1);
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_VERDICT));
 	talloc_free(fixture);
@@ -100,7 +100,7 @@
 		/* Another flow of the endpoint gets an answer. */
 		flow_request(fixture, &third, 20);
 		flow_request(fixture, &other, 20);
-		fixture_probe_result(fixture, 0x101, JT_PROBE_SILENT);
+		fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_SILENT);
 		kept = fixture_find_action(fixture, JT_DIRECTOR_RESET) == NULL;
 	}
 	talloc_free(fixture);
@@ -123,7 +123,7 @@
 	open_flow_at_each(fixture, &flow, &other);
 	send_and_retransmit(fixture, &flow);
 	fixture->now_ms += 400;
-	fixture_probe_result(fixture, 0x101, JT_PROBE_SILENT);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_SILENT);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
 	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_READY);
 	/* The endpoint is probed again. */
@@ -149,7 +149,7 @@
 	fixture->now_ms += 200;
 	flow_send_syn(fixture, &flow);
 	flow_request(fixture, &other, 100);
-	fixture_probe_result(fixture, 0x101, outcome);
+	fixture_deliver_probe_result(fixture, 0x101, outcome);
 	kept = fixture_find_action(fixture, JT_DIRECTOR_RESET) == NULL;
 	if (kept) {
 		/* New flows avoid it for some time. */
@@ -175,19 +175,17 @@
 	open_flow_at_each(fixture, &flow, &other);
 	flow_request(fixture, &flow, 20);
 	send_and_retransmit(fixture, &flow);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
 	/* A second retransmission: not even the first was acknowledged. */
 	fixture->now_ms += 600;
 	flow_send(fixture, &flow, JT_PACKET_ACK, 100);
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
-	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
 	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_RESET), 1);
 	talloc_free(fixture);
 }
 
-/* A node that has just started does not know the endpoints' open connections.
- */
 /* Guards against declaring an endpoint dead for a flow whose opening it dropped
  * when it became full. */
 static void test_unopened_flow_does_not_confirm_death(void **state)
@@ -205,12 +203,14 @@
 	for (int i = 0; i < 6; i++) {
 		flow_send(fixture, &half_open, JT_PACKET_ACK, 100);
 		fixture->now_ms += 600;
-		fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+		fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
 		assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
 	}
 	talloc_free(fixture);
 }
 
+/* A node that has just started does not know the endpoints' open connections.
+ */
 static void test_starting_node_does_not_declare_death_early(void **state)
 {
 	struct fixture *fixture = fixture_create(0);
@@ -224,7 +224,7 @@
 	flow_open(fixture, &flow);
 	fixture->now_ms += 10;
 	send_and_retransmit(fixture, &flow);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
 	talloc_free(fixture);
 }
@@ -259,7 +259,7 @@
 		assert_int_equal(
 			fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 1);
 		flow_request(fixture, &other, 250);
-		fixture_probe_result(fixture, 0x101, outcomes[i]);
+		fixture_deliver_probe_result(fixture, 0x101, outcomes[i]);
 		assert_int_equal(endpoint_state(fixture, 0x101),
 				 JT_INCARNATION_LAPSED);
 		assert_int_equal(
@@ -269,7 +269,7 @@
 		assert_int_equal(
 			fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 1);
 		flow_request(fixture, &other, 250);
-		fixture_probe_result(fixture, 0x101, outcomes[i]);
+		fixture_deliver_probe_result(fixture, 0x101, outcomes[i]);
 		assert_int_equal(endpoint_state(fixture, 0x101),
 				 JT_INCARNATION_DEAD);
 		assert_int_equal(
@@ -287,7 +287,7 @@
 	open_flow_at_each(fixture, &flow, &other);
 	send_and_retransmit(fixture, &flow);
 	flow_request(fixture, &other, 100);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_VOID);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_VOID);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
 	talloc_free(fixture);
 }
@@ -301,7 +301,7 @@
 	(void)state;
 	open_flow_at_each(fixture, &flow, &other);
 	send_and_retransmit(fixture, &flow);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_VOID);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_VOID);
 	assert_int_equal(jt_director_counters(fixture->director)->probes_void,
 			 1);
 	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 0);
@@ -332,7 +332,7 @@
 	assert_int_equal(
 		fixture_find_action(fixture, JT_DIRECTOR_PROBE)->endpoint_id,
 		refuses);
-	fixture_probe_result(fixture, refuses, JT_PROBE_REFUSED);
+	fixture_deliver_probe_result(fixture, refuses, JT_PROBE_REFUSED);
 	assert_int_equal(endpoint_state(fixture, refuses), JT_INCARNATION_DEAD);
 	talloc_free(fixture);
 }
@@ -378,13 +378,13 @@
 	(void)state;
 	open_flow_at_each(fixture, &dead, &other);
 	send_and_retransmit(fixture, &dead);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
 	fixture_tick(fixture, 1500);
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
-	fixture_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_REVIVED));
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_IDENTIFY));
-	fixture_identify_result(fixture, 0x101, 0x101);
+	fixture_deliver_identity(fixture, 0x101, 0x101);
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_REVIVED));
 	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_READY);
 	talloc_free(fixture);
@@ -399,10 +399,10 @@
 	(void)state;
 	open_flow_at_each(fixture, &dead, &other);
 	send_and_retransmit(fixture, &dead);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
 	fixture_tick(fixture, 1500);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
-	fixture_identify_result(fixture, 0x101, 0x999);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
+	fixture_deliver_identity(fixture, 0x101, 0x999);
 	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_DEAD);
 	fixture_tick(fixture, 5000);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
@@ -417,13 +417,13 @@
 	(void)state;
 	open_flow_at_each(fixture, &dead, &other);
 	send_and_retransmit(fixture, &dead);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_IDENTIFY));
 	fixture->now_ms += 600;
 	flow_send(fixture, &dead, JT_PACKET_ACK, 100);
-	fixture_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_CONNECTED);
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_IDENTIFY));
-	fixture_identify_result(fixture, 0x101, 0x999);
+	fixture_deliver_identity(fixture, 0x101, 0x999);
 	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_RESET), 1);
 	talloc_free(fixture);
 }
@@ -435,7 +435,7 @@
 	struct fixture *fixture = fixture_with_two_endpoints(0);
 
 	(void)state;
-	fixture_peer_death_report(fixture, 0x101);
+	fixture_deliver_death_report(fixture, 0x101);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
 	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_READY);
 	assert_int_equal(count_flows_to(fixture, 20, 0x101), 0);
@@ -453,11 +453,11 @@
 
 	(void)state;
 	flow.label = jt_flow_label(0x101);
-	fixture_peer_death_report(fixture, 0x101);
+	fixture_deliver_death_report(fixture, 0x101);
 	flow_send(fixture, &flow, JT_PACKET_ACK, 100);
 	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 1);
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_FORWARD));
-	fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
 	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_DEAD);
 	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_RESET), 1);
 	talloc_free(fixture);
@@ -471,7 +471,7 @@
 
 	(void)state;
 	open_flow_at_each(fixture, &first, &second);
-	fixture_peer_death_report(fixture, 0x101);
+	fixture_deliver_death_report(fixture, 0x101);
 	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 1);
 	flow_request(fixture, &first, 20);
 	assert_in_range(count_flows_to(fixture, 20, 0x101), 5, 20);
@@ -489,10 +489,10 @@
 
 		open_flow_at_each(fixture, &dead, &other);
 		if (known_to_peers)
-			fixture_peer_death_report(fixture, 0x101);
+			fixture_deliver_death_report(fixture, 0x101);
 		else
 			send_and_retransmit(fixture, &dead);
-		fixture_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
+		fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
 		verdict = fixture_find_action(fixture, JT_DIRECTOR_VERDICT);
 		assert_non_null(verdict);
 		assert_int_equal(verdict->peers_know, known_to_peers);
--- a/tests/test_director.c
+++ b/tests/test_director.c
@@ -71,7 +71,7 @@
 
 /* Returns true if retransmitted first packets reach the endpoint of the
  * original. */
-static bool copies_reach_same_endpoint(unsigned injected_fault)
+static bool retransmissions_reach_same_endpoint(unsigned injected_fault)
 {
 	struct fixture *fixture = fixture_with_two_endpoints(injected_fault);
 	bool same = true;
@@ -92,9 +92,9 @@
 static void test_retransmitted_syn_goes_to_same_endpoint(void **state)
 {
 	(void)state;
-	assert_true(copies_reach_same_endpoint(0));
-	assert_false(
-		copies_reach_same_endpoint(JT_DIRECTOR_BREAK_PLACE_COPIES));
+	assert_true(retransmissions_reach_same_endpoint(0));
+	assert_false(retransmissions_reach_same_endpoint(
+		JT_DIRECTOR_BREAK_PLACE_COPIES));
 }
 
 /* Guards against placing a late duplicate of the first packet anew when the
@@ -189,13 +189,13 @@
 	struct fixture *fixture = fixture_with_two_endpoints(injected_fault);
 	struct jt_endpoint_entry entry =
 		make_entry(0x101, SERVICE_BOARD, ZONE_A, 4);
-	struct client_flow old = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+	struct client_flow open_flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 	bool none = true;
 
 	do {
-		old = flow_new(fixture, CLIENT_IP, BOARD_PORT);
-		flow_open(fixture, &old);
-	} while (old.endpoint_id != 0x101);
+		open_flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
+		flow_open(fixture, &open_flow);
+	} while (open_flow.endpoint_id != 0x101);
 	entry.draining = true;
 	fixture_set_entry(fixture, entry);
 	for (int i = 0; i < 20; i++) {
@@ -205,7 +205,7 @@
 		none = none && flow_send_syn(fixture, &flow) == 0x102;
 	}
 	/* Its open flows are still forwarded. */
-	assert_non_null(flow_send(fixture, &old, JT_PACKET_ACK, 10));
+	assert_non_null(flow_send(fixture, &open_flow, JT_PACKET_ACK, 10));
 	talloc_free(fixture);
 	return none;
 }
@@ -328,7 +328,7 @@
 test_reset_of_an_unanswered_flow_is_outside_open_windows(void **state)
 {
 	enum { RESETS = 100, WINDOW = 76800 };
-	unsigned near = 0;
+	unsigned in_window = 0;
 
 	(void)state;
 	for (int i = 0; i < RESETS; i++) {
@@ -351,11 +351,11 @@
 		fixture_set_entry(fixture, entry);
 		reset = fixture_find_action(fixture, JT_DIRECTOR_RESET);
 		assert_non_null(reset);
-		near += reset->reset_sequence < WINDOW ||
-			reset->reset_sequence > UINT32_MAX - WINDOW;
+		in_window += reset->reset_sequence < WINDOW ||
+			     reset->reset_sequence > UINT32_MAX - WINDOW;
 		talloc_free(fixture);
 	}
-	assert_int_equal(near, 0);
+	assert_int_equal(in_window, 0);
 }
 
 static void test_reused_address_ends_the_previous_endpoint(void **state)
@@ -383,7 +383,7 @@
 		       *fixture = fixture_with_two_endpoints(0);
 	struct jt_endpoint_entry entry =
 		make_entry(0x201, SERVICE_EXPORT, ZONE_A, 9);
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 
 	(void)state;
 	entry.address = make_entry(0x101, 0, 0, 0).address;
@@ -391,16 +391,16 @@
 	fixture_remove_entry(fixture, 0x101, 12);
 	assert_true(jt_knowledge_write(fixture, fixture->director,
 				       &(struct jt_knowledge_need){0},
-				       fixture->now_ms, &knowledge));
+				       fixture->now_ms, &snapshot));
 	for (int pass = 0; pass < 2; pass++) {
-		for (u_int i = 0; i < knowledge.entries.entries_len; i++) {
+		for (u_int i = 0; i < snapshot.entries.entries_len; i++) {
 			u_int at = pass == 0 ? i
-					     : knowledge.entries.entries_len -
+					     : snapshot.entries.entries_len -
 						       1 - i;
 			struct jt_director_event event;
 
 			if (jt_knowledge_entry(
-				    &knowledge.entries.entries_val[at], &event))
+				    &snapshot.entries.entries_val[at], &event))
 				fixture_handle(receiver, &event);
 		}
 	}
@@ -414,36 +414,36 @@
 /* Returns how many entries a snapshot for a node that knows all up to @since
  * holds. */
 static u_int snapshot_entries_since(struct fixture *fixture, uint64_t since,
-				    jt_wire_knowledge *knowledge)
+				    jt_wire_knowledge *snapshot)
 {
 	assert_true(
 		jt_knowledge_write(fixture, fixture->director,
 				   &(struct jt_knowledge_need){.since = since},
-				   fixture->now_ms, knowledge));
-	return knowledge->entries.entries_len;
+				   fixture->now_ms, snapshot));
+	return snapshot->entries.entries_len;
 }
 
 static void test_snapshot_holds_changes_since_revision(void **state)
 {
 	struct fixture *fixture = fixture_with_two_endpoints(0);
 	uint64_t version = jt_director_routing(fixture->director)->version;
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 
 	(void)state;
 	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 20);
 	fixture_remove_entry(fixture, 0x102, 30);
-	assert_int_equal(snapshot_entries_since(fixture, 0, &knowledge), 2);
-	assert_int_equal(snapshot_entries_since(fixture, 20, &knowledge), 1);
-	assert_int_equal(knowledge.since, 20);
-	assert_int_equal(knowledge.entries.entries_val[0].gone_revision, 30);
-	assert_int_equal(snapshot_entries_since(fixture, 30, &knowledge), 0);
+	assert_int_equal(snapshot_entries_since(fixture, 0, &snapshot), 2);
+	assert_int_equal(snapshot_entries_since(fixture, 20, &snapshot), 1);
+	assert_int_equal(snapshot.since, 20);
+	assert_int_equal(snapshot.entries.entries_val[0].gone_revision, 30);
+	assert_int_equal(snapshot_entries_since(fixture, 30, &snapshot), 0);
 	/* The routing is sent only to a node that lacks its version. */
-	assert_int_equal(knowledge.routing.number, version);
+	assert_int_equal(snapshot.routing.number, version);
 	assert_true(jt_knowledge_write(
 		fixture, fixture->director,
 		&(struct jt_knowledge_need){.since = 30, .version = version},
-		fixture->now_ms, &knowledge));
-	assert_int_equal(knowledge.routing.number, 0);
+		fixture->now_ms, &snapshot));
+	assert_int_equal(snapshot.routing.number, 0);
 	talloc_free(fixture);
 }
 
@@ -481,16 +481,16 @@
 {
 	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_director_event tick = {.kind = JT_DIRECTOR_TICK};
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 
 	(void)state;
 	fixture_remove_entry(fixture, 0x102, 30);
 	fixture->now_ms += 2 * 3600 * 1000;
 	fixture_handle(fixture, &tick);
-	assert_int_equal(snapshot_entries_since(fixture, 20, &knowledge), 1);
-	assert_int_equal(knowledge.since, 0);
-	assert_int_equal(snapshot_entries_since(fixture, 30, &knowledge), 0);
-	assert_int_equal(knowledge.since, 30);
+	assert_int_equal(snapshot_entries_since(fixture, 20, &snapshot), 1);
+	assert_int_equal(snapshot.since, 0);
+	assert_int_equal(snapshot_entries_since(fixture, 30, &snapshot), 0);
+	assert_int_equal(snapshot.since, 30);
 	talloc_free(fixture);
 }
 
--- a/tests/test_endpoint_health.c
+++ b/tests/test_endpoint_health.c
@@ -39,8 +39,7 @@
 	int node_count;
 	int endpoint_count;
 	uint32_t failing_permille[ENDPOINTS_MAX];
-	uint32_t short_permille; /* short successful answers, at every endpoint
-				  */
+	uint32_t short_permille; /* short good answers */
 	enum failure_mode failure_mode;
 	bool no_gossip; /* nodes exchange no messages */
 	unsigned rate;	/* requests per second */
--- a/tests/test_flow_lookup.c
+++ b/tests/test_flow_lookup.c
@@ -66,7 +66,7 @@
 	return forward != NULL ? forward->endpoint_id : 0;
 }
 
-static void receive_lookup_answer(struct fixture *fixture,
+static void deliver_lookup_answer(struct fixture *fixture,
 				  const struct client_flow *flow,
 				  uint32_t label)
 {
@@ -112,11 +112,11 @@
 		assert_int_equal(label, jt_flow_label(endpoint));
 		/* Other peers answer before and after, without knowing the
 		 * flow. */
-		receive_lookup_answer(nodes[1], &flow, 0);
+		deliver_lookup_answer(nodes[1], &flow, 0);
 		assert_int_equal(send_held_syn(nodes[1], &flow), 0);
-		receive_lookup_answer(nodes[1], &flow, label);
+		deliver_lookup_answer(nodes[1], &flow, label);
 		assert_int_equal(send_held_syn(nodes[1], &flow), endpoint);
-		receive_lookup_answer(nodes[1], &flow, 0);
+		deliver_lookup_answer(nodes[1], &flow, 0);
 		assert_int_equal(send_held_syn(nodes[1], &flow), endpoint);
 	}
 	nodes_free(nodes);
@@ -150,7 +150,7 @@
 	lookup_sent(nodes[1], &flow, PEERS);
 	for (int i = 0; i < PEERS; i++) {
 		assert_int_equal(send_held_syn(nodes[1], &flow), 0);
-		receive_lookup_answer(nodes[1], &flow, 0);
+		deliver_lookup_answer(nodes[1], &flow, 0);
 	}
 	assert_int_not_equal(send_held_syn(nodes[1], &flow), 0);
 	nodes_free(nodes);
@@ -216,12 +216,12 @@
 	flow = flow_new(nodes[1], CLIENT_IP, BOARD_PORT);
 	assert_false(send_retransmitted_syn(nodes[1], &flow));
 	lookup_sent(nodes[1], &flow, 1);
-	receive_lookup_answer(nodes[1], &flow, jt_flow_label(0x999));
+	deliver_lookup_answer(nodes[1], &flow, jt_flow_label(0x999));
 	assert_int_not_equal(send_held_syn(nodes[1], &flow), 0);
 	/* Answers without a pending lookup are ignored. */
-	receive_lookup_answer(nodes[1], &flow, jt_flow_label(0x101));
+	deliver_lookup_answer(nodes[1], &flow, jt_flow_label(0x101));
 	flow.key.source_port++;
-	receive_lookup_answer(nodes[1], &flow, jt_flow_label(0x101));
+	deliver_lookup_answer(nodes[1], &flow, jt_flow_label(0x101));
 	assert_int_equal(jt_director_flow_count(nodes[1]->director), 1);
 	nodes_free(nodes);
 }
@@ -245,13 +245,13 @@
 /* Retransmissions of thousands of flows cause a bounded number of messages. */
 static void test_lookup_messages_are_bounded(void **state)
 {
-	enum { COPIES = 5000, MESSAGES_MAX = 600 };
+	enum { RETRANSMISSIONS = 5000, MESSAGES_MAX = 600 };
 	struct fixture *nodes[2];
 	unsigned messages = 0, placed = 0;
 
 	(void)state;
 	create_two_nodes(nodes, 0);
-	for (int i = 0; i < COPIES; i++) {
+	for (int i = 0; i < RETRANSMISSIONS; i++) {
 		struct client_flow flow =
 			flow_new(nodes[1], CLIENT_IP + (uint32_t)i, BOARD_PORT);
 
@@ -264,7 +264,7 @@
 		messages += PEERS;
 	}
 	assert_in_range(messages, PEERS, MESSAGES_MAX);
-	assert_int_equal(placed, COPIES - messages / PEERS);
+	assert_int_equal(placed, RETRANSMISSIONS - messages / PEERS);
 	nodes_free(nodes);
 }
 
--- a/tests/test_flow_rate.c
+++ b/tests/test_flow_rate.c
@@ -258,7 +258,7 @@
 	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_endpoint_entry cold =
 		make_entry(0x103, SERVICE_BOARD, ZONE_A, 20);
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 
 	(void)state;
 	cold.cold_left_ms = 2000;
@@ -266,14 +266,14 @@
 	assert_true(jt_knowledge_write(
 		fixture, fixture->director,
 		&(struct jt_knowledge_need){.since = 19, .version = 1},
-		fixture->now_ms + 1500, &knowledge));
-	assert_int_equal(knowledge.entries.entries_len, 1);
-	assert_int_equal(knowledge.entries.entries_val[0].cold_left_ms, 500);
+		fixture->now_ms + 1500, &snapshot));
+	assert_int_equal(snapshot.entries.entries_len, 1);
+	assert_int_equal(snapshot.entries.entries_val[0].cold_left_ms, 500);
 	assert_true(jt_knowledge_write(
 		fixture, fixture->director,
 		&(struct jt_knowledge_need){.since = 19, .version = 1},
-		fixture->now_ms + 2500, &knowledge));
-	assert_int_equal(knowledge.entries.entries_val[0].cold_left_ms, 0);
+		fixture->now_ms + 2500, &snapshot));
+	assert_int_equal(snapshot.entries.entries_val[0].cold_left_ms, 0);
 	talloc_free(fixture);
 }
 
--- a/tests/test_incarnations.c
+++ b/tests/test_incarnations.c
@@ -682,19 +682,19 @@
 	struct fixture *fixture = fixture_with_started_endpoints(),
 		       *peer = fixture_create(0);
 	const struct jt_knowledge_need need = {0};
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 	struct jt_director_event event;
 
 	(void)state;
 	restart(fixture, 10);
 	mark_unreadable(fixture, OTHER, 11);
 	assert_true(jt_knowledge_write(fixture, fixture->director, &need,
-				       fixture->now_ms, &knowledge));
-	assert_int_equal(knowledge.entries.entries_len, 2);
+				       fixture->now_ms, &snapshot));
+	assert_int_equal(snapshot.entries.entries_len, 2);
 	fixture_set_routing(peer, 1, 50, 50);
-	for (u_int i = 0; i < knowledge.entries.entries_len; i++) {
-		assert_true(jt_knowledge_entry(
-			&knowledge.entries.entries_val[i], &event));
+	for (u_int i = 0; i < snapshot.entries.entries_len; i++) {
+		assert_true(jt_knowledge_entry(&snapshot.entries.entries_val[i],
+					       &event));
 		fixture_handle(peer, &event);
 	}
 	assert_int_equal(incarnation_of(peer, RESTARTED)->entry.born_ms,
--- a/tests/test_learning.c
+++ b/tests/test_learning.c
@@ -5,12 +5,12 @@
 
 enum {
 	HELD_MAX_MS = 2500,
-	ATTEMPT_MS = 1400, /* of a client to open a flow */
+	ATTEMPT_MS = 1400, /* a client's time to open a flow */
 	FLOWS = 40,
 };
 
-static void fixture_receive_snapshot(struct fixture *fixture, uint64_t revision,
-				     uint32_t learning_ms)
+static void fixture_end_snapshot(struct fixture *fixture, uint64_t revision,
+				 uint32_t learning_ms)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_INFORMED};
 
@@ -109,7 +109,7 @@
 
 	(void)state;
 	fixture_set_routing(fixture, 1, 50, 50);
-	fixture_receive_snapshot(fixture, 2, 0);
+	fixture_end_snapshot(fixture, 2, 0);
 	assert_int_equal(flow_send_syn(fixture, &flow), 0);
 	assert_true(action_has_reason(fixture, JT_DIRECTOR_RESET,
 				      JT_DIRECTOR_NO_ENDPOINT));
@@ -120,25 +120,25 @@
 {
 	struct fixture *from = fixture_with_one_endpoint(0),
 		       *to = fixture_create(0);
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 
 	(void)state;
 	from->now_ms += 500;
 	assert_true(jt_knowledge_write(from, from->director,
 				       &(struct jt_knowledge_need){0},
-				       from->now_ms, &knowledge));
-	assert_int_equal(knowledge.learning_ms, INITIAL_SYNC_MS - 500);
+				       from->now_ms, &snapshot));
+	assert_int_equal(snapshot.learning_ms, INITIAL_SYNC_MS - 500);
 	fixture_set_routing(to, 1, 50, 50);
-	fixture_receive_snapshot(to, 2, knowledge.learning_ms);
+	fixture_end_snapshot(to, 2, snapshot.learning_ms);
 	assert_int_equal(jt_director_learning_ms(to->director, to->now_ms),
 			 INITIAL_SYNC_MS - 500);
 	/* Later snapshots do not extend it; one of a synchronised peer ends it.
 	 */
 	to->now_ms += 100;
-	fixture_receive_snapshot(to, 3, INITIAL_SYNC_MS);
+	fixture_end_snapshot(to, 3, INITIAL_SYNC_MS);
 	assert_int_equal(jt_director_learning_ms(to->director, to->now_ms),
 			 INITIAL_SYNC_MS - 600);
-	fixture_receive_snapshot(to, 4, 0);
+	fixture_end_snapshot(to, 4, 0);
 	assert_int_equal(jt_director_learning_ms(to->director, to->now_ms), 0);
 	talloc_free(from);
 	talloc_free(to);
@@ -227,9 +227,9 @@
 	talloc_free(fixture);
 }
 
-/* Delivers the end of a partial snapshot: some endpoints and all zone drains.
- */
-static void fixture_receive_partial_snapshot(struct fixture *fixture)
+/* Delivers the end of a partial snapshot, which holds some endpoints and all
+ * zone drains. */
+static void fixture_end_partial_snapshot(struct fixture *fixture)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PARTLY_TOLD};
 
@@ -257,7 +257,7 @@
 	assert_int_equal(flow_send_syn(fixture, &first), 0);
 	assert_true(action_has_reason(fixture, JT_DIRECTOR_HOLD,
 				      JT_DIRECTOR_NOT_STARTED));
-	fixture_receive_partial_snapshot(fixture);
+	fixture_end_partial_snapshot(fixture);
 	assert_int_equal(flow_send_syn(fixture, &first), 0x101);
 	/* It has not started: it sends no complete snapshots yet. */
 	assert_false(jt_director_started(fixture->director));
@@ -278,7 +278,7 @@
 	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
-	fixture_receive_partial_snapshot(fixture);
+	fixture_end_partial_snapshot(fixture);
 	assert_int_equal(flow_send_syn(fixture, &flow), 0);
 	fixture_end_listing(fixture, 2);
 	assert_int_equal(flow_send_syn(fixture, &flow), 0x101);
@@ -294,7 +294,7 @@
 	(void)state;
 	fixture_set_routing(fixture, 1, 50, 50);
 	fixture_add_endpoint(fixture, 0x201, SERVICE_EXPORT, ZONE_A, 2);
-	fixture_receive_partial_snapshot(fixture);
+	fixture_end_partial_snapshot(fixture);
 	assert_int_equal(flow_send_syn(fixture, &flow), 0);
 	assert_true(action_has_reason(fixture, JT_DIRECTOR_HOLD,
 				      JT_DIRECTOR_LEARNING));
--- a/tests/test_many_endpoints.c
+++ b/tests/test_many_endpoints.c
@@ -54,7 +54,7 @@
 	struct jt_knowledge_fetch fetch = {0};
 	const struct jt_own_state own = {0};
 	struct jt_director_event event;
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 	bool complete = false;
 	u_int most = 0;
 
@@ -65,15 +65,15 @@
 			jt_knowledge_fetch_need(&fetch, &own);
 
 		assert_true(jt_knowledge_write(to, from->director, &need,
-					       from->now_ms, &knowledge));
-		for (u_int i = 0; i < knowledge.entries.entries_len; i++) {
+					       from->now_ms, &snapshot));
+		for (u_int i = 0; i < snapshot.entries.entries_len; i++) {
 			assert_true(jt_knowledge_entry(
-				&knowledge.entries.entries_val[i], &event));
+				&snapshot.entries.entries_val[i], &event));
 			fixture_handle(to, &event);
 		}
-		if (knowledge.entries.entries_len > most)
-			most = knowledge.entries.entries_len;
-		complete = jt_knowledge_fetch_took(&fetch, &knowledge,
+		if (snapshot.entries.entries_len > most)
+			most = snapshot.entries.entries_len;
+		complete = jt_knowledge_fetch_took(&fetch, &snapshot,
 						   from->now_ms);
 	}
 	assert_in_range(most, 1, ENDPOINTS / 20);
@@ -94,28 +94,28 @@
 	const struct jt_own_state own = {0};
 	const struct jt_knowledge_need need =
 		jt_knowledge_fetch_need(&fetch, &own);
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 
 	(void)state;
 	fixture_set_routing(from, 1, 50, 50);
 	for (uint32_t i = 0; i < 2000; i++)
 		fixture_set_entry(from, make_numbered_entry(i));
 	assert_true(jt_knowledge_write(from, from->director, &need,
-				       from->now_ms, &knowledge));
-	assert_in_range(knowledge.entries.entries_len, 1, 600);
-	assert_int_equal(knowledge.routing.number, 1);
-	assert_false(jt_knowledge_fetch_took(&fetch, &knowledge, from->now_ms));
+				       from->now_ms, &snapshot));
+	assert_in_range(snapshot.entries.entries_len, 1, 600);
+	assert_int_equal(snapshot.routing.number, 1);
+	assert_false(jt_knowledge_fetch_took(&fetch, &snapshot, from->now_ms));
 	assert_int_equal(jt_knowledge_fetch_need(&fetch, &own).slice, 0);
 	talloc_free(from);
 }
 
 /* Of few endpoints it sends at least a third each time. */
-static void test_starting_node_sends_most_of_few_endpoints(void **state)
+static void test_starting_node_sends_a_third_of_few_endpoints(void **state)
 {
 	enum { FEW = 200 };
 	struct fixture *from = fixture_create(0);
 	const struct jt_knowledge_need need = {0};
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 	u_int least = FEW;
 
 	(void)state;
@@ -124,9 +124,9 @@
 		fixture_set_entry(from, make_numbered_entry(i));
 	for (uint64_t ms = 0; ms < 2 * JT_DIRECTOR_SLICES; ms++) {
 		assert_true(jt_knowledge_write(from, from->director, &need,
-					       from->now_ms + ms, &knowledge));
-		if (knowledge.entries.entries_len < least)
-			least = knowledge.entries.entries_len;
+					       from->now_ms + ms, &snapshot));
+		if (snapshot.entries.entries_len < least)
+			least = snapshot.entries.entries_len;
 	}
 	assert_in_range(least, FEW / 3, FEW);
 	talloc_free(from);
@@ -192,13 +192,13 @@
 	fixture_tick(fixture, 100);
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
 	assert_non_null(table->watched);
-	fixture_probe_result(fixture, FIRST_ID, JT_PROBE_SILENT);
+	fixture_deliver_probe_result(fixture, FIRST_ID, JT_PROBE_SILENT);
 	fixture_tick(fixture, 100);
 	assert_non_null(table->watched);
 	/* The next probe is sent after a pause. */
 	fixture_tick(fixture, 1000);
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
-	fixture_probe_result(fixture, FIRST_ID, JT_PROBE_CONNECTED);
+	fixture_deliver_probe_result(fixture, FIRST_ID, JT_PROBE_CONNECTED);
 	fixture_tick(fixture, 100);
 	assert_null(table->watched);
 	talloc_free(fixture);
@@ -359,10 +359,12 @@
 
 	(void)state;
 	for (uint32_t i = 0; i < 100; i++) {
-		const struct jt_endpoint_entry one = make_numbered_entry(i);
+		const struct jt_endpoint_entry numbered =
+			make_numbered_entry(i);
 
-		jt_endpoint_table_take(table, &one, false, 1, &in);
-		assert_ptr_equal(jt_endpoint_table_at(table, one.address), in);
+		jt_endpoint_table_take(table, &numbered, false, 1, &in);
+		assert_ptr_equal(jt_endpoint_table_at(table, numbered.address),
+				 in);
 		assert_null(in->address_next);
 	}
 	/* Two other endpoints get the seventh one's address, one after the
@@ -400,7 +402,7 @@
 		cmocka_unit_test(test_all_endpoints_get_flows),
 		cmocka_unit_test(test_starting_node_sends_some_endpoints),
 		cmocka_unit_test(
-			test_starting_node_sends_most_of_few_endpoints),
+			test_starting_node_sends_a_third_of_few_endpoints),
 		cmocka_unit_test(test_address_lookup),
 		cmocka_unit_test(test_older_endpoint_owns_the_label),
 		cmocka_unit_test(test_entry_added_again_keeps_its_label),
--- a/tests/test_mechanisms.c
+++ b/tests/test_mechanisms.c
@@ -207,7 +207,7 @@
 		struct client_flow first, second;
 
 		open_flow_at_each(fixture, &first, &second);
-		fixture_peer_death_report(fixture, 0x101);
+		fixture_deliver_death_report(fixture, 0x101);
 		assert_int_equal(
 			fixture_count_actions(fixture, JT_DIRECTOR_PROBE),
 			!off);
@@ -320,7 +320,7 @@
 	}
 }
 
-/* Membership. */
+/* Tests of membership features. */
 
 static struct jt_membership *member_without(uint32_t disabled_features,
 					    uint64_t peers)
@@ -400,8 +400,8 @@
 	}
 }
 
-/* Opens flows with a request each; all are answered after @took_ms. */
-static void run_request_batch(struct fixture *fixture, uint64_t took_ms)
+/* Opens flows with a request each; all are answered after @latency_ms. */
+static void run_request_batch(struct fixture *fixture, uint64_t latency_ms)
 {
 	struct client_flow flows[CLIENTS];
 
@@ -414,7 +414,7 @@
 		flows[i].sequence += 100;
 		flows[i].acknowledged += 600;
 	}
-	fixture->now_ms += took_ms;
+	fixture->now_ms += latency_ms;
 	for (int i = 0; i < CLIENTS; i++)
 		flow_send(fixture, &flows[i], JT_PACKET_ACK, 0);
 	fixture_tick(fixture, 0);
--- a/tests/test_outlier.c
+++ b/tests/test_outlier.c
@@ -42,7 +42,7 @@
 	fixture_tick(fixture, wait_ms);
 }
 
-static void fixture_peer_overdue_report(struct fixture *fixture, uint64_t id)
+static void fixture_deliver_overdue_report(struct fixture *fixture, uint64_t id)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_OVERDUE};
 
@@ -113,9 +113,9 @@
 
 	(void)state;
 	for (uint64_t id = 0x101; id <= 0x102; id++)
-		fixture_peer_overdue_report(fixture, id);
+		fixture_deliver_overdue_report(fixture, id);
 	assert_int_equal(count_flows_to(fixture, FLOWS, 0x101), 0);
-	fixture_peer_overdue_report(fixture, 0x103);
+	fixture_deliver_overdue_report(fixture, 0x103);
 	assert_in_range(count_flows_to(fixture, FLOWS, 0x101), 1, FLOWS);
 	talloc_free(fixture);
 }
@@ -129,7 +129,7 @@
 	struct client_flow second = open_flow_to(fixture, 0x101);
 
 	(void)state;
-	fixture_peer_overdue_report(fixture, 0x101);
+	fixture_deliver_overdue_report(fixture, 0x101);
 	assert_int_equal(count_flows_to(fixture, FLOWS, 0x101), 0);
 	leave_request_unanswered(fixture, &first, 350);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_FAILING));
--- a/tests/test_zone_drains.c
+++ b/tests/test_zone_drains.c
@@ -286,7 +286,7 @@
 {
 	struct fixture *fixture = fixture_with_two_zones(0),
 		       *other = fixture_with_two_zones(0);
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 	struct jt_zone_drain *drains;
 
 	(void)state;
@@ -296,10 +296,10 @@
 	assert_true(jt_knowledge_write(
 		fixture, fixture->director,
 		&(struct jt_knowledge_need){.since = 12, .version = 1},
-		fixture->now_ms, &knowledge));
-	assert_int_equal(knowledge.zones.zones_len, 2);
-	drains = jt_knowledge_zones(fixture, knowledge.zones.zones_val,
-				    knowledge.zones.zones_len);
+		fixture->now_ms, &snapshot));
+	assert_int_equal(snapshot.zones.zones_len, 2);
+	drains = jt_knowledge_zones(fixture, snapshot.zones.zones_val,
+				    snapshot.zones.zones_len);
 	fixture_set_zone_drain(other, "b", 12, true);
 	fixture_set_zone_drains(other, drains, 2, true, 13);
 	assert_int_equal(count_flows_to(other, 40, IN_B), 40);
