--- a/tests/test_outlier.c
+++ b/tests/test_outlier.c
@@ -68,8 +68,8 @@
 	talloc_free(fixture);
 }
 
-/* A failing endpoint gets flows again after a time that doubles with each new
- * failure. */
+/* A failing endpoint gets flows again after a pause, which is longer after each
+ * new failure. */
 static void test_failing_endpoint_is_retried(void **state)
 {
 	struct fixture *fixture = fixture_with_endpoints(ENDPOINTS);
