--- a/tests/lone_core.h
+++ b/tests/lone_core.h
@@ -1,4 +1,4 @@
-/* A node alone in its cell, for tests and benchmarks. */
+/* Creates the core of a single-node cell for tests and benchmarks. */
 #ifndef LONE_CORE_H
 #define LONE_CORE_H
 
@@ -7,8 +7,8 @@
 enum { LONE_ENDPOINT_ID = 100 }; /* of the first endpoint; others follow */
 
 /*
- * One stream service at 10.0.0.2:80 with one group and @endpoints endpoints
- * of @connections connections each, all at @address.
+ * Returns a configuration with one stream service at 10.0.0.2:80, one group and
+ * @endpoints endpoints at @address, each with a limit of @connections.
  */
 static inline struct jt_config *lone_config_make(TALLOC_CTX *mem_ctx,
 						 unsigned endpoints,
@@ -44,7 +44,7 @@
 	return c;
 }
 
-/* The node has founded its cell and serves @config at 1,000 ms. */
+/* Returns a core that has created its cell and serves @config at 1,000 ms. */
 static inline struct jt_core *lone_core_make(TALLOC_CTX *mem_ctx,
 					     struct jt_actions *actions,
 					     const struct jt_config *config,
--- a/tests/tcp_packet.h
+++ b/tests/tcp_packet.h
@@ -1,4 +1,4 @@
-/* A plain TCP packet over IPv4 for tests and benchmarks. */
+/* Builds minimal TCP over IPv4 packets for tests and benchmarks. */
 #ifndef TCP_PACKET_H
 #define TCP_PACKET_H
 
@@ -8,8 +8,8 @@
 #include <string.h>
 
 /*
- * Fill in @size bytes (40 to 255): from 10.0.0.0:@port to 10.0.0.2:80 with
- * the TCP @flags, headers without options, the rest zero.
+ * Writes a packet of @size bytes (40 to 255) from 10.0.0.0:@port to
+ * 10.0.0.2:80 with the TCP @flags, no header options and a zero payload.
  */
 static inline void tcp_packet_make(uint8_t *packet, uint8_t size, uint16_t port,
 				   uint8_t flags)
--- a/tests/test.h
+++ b/tests/test.h
@@ -1,4 +1,4 @@
-/* cmocka and what it needs before it. */
+/* cmocka and the headers that must be included before it. */
 #ifndef TEST_H
 #define TEST_H
 
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -1,4 +1,5 @@
-/* Nodes find each other, lose each other, and learn from who knows more. */
+/* Tests of gossip membership: discovery, failure detection, and the choice of
+ * peers for digests, gossip updates and state snapshots. */
 #include "test.h"
 
 #include "jt_membership.h"
@@ -34,8 +35,8 @@
 	return members;
 }
 
-/* Every live node tells two others; returns the messages sent. */
-static unsigned round_play(struct member *members, uint64_t now_ms)
+/* Runs one gossip round of all live nodes; returns the messages sent. */
+static unsigned run_gossip_round(struct member *members, uint64_t now_ms)
 {
 	unsigned sent = 0;
 
@@ -68,35 +69,36 @@
 	return sent;
 }
 
-static void test_all_find_each_other_from_three_seeds(void **state)
+static void test_discovery_from_three_seeds(void **state)
 {
 	struct member *members = members_create(NULL);
 	unsigned sent = 0;
-	size_t least = NODES;
+	size_t min_count = NODES;
 
 	(void)state;
 	for (int round = 0; round < 40; round++)
-		sent = round_play(members, 1000 + (uint64_t)round * ROUND_MS);
+		sent = run_gossip_round(members,
+					1000 + (uint64_t)round * ROUND_MS);
 	for (int i = 0; i < NODES; i++) {
-		if (members[i].membership->count < least)
-			least = members[i].membership->count;
+		if (members[i].membership->count < min_count)
+			min_count = members[i].membership->count;
 	}
-	assert_in_range(least, NODES - 4, NODES);
-	/* What a node sends does not grow with their number. */
+	assert_in_range(min_count, NODES - 4, NODES);
+	/* The messages of each node don't grow with the number of nodes. */
 	assert_in_range(sent, NODES, NODES * JT_DIGEST_FANOUT);
 	talloc_free(members);
 }
 
-/* Failure 38: where nodes are many, each is heard of less often, and was taken
- * for lost again and again. */
-static void test_live_peers_of_many_are_not_lost(void **state)
+/* Guards against declaring live peers lost in a large cell, where digests of
+ * each peer arrive less often. */
+static void test_live_peers_of_large_cell_are_not_lost(void **state)
 {
 	struct member *members = members_create(NULL);
 	unsigned lost = 0;
 
 	(void)state;
 	for (int round = 0; round < 60; round++)
-		round_play(members, 1000 + (uint64_t)round * ROUND_MS);
+		run_gossip_round(members, 1000 + (uint64_t)round * ROUND_MS);
 	for (int round = 60; round < 120; round++) {
 		uint64_t now_ms = 1000 + (uint64_t)round * ROUND_MS;
 
@@ -105,15 +107,15 @@
 						       now_ms) != NULL)
 				lost++;
 		}
-		round_play(members, now_ms);
+		run_gossip_round(members, now_ms);
 	}
-	/* Of NODES * NODES views over 30 s. */
+	/* Out of NODES * NODES peer entries over 30 s. */
 	assert_in_range(lost, 0, NODES / 10);
 	talloc_free(members);
 }
 
-/* One of @nodes in four zones, which knows them all. */
-static struct jt_membership *node_of(int nodes)
+/* Returns a node that knows all @nodes nodes of four zones. */
+static struct jt_membership *membership_with_nodes(int nodes)
 {
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 0);
@@ -127,38 +129,39 @@
 	return membership;
 }
 
-/* Of @nodes in four zones: how many of 1,000 pieces of news one of them sends
- * to another zone. */
-static unsigned news_crossing(int nodes)
+/* Returns how many messages one of @nodes nodes in four zones sends to other
+ * zones when it relays 1,000 gossip updates. */
+static unsigned count_cross_zone_updates(int nodes)
 {
-	struct jt_membership *membership = node_of(nodes);
-	unsigned far = 0;
+	struct jt_membership *membership = membership_with_nodes(nodes);
+	unsigned other_zone = 0;
 
-	for (int news = 0; news < 1000; news++) {
+	for (int update = 0; update < 1000; update++) {
 		struct jt_address targets[JT_NEWS_FANOUT];
 		size_t count = jt_membership_news_targets(membership, targets);
 
 		for (size_t t = 0; t < count; t++)
-			far += (targets[t].ip - 0x0a000000) % 4 != 0;
+			other_zone += (targets[t].ip - 0x0a000000) % 4 != 0;
 	}
 	talloc_free(membership);
-	return far;
+	return other_zone;
 }
 
-/* Each node sends news on once: some of many carry it to other zones. */
-static void test_news_crosses_through_some_nodes(void **state)
+/* Every node relays an update once; only a part of the nodes of a large cell
+ * relays it to other zones. */
+static void test_some_nodes_relay_updates_to_other_zones(void **state)
 {
 	(void)state;
-	assert_in_range(news_crossing(16), 600, 900);
-	/* 32 of 100 nodes, three of four draws. */
-	assert_in_range(news_crossing(NODES), 180, 300);
+	assert_in_range(count_cross_zone_updates(16), 600, 900);
+	/* 32 of 100 nodes send to other zones, with three of four draws. */
+	assert_in_range(count_cross_zone_updates(NODES), 180, 300);
 }
 
-/* Bytes between zones are dear: most digests of many peers stay in theirs. */
-static void test_digests_of_many_stay_in_their_zone(void **state)
+/* Limits traffic between zones: most digests stay in the zone. */
+static void test_most_digests_stay_in_zone(void **state)
 {
-	struct jt_membership *membership = node_of(NODES);
-	unsigned near = 0, sent = 0;
+	struct jt_membership *membership = membership_with_nodes(NODES);
+	unsigned same_zone = 0, sent = 0;
 
 	(void)state;
 	for (int round = 0; round < 400; round++) {
@@ -166,15 +169,15 @@
 		size_t count = jt_membership_round(membership, targets);
 
 		for (size_t t = 0; t < count; t++) {
-			near += (targets[t].ip - 0x0a000000) % 4 == 0;
+			same_zone += (targets[t].ip - 0x0a000000) % 4 == 0;
 			sent++;
 		}
 	}
-	assert_in_range(near * 100 / sent, 60, 85);
+	assert_in_range(same_zone * 100 / sent, 60, 85);
 	talloc_free(membership);
 }
 
-static void test_dead_peer_is_lost_and_told_once(void **state)
+static void test_dead_peer_is_reported_lost_once(void **state)
 {
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
@@ -189,13 +192,13 @@
 	assert_non_null(jt_membership_next_lost(membership, 6000));
 	assert_null(jt_membership_next_lost(membership, 6500));
 	assert_int_equal(jt_membership_live(membership), 0);
-	/* Another process at the same address is news. */
+	/* A new incarnation at the same address is a change. */
 	assert_true(jt_membership_digest(membership, 3, address_of(1), &digest,
 					 7000));
 	talloc_free(membership);
 }
 
-static void test_node_behind_fetches_after_a_while(void **state)
+static void test_node_behind_fetches_after_delay(void **state)
 {
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
@@ -207,7 +210,7 @@
 	assert_null(jt_membership_fetch(membership, &own, 1000));
 	digest.revision = 12;
 	jt_membership_digest(membership, 2, address_of(1), &digest, 2000);
-	/* The store may tell the same just now. */
+	/* The store may be about to deliver the same changes. */
 	assert_null(jt_membership_fetch(membership, &own, 2000));
 	assert_non_null(jt_membership_fetch(membership, &own, 3000));
 	/* One fetch at a time. */
@@ -218,8 +221,8 @@
 	talloc_free(membership);
 }
 
-/* Failure 39: the peer that was asked has ended; another one is asked next. */
-static void test_failed_fetch_turns_to_another_peer(void **state)
+/* A fetch that failed is retried at another peer. */
+static void test_failed_fetch_is_retried_at_another_peer(void **state)
 {
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 0);
@@ -242,14 +245,14 @@
 		assert_int_not_equal(peer->id, first);
 		membership->fetching = false;
 	}
-	/* One that is heard again may be asked again. */
+	/* A peer whose digest arrives again may be asked again. */
 	jt_membership_digest(membership, first, address_of((int)first - 1),
 			     &digest, 3300);
 	assert_true(membership->peers[0].heard && membership->peers[1].heard);
 	talloc_free(membership);
 }
 
-static void test_node_that_starts_fetches_at_once(void **state)
+static void test_starting_node_fetches_immediately(void **state)
 {
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
@@ -258,7 +261,7 @@
 
 	(void)state;
 	jt_membership_digest(membership, 2, address_of(1), &digest, 1000);
-	/* A peer that has not started itself knows nothing. */
+	/* A peer that has not started has no state to send. */
 	assert_null(jt_membership_fetch(membership, &own, 1000));
 	digest.started = TRUE;
 	jt_membership_digest(membership, 2, address_of(1), &digest, 1001);
@@ -266,7 +269,7 @@
 	talloc_free(membership);
 }
 
-static void test_own_address_is_no_peer(void **state)
+static void test_own_address_is_not_a_peer(void **state)
 {
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
@@ -282,8 +285,8 @@
 
 enum { STRONG = 500, WEAK = 38, STRONG_PEERS = 15, WEAK_PEERS = 100 };
 
-/* A seed of weight WEAK that has heard of many peers. */
-static struct jt_membership *seed_of_many(void)
+/* Returns a seed of weight WEAK that knows many peers. */
+static struct jt_membership *seed_with_many_peers(void)
 {
 	struct jt_membership *seed =
 		jt_membership_create(NULL, 2, address_of(1), 1);
@@ -303,58 +306,59 @@
 	return seed;
 }
 
-/* The digest that a seed answers a node with that knows nothing. */
-static void seed_answers(struct jt_membership *seed,
-			 struct jt_membership *starter, uint64_t now_ms)
+/* Answers a node without state with the digest of @seed. */
+static void send_seed_digest(struct jt_membership *seed,
+			     struct jt_membership *starting_node,
+			     uint64_t now_ms)
 {
 	const struct jt_own_state own = {
 		.started = true, .revision = 12, .weight = WEAK};
 	TALLOC_CTX *frame = talloc_new(seed);
 	jt_wire_digest digest;
 
-	jt_membership_source_digest(seed, frame, &own, starter->zone_id, now_ms,
-				    &digest);
+	jt_membership_source_digest(seed, frame, &own, starting_node->zone_id,
+				    now_ms, &digest);
 	assert_int_equal(digest.peers.peers_len, JT_DIRECTOR_MAX_PEERS);
-	jt_membership_digest(starter, seed->id, seed->address, &digest, now_ms);
+	jt_membership_digest(starting_node, seed->id, seed->address, &digest,
+			     now_ms);
 	talloc_free(frame);
 }
 
-/* All nodes that lost power together know nobody but a seed, which may be the
- * weakest node of all: they must not all learn from it. */
-static void test_starts_learn_from_strong_peers(void **state)
+/* Nodes that start together know only a seed, which may be the weakest node:
+ * they must not all fetch their state from it. */
+static void test_starting_nodes_fetch_from_strong_peers(void **state)
 {
-	struct jt_membership *seed = seed_of_many();
+	struct jt_membership *seed = seed_with_many_peers();
 	const struct jt_own_state own = {0};
 	unsigned from_seed = 0, from_strong = 0;
 
 	(void)state;
 	for (uint64_t id = 5000; id < 5200; id++) {
-		struct jt_membership *starter =
+		struct jt_membership *starting_node =
 			jt_membership_create(NULL, id, address_of((int)id), 1);
 		const struct jt_peer *source;
 
-		seed_answers(seed, starter, 1100);
-		source = jt_membership_fetch(starter, &own, 1101);
+		send_seed_digest(seed, starting_node, 1100);
+		source = jt_membership_fetch(starting_node, &own, 1101);
 		assert_non_null(source);
 		from_seed += source->id == seed->id;
 		from_strong += source->weight == STRONG;
-		talloc_free(starter);
+		talloc_free(starting_node);
 	}
 	assert_in_range(from_seed, 0, 10);
 	assert_in_range(from_strong, 150, 200);
 	talloc_free(seed);
 }
 
-/* All that a node knows is long: it comes from the starter's own zone, unless
- * the strong ones there have gone. */
-static void test_starts_learn_in_their_zone(void **state)
+/* A full state snapshot is large: nodes fetch it in their own zone. */
+static void test_starting_nodes_fetch_in_their_zone(void **state)
 {
 	const struct jt_own_state own = {0};
-	unsigned near = 0;
+	unsigned same_zone = 0;
 
 	(void)state;
 	for (uint64_t id = 5000; id < 5200; id++) {
-		struct jt_membership *starter =
+		struct jt_membership *starting_node =
 			jt_membership_create(NULL, id, address_of((int)id), 1);
 		const struct jt_peer *source;
 
@@ -366,52 +370,53 @@
 				.weight = WEAK,
 			};
 
-			jt_membership_digest(starter, 100 + (uint64_t)i,
+			jt_membership_digest(starting_node, 100 + (uint64_t)i,
 					     address_of(100 + i), &digest,
 					     1100);
 		}
-		source = jt_membership_fetch(starter, &own, 1101);
+		source = jt_membership_fetch(starting_node, &own, 1101);
 		assert_non_null(source);
-		near += source->zone_id == 1;
-		talloc_free(starter);
+		same_zone += source->zone_id == 1;
+		talloc_free(starting_node);
 	}
-	assert_in_range(near, 175, 200);
+	assert_in_range(same_zone, 175, 200);
 }
 
-/* A source that gave no answer is not asked again at once. */
-static void test_start_turns_to_another_source(void **state)
+/* A source that did not answer is not asked again immediately. */
+static void test_starting_node_tries_other_sources(void **state)
 {
-	struct jt_membership *seed = seed_of_many();
+	struct jt_membership *seed = seed_with_many_peers();
 	const struct jt_own_state own = {0};
-	uint64_t asked[5];
+	uint64_t sources[5];
 
 	(void)state;
 	for (uint64_t id = 5000; id < 5050; id++) {
-		struct jt_membership *starter =
+		struct jt_membership *starting_node =
 			jt_membership_create(NULL, id, address_of((int)id), 1);
 		uint64_t now_ms = 1101;
 
-		seed_answers(seed, starter, 1100);
+		send_seed_digest(seed, starting_node, 1100);
 		for (size_t i = 0; i < 5; i++) {
-			const struct jt_peer *source =
-				jt_membership_fetch(starter, &own, now_ms);
+			const struct jt_peer *source = jt_membership_fetch(
+				starting_node, &own, now_ms);
 
 			assert_non_null(source);
-			asked[i] = source->id;
+			sources[i] = source->id;
 			for (size_t j = 0; j < i; j++)
-				assert_int_not_equal(asked[j], asked[i]);
+				assert_int_not_equal(sources[j], sources[i]);
 			now_ms += 250;
-			jt_membership_fetched(starter, JT_FETCH_FAILED, now_ms);
+			jt_membership_fetched(starting_node, JT_FETCH_FAILED,
+					      now_ms);
 			now_ms += 250;
 		}
-		talloc_free(starter);
+		talloc_free(starting_node);
 	}
 	talloc_free(seed);
 }
 
-/* A node that has just become ready tells all peers. Those that lack what it
- * knows must not all fetch it from this one node. */
-static void test_standing_tells_no_knowledge(void **state)
+/* A node that becomes ready reports its availability to all peers. Peers that
+ * are behind must not all fetch their state from it. */
+static void test_availability_report_starts_no_fetch(void **state)
 {
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
@@ -428,7 +433,7 @@
 	assert_int_equal(jt_membership_zone(membership, 1001).serving, 1);
 	assert_null(jt_membership_fetch(membership, &own, 2000));
 	assert_null(jt_membership_fetch(membership, &own, 3000));
-	/* What a digest told stays, but only of that process. */
+	/* A digest counts as long as the incarnation that sent it. */
 	jt_membership_digest(membership, 2, address_of(1), &digest, 3001);
 	jt_membership_standing(membership, 2, address_of(1), &standing, 3002);
 	assert_null(jt_membership_fetch(membership, &own, 3002));
@@ -440,37 +445,36 @@
 	talloc_free(membership);
 }
 
-/* Nodes of other zones that leave are heard when they begin and when their
- * successors are ready: one that takes its time is not removed for good. Then
- * none of many that leave in turn would end early. */
-static void test_far_node_that_leaves_slowly_is_not_removed(void **state)
+/* Nodes of other zones report only the start of their leaving and the readiness
+ * of their successors: a slow restart must not count as a removal. */
+static void test_slow_leave_in_other_zone_is_no_removal(void **state)
 {
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
-	const jt_wire_standing far = {
+	const jt_wire_standing other_zone = {
 		.zone = 2, .started = TRUE, .leaving = TRUE};
-	const jt_wire_standing near = {
+	const jt_wire_standing same_zone = {
 		.zone = 1, .started = TRUE, .leaving = TRUE};
 
 	(void)state;
-	jt_membership_standing(membership, 2, address_of(1), &far, 1000);
+	jt_membership_standing(membership, 2, address_of(1), &other_zone, 1000);
 	assert_int_equal(jt_membership_zone(membership, 7000).removed, 0);
 	assert_int_equal(jt_membership_zone(membership, 9500).removed, 1);
-	/* In the own zone it would have been heard. */
-	jt_membership_standing(membership, 3, address_of(2), &near, 10000);
-	jt_membership_standing(membership, 2, address_of(1), &near, 10000);
+	/* A node of the own zone would have reported meanwhile. */
+	jt_membership_standing(membership, 3, address_of(2), &same_zone, 10000);
+	jt_membership_standing(membership, 2, address_of(1), &same_zone, 10000);
 	assert_int_equal(jt_membership_zone(membership, 11000).removed, 0);
 	assert_int_equal(jt_membership_zone(membership, 11600).removed, 2);
 	talloc_free(membership);
 }
 
-/* So many nodes of the zone that stand so, at the addresses from @first on. */
-static void nodes_stand(struct jt_membership *membership, int first, int count,
-			jt_wire_standing standing)
+/* Reports @availability for @count nodes, at the addresses from @first on. */
+static void report_availability(struct jt_membership *membership, int first,
+				int count, jt_wire_standing availability)
 {
 	for (int i = first; i < first + count; i++)
 		jt_membership_standing(membership, 100 + (uint64_t)i,
-				       address_of(i), &standing, 1000);
+				       address_of(i), &availability, 1000);
 }
 
 static bool is_target(const struct jt_address *targets, size_t count, int index)
@@ -482,17 +486,17 @@
 	return false;
 }
 
-/* Failure 64: where a flow may be is asked of the own zone, and of nodes that
- * routers do without; a node that has not started knows of none. */
-static void test_copies_ask_peers_of_the_zone(void **state)
+/* Flow lookups go to the peers of the own zone and to leaving nodes of other
+ * zones, but not to nodes that have not started. */
+static void test_flow_lookups_go_to_zone_peers(void **state)
 {
-	const jt_wire_standing serves = {
+	const jt_wire_standing serving = {
 		.zone = 1, .started = TRUE, .ready = TRUE};
-	const jt_wire_standing far = {
+	const jt_wire_standing other_zone = {
 		.zone = 2, .started = TRUE, .ready = TRUE};
-	const jt_wire_standing far_leaves = {
+	const jt_wire_standing other_zone_leaving = {
 		.zone = 2, .started = TRUE, .leaving = TRUE, .ready = TRUE};
-	const jt_wire_standing starts = {.zone = 1};
+	const jt_wire_standing starting = {.zone = 1};
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
 	struct jt_address targets[JT_FLOW_FANOUT];
@@ -500,10 +504,10 @@
 
 	(void)state;
 	assert_int_equal(jt_membership_flow_targets(membership, targets), 0);
-	nodes_stand(membership, 1, 10, serves);
-	nodes_stand(membership, 11, 10, far);
-	nodes_stand(membership, 21, 1, far_leaves);
-	nodes_stand(membership, 22, 1, starts);
+	report_availability(membership, 1, 10, serving);
+	report_availability(membership, 11, 10, other_zone);
+	report_availability(membership, 21, 1, other_zone_leaving);
+	report_availability(membership, 22, 1, starting);
 	count = jt_membership_flow_targets(membership, targets);
 	assert_int_equal(count, 11);
 	for (int i = 1; i <= 10; i++)
@@ -512,36 +516,37 @@
 	talloc_free(membership);
 }
 
-/* A zone of one node hands its flows to others and takes them back. */
-static void test_lone_nodes_ask_other_zones(void **state)
+/* The only node of a zone looks flows up in other zones. */
+static void test_single_node_looks_up_in_other_zones(void **state)
 {
-	const jt_wire_standing far = {
+	const jt_wire_standing other_zone = {
 		.zone = 2, .started = TRUE, .ready = TRUE};
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
 	struct jt_address targets[JT_FLOW_FANOUT];
 
 	(void)state;
-	nodes_stand(membership, 1, 20, far);
+	report_availability(membership, 1, 20, other_zone);
 	assert_int_equal(jt_membership_flow_targets(membership, targets),
 			 JT_FLOW_FANOUT_FAR);
 	talloc_free(membership);
 }
 
-/* However many nodes a zone has; those that routers do without go first. */
-static void test_questions_go_to_some_of_many(void **state)
+/* The number of flow lookups is bounded in a large zone; leaving nodes are
+ * asked first. */
+static void test_flow_lookups_are_bounded(void **state)
 {
-	const jt_wire_standing serves = {
+	const jt_wire_standing serving = {
 		.zone = 1, .started = TRUE, .ready = TRUE};
-	const jt_wire_standing leaves = {
+	const jt_wire_standing leaving = {
 		.zone = 1, .started = TRUE, .leaving = TRUE};
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
 	struct jt_address targets[JT_FLOW_FANOUT];
 
 	(void)state;
-	nodes_stand(membership, 1, 2000, serves);
-	nodes_stand(membership, 2001, 3, leaves);
+	report_availability(membership, 1, 2000, serving);
+	report_availability(membership, 2001, 3, leaving);
 	for (int i = 0; i < 20; i++) {
 		assert_int_equal(
 			jt_membership_flow_targets(membership, targets),
@@ -552,30 +557,31 @@
 	talloc_free(membership);
 }
 
-/* Where nodes are many each is heard of seldom: none of them gives way to
- * another, or is forgotten before it is taken for lost. */
-static void test_thousands_are_known_at_once(void **state)
+/* A large cell fits into the peer table, and no peer expires early because
+ * its digests arrive rarely. */
+static void test_thousands_of_peers_are_kept(void **state)
 {
-	enum { MANY = 2000, QUIET_MS = 90000 };
+	enum { PEERS = 2000, SILENCE_MS = 90000 };
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
 	const jt_wire_digest digest = {.zone = 1, .started = true};
 	uint64_t *ids;
 
 	(void)state;
-	for (int i = 1; i <= MANY; i++)
+	for (int i = 1; i <= PEERS; i++)
 		jt_membership_digest(membership, 1000 + (uint64_t)i,
 				     address_of(i), &digest, 1000);
-	assert_null(jt_membership_next_lost(membership, 1000 + QUIET_MS));
-	assert_int_equal(jt_membership_live(membership), MANY);
-	assert_int_equal(jt_membership_ids(membership, membership, &ids), MANY);
-	assert_int_equal(ids[MANY - 1], 1000 + MANY);
+	assert_null(jt_membership_next_lost(membership, 1000 + SILENCE_MS));
+	assert_int_equal(jt_membership_live(membership), PEERS);
+	assert_int_equal(jt_membership_ids(membership, membership, &ids),
+			 PEERS);
+	assert_int_equal(ids[PEERS - 1], 1000 + PEERS);
 	talloc_free(membership);
 }
 
-/* A node that knows nothing learns some endpoints of one that knows some; for
- * the rest it waits for one that knows all. */
-static void test_node_that_starts_learns_some_first(void **state)
+/* A node without state first fetches a part of the endpoints from a peer that
+ * has only a part; for the rest it waits for a started peer. */
+static void test_starting_node_fetches_partial_state_first(void **state)
 {
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
@@ -605,26 +611,26 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_all_find_each_other_from_three_seeds),
-		cmocka_unit_test(test_live_peers_of_many_are_not_lost),
-		cmocka_unit_test(test_node_that_starts_learns_some_first),
-		cmocka_unit_test(test_thousands_are_known_at_once),
-		cmocka_unit_test(test_copies_ask_peers_of_the_zone),
-		cmocka_unit_test(test_lone_nodes_ask_other_zones),
-		cmocka_unit_test(test_questions_go_to_some_of_many),
-		cmocka_unit_test(test_news_crosses_through_some_nodes),
-		cmocka_unit_test(test_digests_of_many_stay_in_their_zone),
-		cmocka_unit_test(test_dead_peer_is_lost_and_told_once),
-		cmocka_unit_test(test_node_behind_fetches_after_a_while),
-		cmocka_unit_test(test_failed_fetch_turns_to_another_peer),
-		cmocka_unit_test(test_node_that_starts_fetches_at_once),
-		cmocka_unit_test(test_own_address_is_no_peer),
-		cmocka_unit_test(test_starts_learn_from_strong_peers),
-		cmocka_unit_test(test_starts_learn_in_their_zone),
-		cmocka_unit_test(test_start_turns_to_another_source),
-		cmocka_unit_test(test_standing_tells_no_knowledge),
+		cmocka_unit_test(test_discovery_from_three_seeds),
+		cmocka_unit_test(test_live_peers_of_large_cell_are_not_lost),
 		cmocka_unit_test(
-			test_far_node_that_leaves_slowly_is_not_removed),
+			test_starting_node_fetches_partial_state_first),
+		cmocka_unit_test(test_thousands_of_peers_are_kept),
+		cmocka_unit_test(test_flow_lookups_go_to_zone_peers),
+		cmocka_unit_test(test_single_node_looks_up_in_other_zones),
+		cmocka_unit_test(test_flow_lookups_are_bounded),
+		cmocka_unit_test(test_some_nodes_relay_updates_to_other_zones),
+		cmocka_unit_test(test_most_digests_stay_in_zone),
+		cmocka_unit_test(test_dead_peer_is_reported_lost_once),
+		cmocka_unit_test(test_node_behind_fetches_after_delay),
+		cmocka_unit_test(test_failed_fetch_is_retried_at_another_peer),
+		cmocka_unit_test(test_starting_node_fetches_immediately),
+		cmocka_unit_test(test_own_address_is_not_a_peer),
+		cmocka_unit_test(test_starting_nodes_fetch_from_strong_peers),
+		cmocka_unit_test(test_starting_nodes_fetch_in_their_zone),
+		cmocka_unit_test(test_starting_node_tries_other_sources),
+		cmocka_unit_test(test_availability_report_starts_no_fetch),
+		cmocka_unit_test(test_slow_leave_in_other_zone_is_no_removal),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
