--- a/tests/test_peer_loads.c
+++ b/tests/test_peer_loads.c
@@ -1,4 +1,5 @@
-/* The mean of peers' loads, against one that is worked out anew each time. */
+/* Tests the incremental mean of the loads that peers report against a reference
+ * that recomputes it on every step. */
 #include "test.h"
 
 #include "jt_peer_loads.h"
@@ -6,19 +7,20 @@
 
 enum { PEERS = 40, LABELS = 30, STEPS = 3000, AGE_MS = 10000 };
 
-struct naive_report {
-	uint64_t told_ms;
+struct reference_report {
+	uint64_t reported_ms;
 	uint32_t flows[LABELS];
-	bool told;
+	bool reported;
 };
 
-static double naive_mean(const struct naive_report *reports, uint32_t label,
-			 uint64_t now_ms)
+static double reference_mean(const struct reference_report *reports,
+			     uint32_t label, uint64_t now_ms)
 {
 	uint64_t sum = 0, count = 0;
 
 	for (int i = 0; i < JT_PEER_LOADS_LIMIT; i++) {
-		if (!reports[i].told || now_ms - reports[i].told_ms > AGE_MS)
+		if (!reports[i].reported ||
+		    now_ms - reports[i].reported_ms > AGE_MS)
 			continue;
 		count++;
 		sum += reports[i].flows[label];
@@ -27,15 +29,15 @@
 }
 
 static void report_random(struct jt_random *random, struct jt_peer_loads *peers,
-			  struct naive_report *reports, uint64_t now_ms)
+			  struct reference_report *reports, uint64_t now_ms)
 {
 	uint64_t peer = jt_random_next(random) % JT_PEER_LOADS_LIMIT;
 	struct jt_endpoint_load loads[LABELS];
 	size_t count = 0;
 
 	memset(&reports[peer], 0, sizeof(reports[peer]));
-	reports[peer].told = true;
-	reports[peer].told_ms = now_ms;
+	reports[peer].reported = true;
+	reports[peer].reported_ms = now_ms;
 	for (uint32_t label = 0; label < LABELS; label++) {
 		uint32_t flows = (uint32_t)(jt_random_next(random) % 4);
 
@@ -47,10 +49,10 @@
 	jt_peer_loads_take(peers, peer + 1, loads, count, now_ms);
 }
 
-static void test_mean_is_the_reports_mean(void **state)
+static void test_mean_matches_reference(void **state)
 {
 	struct jt_peer_loads *peers = jt_peer_loads_create(NULL);
-	struct naive_report reports[JT_PEER_LOADS_LIMIT] = {0};
+	struct reference_report reports[JT_PEER_LOADS_LIMIT] = {0};
 	struct jt_random random = {.seed = 5};
 	uint64_t now_ms = 1000;
 
@@ -62,15 +64,15 @@
 		if (step % 3 == 0)
 			report_random(&random, peers, reports, now_ms);
 		assert_true(jt_peer_loads_mean(peers, label + 1, now_ms) ==
-			    naive_mean(reports, label, now_ms));
+			    reference_mean(reports, label, now_ms));
 		assert_true(jt_peer_loads_work(peers, label + 1, now_ms) ==
-			    2 * naive_mean(reports, label, now_ms));
+			    2 * reference_mean(reports, label, now_ms));
 	}
 	talloc_free(peers);
 }
 
-/* Of more peers than are remembered, the newest reports count. */
-static void test_newest_reports_stay(void **state)
+/* If more peers report than are kept, the newest reports count. */
+static void test_newest_reports_are_kept(void **state)
 {
 	struct jt_peer_loads *peers = jt_peer_loads_create(NULL);
 
@@ -91,8 +93,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_mean_is_the_reports_mean),
-		cmocka_unit_test(test_newest_reports_stay),
+		cmocka_unit_test(test_mean_matches_reference),
+		cmocka_unit_test(test_newest_reports_are_kept),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,4 +1,5 @@
-/* Translation to the platform, by the examples of its pages' shapes. */
+/* Tests of the platform adapter: packets, store documents, keys and the
+ * rejection of malformed ones. */
 #include "test.h"
 
 #include "jt_platform.h"
@@ -7,7 +8,7 @@
 #include <stdio.h>
 #include <sodium.h>
 
-static json_t *item_of(const char *key, const char *value)
+static json_t *make_item(const char *key, const char *value)
 {
 	char text[8192];
 
@@ -17,11 +18,11 @@
 			 "revision", 412, "created", 410);
 }
 
-/* The change that a document makes; JT_CHANGE_INVALID with @field. */
+/* Parses a store item into @change; returns its kind. */
 static enum jt_change_kind read_change(const char *key, const char *value,
 				       struct jt_change *change)
 {
-	json_t *item = item_of(key, value);
+	json_t *item = make_item(key, value);
 
 	assert_true(jt_platform_item(NULL, item, change));
 	json_decref(item);
@@ -65,7 +66,7 @@
 	assert_memory_equal(buffer + 24, syn + 16, sizeof(syn) - 16);
 }
 
-static void test_packets_that_make_no_sense(void **state)
+static void test_malformed_packets(void **state)
 {
 	uint8_t data[1300] = {0};
 	struct jt_label_packet packet;
@@ -91,7 +92,7 @@
 	jt_platform_codec.request(data, 32 + strlen(text), id, sizeof(id));
 	assert_string_equal(id, "abc123");
 	id[0] = '\0';
-	/* Cut off within the id. */
+	/* The packet ends within the id. */
 	jt_platform_codec.request(data, 32 + 33, id, sizeof(id));
 	assert_string_equal(id, "");
 }
@@ -152,7 +153,7 @@
 	assert_string_equal(change.key, key);
 }
 
-static void test_bad_documents_are_named(void **state)
+static void test_invalid_documents(void **state)
 {
 	(void)state;
 	expect_invalid("servers/i-1", "{", "value");
@@ -187,9 +188,9 @@
 		       "routes");
 }
 
-/* An entry that makes sense, but for one field: @value is its JSON, or NULL to
- * leave the field out. */
-static char *entry_with(const char *field, const char *value)
+/* Returns a valid endpoint entry with the JSON text @value for @field; NULL
+ * leaves the field out. */
+static char *make_entry(const char *field, const char *value)
 {
 	static const char *const fields[][2] = {
 		{"service", "\"counter\""}, {"address", "\"10.128.0.9:8080\""},
@@ -201,44 +202,44 @@
 	char *text = talloc_strdup(NULL, "{");
 
 	for (size_t i = 0; i < sizeof(fields) / sizeof(fields[0]); i++) {
-		const char *is = fields[i][1];
+		const char *json = fields[i][1];
 
 		if (strcmp(fields[i][0], field) == 0)
-			is = value;
-		if (is != NULL)
+			json = value;
+		if (json != NULL)
 			text = talloc_asprintf_append(text, "%s\"%s\":%s",
 						      text[1] ? "," : "",
-						      fields[i][0], is);
+						      fields[i][0], json);
 	}
 	return talloc_asprintf_append(text, "}");
 }
 
-static void test_births(void **state)
+static void test_incarnation_start_time(void **state)
 {
 	struct jt_change change;
-	char *text = entry_with("callCount", "0");
+	char *text = make_entry("callCount", "0");
 
 	(void)state;
 	assert_int_equal(read_change("servers/i-7f3a91c2", text, &change),
 			 JT_CHANGE_ENDPOINT);
 	assert_int_equal(change.endpoint.born_ms, 1764740000000);
 	talloc_free(text);
-	text = entry_with("born", NULL);
+	text = make_entry("born", NULL);
 	assert_int_equal(read_change("servers/i-7f3a91c2", text, &change),
 			 JT_CHANGE_ENDPOINT);
 	assert_int_equal(change.endpoint.born_ms, 0);
 	talloc_free(text);
 }
 
-/* Fewer calls than before, or many: no sign of an older entry. */
-static void test_counts_of_calls_say_nothing(void **state)
+/* The field callCount has no effect on the parsed entry. */
+static void test_call_count_is_ignored(void **state)
 {
 	static const char *const counts[] = {"0", "4", "4000000000"};
 	struct jt_change first, change;
 
 	(void)state;
 	for (size_t i = 0; i < 3; i++) {
-		char *text = entry_with("callCount", counts[i]);
+		char *text = make_entry("callCount", counts[i]);
 
 		assert_int_equal(
 			read_change("servers/i-7f3a91c2", text, &change),
@@ -251,8 +252,8 @@
 	}
 }
 
-/* What another writer may put into a field, NULL to leave it out. */
-static void test_fields_by_another_writer(void **state)
+/* Malformed or missing fields are rejected and named; NULL: missing. */
+static void test_malformed_fields(void **state)
 {
 	static const struct {
 		const char *field;
@@ -304,15 +305,15 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		char *text = entry_with(cases[i].field, cases[i].value);
+		char *text = make_entry(cases[i].field, cases[i].value);
 
 		expect_invalid("servers/i-1", text, cases[i].field);
 		talloc_free(text);
 	}
 }
 
-/* Bytes that are no document at all. */
-static void test_bytes_by_another_writer(void **state)
+/* Values that are not a valid JSON object are rejected. */
+static void test_malformed_values(void **state)
 {
 	static const char *const values[] = {
 		"",
@@ -336,7 +337,7 @@
 	memset(deep, '[', sizeof(deep) - 1);
 	deep[sizeof(deep) - 1] = '\0';
 	expect_invalid("servers/i-1", deep, "value");
-	/* And values that are no base64. */
+	/* Values that are not base64. */
 	item = json_pack("{s:s, s:s, s:i}", "tlsKey", "servers/i-1", "value",
 			 "*", "revision", 5);
 	assert_true(jt_platform_item(NULL, item, &change));
@@ -344,14 +345,14 @@
 	json_object_set_new(item, "value", json_integer(7));
 	assert_true(jt_platform_item(NULL, item, &change));
 	assert_int_equal(change.kind, JT_CHANGE_INVALID);
-	/* It is known whose entry it is, and since when. */
+	/* The id and the revision of the entry are still reported. */
 	assert_int_equal(change.endpoint.id, 1);
 	assert_int_equal(change.endpoint.revision, 5);
 	json_decref(item);
 }
 
-/* Other keys below servers/ name no endpoint. */
-static void test_keys_by_another_writer(void **state)
+/* Malformed keys below servers/ are rejected. */
+static void test_malformed_keys(void **state)
 {
 	static const char *const keys[] = {
 		"servers/",	     "servers/i-",
@@ -360,7 +361,7 @@
 		"servers/i-+1f",     "servers/i-1f/more",
 		"servers/more/i-1f", "servers/i-1f ",
 	};
-	char *text = entry_with("", NULL);
+	char *text = make_entry("", NULL);
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(keys) / sizeof(keys[0]); i++) {
@@ -370,14 +371,14 @@
 				 JT_CHANGE_INVALID);
 		assert_string_equal(change.field, "id");
 		assert_int_equal(change.endpoint.id, 0);
-		/* No key can forge a line of the log. */
+		/* The reported key can't inject a log line. */
 		assert_null(strpbrk(change.key, " \n\""));
 	}
 	talloc_free(text);
 }
 
-/* A list goes on after any key. */
-static void test_keys_in_queries(void **state)
+/* Any key can be escaped for the query of the next page. */
+static void test_key_escaping(void **state)
 {
 	char *text = jt_platform_escape(NULL, "servers/i-7f");
 
@@ -389,18 +390,18 @@
 	talloc_free(text);
 }
 
-/* A page with one bad item of each kind: the others hold, and it goes on. */
-static void test_bad_items_touch_no_others(void **state)
+/* Malformed items of a page must not affect the other items or paging. */
+static void test_malformed_items_do_not_affect_others(void **state)
 {
 	struct jt_kv_answer *answer = talloc_zero(NULL, struct jt_kv_answer);
-	char *text = entry_with("", NULL), *body;
-	json_t *good = item_of("servers/i-2", text);
+	char *text = make_entry("", NULL), *body;
+	json_t *good = make_item("servers/i-2", text);
 	json_t *page = json_pack(
 		"{s:i, s:b, s:[o, {s:s, s:s, s:i}, {s:i}, s, {s:s%, s:s}, o]}",
 		"at", 500, "more", true, "items", good, "tlsKey", "servers/i-1",
 		"value", "e30", "revision", 413, "tlsKey", 7, "no item",
 		"tlsKey", "servers/i-3\0x", (size_t)13, "value",
-		"e30=", item_of("servers/i-4", text));
+		"e30=", make_item("servers/i-4", text));
 
 	(void)state;
 	assert_non_null(page);
@@ -451,9 +452,9 @@
 	talloc_free(change.routing);
 }
 
-static void test_keys_of_others_are_passed_over(void **state)
+static void test_unknown_keys_are_ignored(void **state)
 {
-	json_t *item = item_of("my/key", "{}");
+	json_t *item = make_item("my/key", "{}");
 	struct jt_change change;
 
 	(void)state;
@@ -461,7 +462,7 @@
 	json_decref(item);
 }
 
-/* The store sorts its keys: which of them come after all drains of zones. */
+/* Recognises the keys that sort after those of all zone drains. */
 static void test_keys_after_drains_of_zones(void **state)
 {
 	(void)state;
@@ -486,20 +487,20 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_packet_round_trip),
-		cmocka_unit_test(test_packets_that_make_no_sense),
+		cmocka_unit_test(test_malformed_packets),
 		cmocka_unit_test(test_request_id),
 		cmocka_unit_test(test_endpoint),
 		cmocka_unit_test(test_zone),
-		cmocka_unit_test(test_bad_documents_are_named),
-		cmocka_unit_test(test_births),
-		cmocka_unit_test(test_counts_of_calls_say_nothing),
-		cmocka_unit_test(test_fields_by_another_writer),
-		cmocka_unit_test(test_bytes_by_another_writer),
-		cmocka_unit_test(test_keys_by_another_writer),
-		cmocka_unit_test(test_keys_in_queries),
-		cmocka_unit_test(test_bad_items_touch_no_others),
+		cmocka_unit_test(test_invalid_documents),
+		cmocka_unit_test(test_incarnation_start_time),
+		cmocka_unit_test(test_call_count_is_ignored),
+		cmocka_unit_test(test_malformed_fields),
+		cmocka_unit_test(test_malformed_values),
+		cmocka_unit_test(test_malformed_keys),
+		cmocka_unit_test(test_key_escaping),
+		cmocka_unit_test(test_malformed_items_do_not_affect_others),
 		cmocka_unit_test(test_config),
-		cmocka_unit_test(test_keys_of_others_are_passed_over),
+		cmocka_unit_test(test_unknown_keys_are_ignored),
 		cmocka_unit_test(test_endpoint_ids),
 		cmocka_unit_test(test_keys_after_drains_of_zones),
 	};
