--- a/tests/test_director_settings.c
+++ b/tests/test_director_settings.c
@@ -1,5 +1,5 @@
-/* Settings of director nodes: the platform's template, filled in, is right; a
- * wrong setting is named with file, line, key and what is allowed. */
+/* Tests of the director settings: the template of the platform is accepted, and
+ * an error names the file, the line, the key and the allowed values. */
 #include "test.h"
 
 #include "jt_director_settings.h"
@@ -27,7 +27,7 @@
 	"d2d706565722d6b65792d3031\"; } );\n"
 	"limits = { drain_ms = 3000; leave_s = 2.5; flow_age_s = 60; };\n";
 
-/* The example with @from replaced by @to. */
+/* Loads the example with @from replaced by @to. */
 static struct jt_director_settings *load(const char *from, const char *to,
 					 char **error)
 {
@@ -47,14 +47,14 @@
 	return jt_director_settings_load(NULL, name, error);
 }
 
-static void expect_error(const char *from, const char *to, const char *part)
+static void expect_error(const char *from, const char *to, const char *message)
 {
 	char *error;
 
 	assert_null(load(from, to, &error));
 	assert_non_null(strstr(error, name));
-	if (strstr(error, part) == NULL)
-		fail_msg("no '%s' in '%s'", part, error);
+	if (strstr(error, message) == NULL)
+		fail_msg("no '%s' in '%s'", message, error);
 	talloc_free(error);
 }
 
@@ -94,7 +94,7 @@
 		     "first_start: must be true or false");
 }
 
-static void test_mechanisms_can_be_off(void **state)
+static void test_features_can_be_switched_off(void **state)
 {
 	const char *const *names = jt_mechanism_names();
 	struct jt_director_settings *settings;
@@ -114,7 +114,7 @@
 	talloc_free(settings);
 	expect_error("limits", "without = ( \"magic\" );\nlimits",
 		     "without: there is no mechanism 'magic'");
-	/* Each has a name of its own, in the order of the bits. */
+	/* Every feature has a unique name, in the order of the bits. */
 	for (unsigned bit = 0; names[bit] != NULL; bit++) {
 		assert_int_equal(jt_mechanism_find(names[bit]), 1u << bit);
 		all |= 1u << bit;
@@ -125,8 +125,8 @@
 	assert_int_equal(jt_mechanism_find("outliers"), JT_MECHANISM_OUTLIERS);
 }
 
-/* What a node may believe follows from the times that bind it. */
-static void test_store_age_limit_is_half_of_the_tighter_bound(void **state)
+/* The maximum age of the state is derived from the propagation bounds. */
+static void test_store_age_limit_is_half_of_tightest_bound(void **state)
 {
 	struct jt_director_settings *settings;
 	char *error;
@@ -151,7 +151,7 @@
 	talloc_free(settings);
 }
 
-/* How many endpoints a node knows follows from its memory. */
+/* The endpoint limit is derived from the memory of the node. */
 static void test_endpoint_limit_follows_memory(void **state)
 {
 	struct jt_director_settings *settings, *larger;
@@ -163,7 +163,7 @@
 			"link_mbps = 2.5;",
 			&error);
 	assert_non_null(settings);
-	/* A quarter of it, 840 bytes each. */
+	/* A quarter of the memory, 840 bytes an endpoint. */
 	assert_int_equal(settings->endpoint_limit, 49932);
 	assert_int_equal(settings->link_mbps, 3);
 	larger = load("zone = \"scl-renca\";",
@@ -210,7 +210,7 @@
 	expect_error("node = {", "node = [", "syntax error");
 }
 
-static void test_what_can_not_change(void **state)
+static void test_fixed_settings(void **state)
 {
 	struct jt_director_settings *settings, *changed;
 	char *error;
@@ -233,12 +233,12 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_example),
 		cmocka_unit_test(test_first_start),
-		cmocka_unit_test(test_mechanisms_can_be_off),
+		cmocka_unit_test(test_features_can_be_switched_off),
 		cmocka_unit_test(
-			test_store_age_limit_is_half_of_the_tighter_bound),
+			test_store_age_limit_is_half_of_tightest_bound),
 		cmocka_unit_test(test_endpoint_limit_follows_memory),
 		cmocka_unit_test(test_errors),
-		cmocka_unit_test(test_what_can_not_change),
+		cmocka_unit_test(test_fixed_settings),
 	};
 	int result;
 
--- a/tests/test_http_plain.c
+++ b/tests/test_http_plain.c
@@ -1,4 +1,4 @@
-/* The plain HTTP client and server talk with each other inside one loop. */
+/* Tests the plain HTTP client against the plain HTTP server in one loop. */
 #include "test.h"
 
 #include "jt_http_client.h"
@@ -15,17 +15,17 @@
 
 enum { LOOPBACK = 0x7f000001, SHORT_MS = 50, LONG_MS = 5000 };
 
-struct bench {
+struct fixture {
 	struct tevent_context *loop;
 	struct jt_http_server *server;
 	struct jt_http_client *client;
 	struct jt_address address;
-	struct jt_http_request *held; /* its answer waits */
+	struct jt_http_request *held; /* without a reply yet */
 	unsigned closed;	      /* requests that ended */
 	unsigned served;
 };
 
-/* A port that nobody listens at. */
+/* Returns a local port without a listener. */
 static uint16_t free_port(void)
 {
 	struct sockaddr_in name = {
@@ -44,23 +44,23 @@
 
 static void on_close(void *private_data)
 {
-	struct bench *bench = private_data;
+	struct fixture *fixture = private_data;
 
-	bench->closed++;
+	fixture->closed++;
 }
 
 static void on_request(struct jt_http_request *request, void *private_data)
 {
-	struct bench *bench = private_data;
+	struct fixture *fixture = private_data;
 	const char *path = jt_http_path(request);
 	const char *name = jt_http_query(request, "name");
 	const char *id = jt_http_header(request, "X-Request-Id");
 	char text[128];
 
-	bench->served++;
-	jt_http_on_close(request, on_close, bench);
+	fixture->served++;
+	jt_http_on_close(request, on_close, fixture);
 	if (strcmp(path, "/hold") == 0) {
-		bench->held = request;
+		fixture->held = request;
 		return;
 	}
 	if (strcmp(path, "/bytes") == 0) {
@@ -78,220 +78,224 @@
 	jt_http_reply(request, 200, "text/plain", text);
 }
 
-static void server_start(struct bench *bench)
+static void server_start(struct fixture *fixture)
 {
-	const struct jt_http_options options = {.address = bench->address};
+	const struct jt_http_options options = {.address = fixture->address};
 
-	bench->server = jt_http_server_create(bench, bench->loop, &options,
-					      on_request, bench);
-	assert_non_null(bench->server);
+	fixture->server = jt_http_server_create(fixture, fixture->loop,
+						&options, on_request, fixture);
+	assert_non_null(fixture->server);
 }
 
-static struct bench *bench_create(void)
+static struct fixture *fixture_create(void)
 {
-	struct bench *bench = talloc_zero(NULL, struct bench);
+	struct fixture *fixture = talloc_zero(NULL, struct fixture);
 
 	signal(SIGPIPE, SIG_IGN);
-	bench->loop = tevent_context_init(bench);
-	bench->address = (struct jt_address){LOOPBACK, free_port()};
-	bench->client = jt_http_client_create(bench, bench->loop);
-	server_start(bench);
-	return bench;
+	fixture->loop = tevent_context_init(fixture);
+	fixture->address = (struct jt_address){LOOPBACK, free_port()};
+	fixture->client = jt_http_client_create(fixture, fixture->loop);
+	server_start(fixture);
+	return fixture;
 }
 
-static struct tevent_req *bench_send(struct bench *bench, const char *path,
-				     struct jt_http_call call)
+static struct tevent_req *fixture_send(struct fixture *fixture,
+				       const char *path,
+				       struct jt_http_call call)
 {
 	char text[JT_ADDRESS_TEXT];
 	struct tevent_req *req;
-	char *url =
-		talloc_asprintf(bench, "http://%s%s",
-				jt_address_format(bench->address, text), path);
+	char *url = talloc_asprintf(fixture, "http://%s%s",
+				    jt_address_format(fixture->address, text),
+				    path);
 
 	call.url = url;
 	if (call.method == NULL)
 		call.method = "GET";
 	if (call.timeout_ms == 0)
 		call.timeout_ms = LONG_MS;
-	req = jt_http_send(bench, bench->client, &call);
+	req = jt_http_send(fixture, fixture->client, &call);
 	talloc_free(url);
 	assert_non_null(req);
 	return req;
 }
 
-/* A call whose answer waits at the server. */
-static struct tevent_req *bench_hold(struct bench *bench)
+/* Sends a request and returns when the server holds it without a reply. */
+static struct tevent_req *fixture_hold(struct fixture *fixture)
 {
 	struct tevent_req *req =
-		bench_send(bench, "/hold", (struct jt_http_call){0});
+		fixture_send(fixture, "/hold", (struct jt_http_call){0});
 
-	while (bench->held == NULL)
-		tevent_loop_once(bench->loop);
+	while (fixture->held == NULL)
+		tevent_loop_once(fixture->loop);
 	return req;
 }
 
-/* The answer's body, NULL where none came. */
-static char *bench_finish(struct bench *bench, struct tevent_req *req,
-			  long *status)
+/* Waits for the reply; returns its body, or NULL if the request failed. */
+static char *fixture_finish(struct fixture *fixture, struct tevent_req *req,
+			    long *status)
 {
 	char *body = NULL;
 
-	assert_true(tevent_req_poll(req, bench->loop));
-	if (jt_http_recv(req, bench, status, &body, NULL) != 0)
+	assert_true(tevent_req_poll(req, fixture->loop));
+	if (jt_http_recv(req, fixture, status, &body, NULL) != 0)
 		body = NULL;
 	talloc_free(req);
 	return body;
 }
 
-static char *bench_get(struct bench *bench, const char *path, long *status)
+static char *fixture_get(struct fixture *fixture, const char *path,
+			 long *status)
 {
-	return bench_finish(bench,
-			    bench_send(bench, path, (struct jt_http_call){0}),
-			    status);
+	return fixture_finish(
+		fixture, fixture_send(fixture, path, (struct jt_http_call){0}),
+		status);
 }
 
-static void test_what_is_asked_arrives(void **state)
+static void test_request_and_reply(void **state)
 {
-	struct bench *bench = bench_create();
+	struct fixture *fixture = fixture_create();
 	struct jt_http_call call = {
 		.method = "POST", .body = "text", .request_id = "r-1"};
 	long status = 0;
 
 	(void)state;
-	assert_string_equal(bench_get(bench, "/a/b?name=x%20y&z=1", &status),
-			    "GET /a/b x y - ");
-	assert_int_equal(status, 200);
 	assert_string_equal(
-		bench_finish(bench, bench_send(bench, "/", call), &status),
-		"POST / - r-1 text");
-	assert_string_equal(bench_get(bench, "/none", &status), "none\n");
+		fixture_get(fixture, "/a/b?name=x%20y&z=1", &status),
+		"GET /a/b x y - ");
+	assert_int_equal(status, 200);
+	assert_string_equal(fixture_finish(fixture,
+					   fixture_send(fixture, "/", call),
+					   &status),
+			    "POST / - r-1 text");
+	assert_string_equal(fixture_get(fixture, "/none", &status), "none\n");
 	assert_int_equal(status, 404);
-	assert_int_equal(bench->closed, 3);
-	talloc_free(bench);
+	assert_int_equal(fixture->closed, 3);
+	talloc_free(fixture);
 }
 
-static void test_bytes_and_headers_come_back(void **state)
+static void test_binary_body_and_header_of_reply(void **state)
 {
-	struct bench *bench = bench_create();
+	struct fixture *fixture = fixture_create();
 	struct jt_http_call call = {.want = "content-type"};
-	struct tevent_req *req = bench_send(bench, "/bytes", call);
+	struct tevent_req *req = fixture_send(fixture, "/bytes", call);
 	size_t length = 0;
 	char *body = NULL;
 	long status = 0;
 
 	(void)state;
-	assert_true(tevent_req_poll(req, bench->loop));
+	assert_true(tevent_req_poll(req, fixture->loop));
 	assert_string_equal(jt_http_wanted(req), "application/octet-stream");
 	assert_int_equal(
-		jt_http_recv_bytes(req, bench, &status, &body, &length), 0);
+		jt_http_recv_bytes(req, fixture, &status, &body, &length), 0);
 	assert_int_equal(length, 3);
 	assert_memory_equal(body, "a\0b", 3);
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
-static void test_many_at_once(void **state)
+static void test_concurrent_requests(void **state)
 {
 	enum { CALLS = 40 };
-	struct bench *bench = bench_create();
+	struct fixture *fixture = fixture_create();
 	struct tevent_req *calls[CALLS];
 	long status = 0;
 
 	(void)state;
 	for (int i = 0; i < CALLS; i++)
-		calls[i] = bench_send(bench, "/", (struct jt_http_call){0});
+		calls[i] = fixture_send(fixture, "/", (struct jt_http_call){0});
 	for (int i = 0; i < CALLS; i++)
-		assert_string_equal(bench_finish(bench, calls[i], &status),
+		assert_string_equal(fixture_finish(fixture, calls[i], &status),
 				    "GET / - - ");
-	assert_int_equal(bench->served, CALLS);
-	talloc_free(bench);
+	assert_int_equal(fixture->served, CALLS);
+	talloc_free(fixture);
 }
 
-static void test_late_answer_is_none(void **state)
+static void test_late_reply_is_discarded(void **state)
 {
-	struct bench *bench = bench_create();
+	struct fixture *fixture = fixture_create();
 	struct jt_http_call call = {.timeout_ms = SHORT_MS};
 	long status = 0;
 
 	(void)state;
-	assert_null(
-		bench_finish(bench, bench_send(bench, "/hold", call), &status));
-	/* The next call is not held up by it. */
-	assert_non_null(bench_get(bench, "/", &status));
-	assert_int_equal(bench->closed, 1);
-	/* Its caller has gone: the answer goes nowhere. */
-	jt_http_reply(bench->held, 200, "text/plain", "late\n");
-	assert_non_null(bench_get(bench, "/", &status));
-	assert_int_equal(bench->closed, 3);
-	talloc_free(bench);
+	assert_null(fixture_finish(
+		fixture, fixture_send(fixture, "/hold", call), &status));
+	/* The next request is not delayed by it. */
+	assert_non_null(fixture_get(fixture, "/", &status));
+	assert_int_equal(fixture->closed, 1);
+	/* A reply to a closed request is discarded. */
+	jt_http_reply(fixture->held, 200, "text/plain", "late\n");
+	assert_non_null(fixture_get(fixture, "/", &status));
+	assert_int_equal(fixture->closed, 3);
+	talloc_free(fixture);
 }
 
-static void test_answer_may_come_later(void **state)
+static void test_deferred_reply(void **state)
 {
-	struct bench *bench = bench_create();
-	struct tevent_req *req = bench_hold(bench);
+	struct fixture *fixture = fixture_create();
+	struct tevent_req *req = fixture_hold(fixture);
 	long status = 0;
 
 	(void)state;
-	jt_http_reply(bench->held, 503, "text/plain", "later\n");
-	assert_string_equal(bench_finish(bench, req, &status), "later\n");
+	jt_http_reply(fixture->held, 503, "text/plain", "later\n");
+	assert_string_equal(fixture_finish(fixture, req, &status), "later\n");
 	assert_int_equal(status, 503);
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
-static void test_call_that_is_freed_ends(void **state)
+static void test_freed_request_is_closed(void **state)
 {
-	struct bench *bench = bench_create();
-	struct tevent_req *req = bench_hold(bench);
+	struct fixture *fixture = fixture_create();
+	struct tevent_req *req = fixture_hold(fixture);
 	long status = 0;
 
 	(void)state;
 	talloc_free(req);
-	assert_non_null(bench_get(bench, "/", &status));
-	assert_int_equal(bench->closed, 1);
-	/* What was never answered ends with the server. */
-	TALLOC_FREE(bench->server);
-	assert_int_equal(bench->closed, 2);
-	talloc_free(bench);
+	assert_non_null(fixture_get(fixture, "/", &status));
+	assert_int_equal(fixture->closed, 1);
+	/* A request without a reply is closed with the server. */
+	TALLOC_FREE(fixture->server);
+	assert_int_equal(fixture->closed, 2);
+	talloc_free(fixture);
 }
 
-static void test_refused_connection_is_an_error(void **state)
+static void test_refused_connection_fails(void **state)
 {
-	struct bench *bench = bench_create();
+	struct fixture *fixture = fixture_create();
 	long status = 0;
 
 	(void)state;
-	TALLOC_FREE(bench->server);
-	assert_null(bench_get(bench, "/", &status));
-	talloc_free(bench);
+	TALLOC_FREE(fixture->server);
+	assert_null(fixture_get(fixture, "/", &status));
+	talloc_free(fixture);
 }
 
-/* A connection that was kept is of no use after the server's restart; numbers
- * of closed sockets are used again. */
-static void test_server_that_starts_again_is_reached(void **state)
+/* Kept connections are dead after a restart of the server, and descriptors of
+ * closed sockets are reused. */
+static void test_restarted_server_is_reached(void **state)
 {
-	struct bench *bench = bench_create();
+	struct fixture *fixture = fixture_create();
 	long status = 0;
 
 	(void)state;
 	for (int i = 0; i < 5; i++) {
-		assert_non_null(bench_get(bench, "/", &status));
-		TALLOC_FREE(bench->server);
-		server_start(bench);
-		/* The kept connection's end may come with this call. */
-		if (bench_get(bench, "/", &status) == NULL)
-			assert_non_null(bench_get(bench, "/", &status));
+		assert_non_null(fixture_get(fixture, "/", &status));
+		TALLOC_FREE(fixture->server);
+		server_start(fixture);
+		/* The end of the kept connection may fail this request. */
+		if (fixture_get(fixture, "/", &status) == NULL)
+			assert_non_null(fixture_get(fixture, "/", &status));
 	}
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
-/* Sockets of others that get the numbers of those that libevent closed. */
+/* Unrelated sockets that reuse descriptors which libevent closed. */
 
 enum { PAIRS = 4 };
 
 struct pairs {
-	struct bench *bench;
+	struct fixture *fixture;
 	int ends[PAIRS][2];
-	unsigned heard;
+	unsigned readable;
 };
 
 static void on_readable(struct tevent_context *loop, struct tevent_fd *fd,
@@ -301,7 +305,7 @@
 
 	(void)loop;
 	(void)flags;
-	pairs->heard++;
+	pairs->readable++;
 	tevent_fd_set_flags(fd, 0);
 }
 
@@ -312,65 +316,67 @@
 			socketpair(AF_UNIX, SOCK_STREAM, 0, pairs->ends[i]), 0);
 		for (int end = 0; end < 2; end++)
 			assert_non_null(tevent_add_fd(
-				pairs->bench->loop, pairs, pairs->ends[i][end],
-				TEVENT_FD_READ, on_readable, pairs));
+				pairs->fixture->loop, pairs,
+				pairs->ends[i][end], TEVENT_FD_READ,
+				on_readable, pairs));
 	}
 }
 
-static void test_closed_numbers_belong_to_others(void **state)
+static void test_reused_descriptors_of_closed_sockets(void **state)
 {
-	struct bench *bench = bench_create();
-	struct pairs *pairs = talloc_zero(bench, struct pairs);
-	struct tevent_req *req = bench_hold(bench);
+	struct fixture *fixture = fixture_create();
+	struct pairs *pairs = talloc_zero(fixture, struct pairs);
+	struct tevent_req *req = fixture_hold(fixture);
 	long status = 0;
 
 	(void)state;
-	pairs->bench = bench;
-	/* Its connection is closed just before the pairs are opened. */
+	pairs->fixture = fixture;
+	/* Closes its connection just before the pairs are opened. */
 	talloc_free(req);
 	pairs_open(pairs);
-	assert_non_null(bench_get(bench, "/", &status));
+	assert_non_null(fixture_get(fixture, "/", &status));
 	for (int i = 0; i < PAIRS; i++) {
 		assert_int_equal(write(pairs->ends[i][0], "x", 1), 1);
 		assert_int_equal(write(pairs->ends[i][1], "x", 1), 1);
 	}
-	while (pairs->heard < 2 * PAIRS)
-		tevent_loop_once(bench->loop);
+	while (pairs->readable < 2 * PAIRS)
+		tevent_loop_once(fixture->loop);
 	for (int i = 0; i < PAIRS; i++) {
 		close(pairs->ends[i][0]);
 		close(pairs->ends[i][1]);
 	}
-	talloc_free(bench);
+	talloc_free(fixture);
 }
 
 static void test_tls_and_streams_are_refused(void **state)
 {
-	struct bench *bench = bench_create();
+	struct fixture *fixture = fixture_create();
 	const struct jt_http_options options = {
-		.address = bench->address, .certificate = "-", .key = "-"};
+		.address = fixture->address, .certificate = "-", .key = "-"};
 	struct jt_http_call call = {.ca = "ca.pem"};
 	long status = 0;
 
 	(void)state;
-	assert_null(jt_http_server_create(bench, bench->loop, &options,
-					  on_request, bench));
+	assert_null(jt_http_server_create(fixture, fixture->loop, &options,
+					  on_request, fixture));
 	assert_int_equal(errno, ENOTSUP);
-	assert_null(bench_finish(bench, bench_send(bench, "/", call), &status));
-	talloc_free(bench);
+	assert_null(fixture_finish(fixture, fixture_send(fixture, "/", call),
+				   &status));
+	talloc_free(fixture);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_what_is_asked_arrives),
-		cmocka_unit_test(test_bytes_and_headers_come_back),
-		cmocka_unit_test(test_many_at_once),
-		cmocka_unit_test(test_late_answer_is_none),
-		cmocka_unit_test(test_answer_may_come_later),
-		cmocka_unit_test(test_call_that_is_freed_ends),
-		cmocka_unit_test(test_refused_connection_is_an_error),
-		cmocka_unit_test(test_server_that_starts_again_is_reached),
-		cmocka_unit_test(test_closed_numbers_belong_to_others),
+		cmocka_unit_test(test_request_and_reply),
+		cmocka_unit_test(test_binary_body_and_header_of_reply),
+		cmocka_unit_test(test_concurrent_requests),
+		cmocka_unit_test(test_late_reply_is_discarded),
+		cmocka_unit_test(test_deferred_reply),
+		cmocka_unit_test(test_freed_request_is_closed),
+		cmocka_unit_test(test_refused_connection_fails),
+		cmocka_unit_test(test_restarted_server_is_reached),
+		cmocka_unit_test(test_reused_descriptors_of_closed_sockets),
 		cmocka_unit_test(test_tls_and_streams_are_refused),
 	};
 
--- a/tests/test_http_silent.c
+++ b/tests/test_http_silent.c
@@ -1,5 +1,5 @@
-/* Connections that fall silent without an end while new ones work; built once
- * for each HTTP client. */
+/* Guards against reuse of kept connections after one of them stopped answering
+ * without being closed; built once for each HTTP client. */
 #include "test.h"
 
 #include "jt_http_client.h"
@@ -16,16 +16,16 @@
 	LOOPBACK = 0x7f000001,
 	SHORT_MS = 100,
 	LONG_MS = 5000,
-	CONNECTIONS = 3, /* that rest when all fall silent */
-	REQUEST_MOST = 2048,
+	CONNECTIONS = 3, /* idle when all stop answering */
+	REQUEST_MAX = 2048,
 };
 
-/* A server that knows nothing but one answer. */
+/* A server that sends the same reply to every request. */
 struct server {
 	struct tevent_context *loop;
 	int fd;
 	struct jt_address address;
-	bool answers; /* false: requests wait */
+	bool replies; /* false: requests get no reply yet */
 	unsigned accepted;
 	struct connection *connections;
 };
@@ -34,16 +34,16 @@
 	struct server *server;
 	struct connection *next;
 	int fd;
-	bool waits;  /* a request has come and has no answer */
-	bool silent; /* for good */
+	bool pending; /* a request has no reply yet */
+	bool silent;  /* never replies again */
 };
 
-static void answer(struct connection *connection)
+static void reply(struct connection *connection)
 {
 	static const char text[] =
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-	connection->waits = false;
+	connection->pending = false;
 	assert_int_equal(
 		send(connection->fd, text, sizeof(text) - 1, MSG_NOSIGNAL),
 		sizeof(text) - 1);
@@ -53,7 +53,7 @@
 		       uint16_t flags, void *private_data)
 {
 	struct connection *connection = private_data;
-	char request[REQUEST_MOST];
+	char request[REQUEST_MAX];
 	ssize_t length = recv(connection->fd, request, sizeof(request), 0);
 
 	(void)loop;
@@ -64,9 +64,9 @@
 	}
 	if (connection->silent)
 		return;
-	connection->waits = true;
-	if (connection->server->answers)
-		answer(connection);
+	connection->pending = true;
+	if (connection->server->replies)
+		reply(connection);
 }
 
 static void on_connection(struct tevent_context *loop, struct tevent_fd *event,
@@ -98,7 +98,7 @@
 	socklen_t size = sizeof(name);
 
 	server->loop = loop;
-	server->answers = true;
+	server->replies = true;
 	server->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 	assert_int_equal(bind(server->fd, (struct sockaddr *)&name, size), 0);
 	assert_int_equal(listen(server->fd, CONNECTIONS * 2), 0);
@@ -110,56 +110,58 @@
 	return server;
 }
 
-static struct tevent_req *call(const struct server *server,
-			       struct jt_http_client *client, long timeout_ms)
+static struct tevent_req *send_request(const struct server *server,
+				       struct jt_http_client *client,
+				       long timeout_ms)
 {
-	struct jt_http_call what = {.method = "GET", .timeout_ms = timeout_ms};
+	struct jt_http_call request = {.method = "GET",
+				       .timeout_ms = timeout_ms};
 	char address[JT_ADDRESS_TEXT], url[64];
 
 	snprintf(url, sizeof(url), "http://%s/",
 		 jt_address_format(server->address, address));
-	what.url = url;
-	return jt_http_send(client, client, &what);
+	request.url = url;
+	return jt_http_send(client, client, &request);
 }
 
-/* Whether the call got an answer. */
-static bool finish(const struct server *server, struct tevent_req *req)
+/* Waits for the end of the request; returns true if a reply arrived. */
+static bool wait_for_reply(const struct server *server, struct tevent_req *req)
 {
 	char *body = NULL;
 	long status = 0;
-	bool answered;
+	bool replied;
 
 	assert_true(tevent_req_poll(req, server->loop));
-	answered = jt_http_recv(req, req, &status, &body, NULL) == 0;
+	replied = jt_http_recv(req, req, &status, &body, NULL) == 0;
 	talloc_free(req);
-	return answered;
+	return replied;
 }
 
-/* Some connections that rest, all with an answer behind them. */
+/* Opens CONNECTIONS idle connections that have each carried a reply. */
 static void connections_open(struct server *server,
 			     struct jt_http_client *client)
 {
-	struct tevent_req *calls[CONNECTIONS];
+	struct tevent_req *requests[CONNECTIONS];
 
-	server->answers = false;
+	server->replies = false;
 	for (int i = 0; i < CONNECTIONS; i++)
-		calls[i] = call(server, client, LONG_MS);
+		requests[i] = send_request(server, client, LONG_MS);
 	while (server->accepted < CONNECTIONS)
 		tevent_loop_once(server->loop);
 	for (struct connection *connection = server->connections;
 	     connection != NULL; connection = connection->next) {
-		while (!connection->waits)
+		while (!connection->pending)
 			tevent_loop_once(server->loop);
-		answer(connection);
+		reply(connection);
 	}
-	server->answers = true;
+	server->replies = true;
 	for (int i = 0; i < CONNECTIONS; i++)
-		assert_true(finish(server, calls[i]));
+		assert_true(wait_for_reply(server, requests[i]));
 }
 
-/* One call shows it: the next one does not take a connection that rested as
- * long as the one that said nothing. */
-static void test_silence_of_one_ends_all(void **state)
+/* After one request without a reply the next one opens a new connection instead
+ * of taking another one that was idle as long. */
+static void test_silent_connection_ends_reuse_of_others(void **state)
 {
 	struct tevent_context *loop = tevent_context_init(NULL);
 	struct jt_http_client *client = jt_http_client_create(loop, loop);
@@ -171,15 +173,17 @@
 	for (struct connection *connection = server->connections;
 	     connection != NULL; connection = connection->next)
 		connection->silent = true;
-	assert_false(finish(server, call(server, client, SHORT_MS)));
-	assert_true(finish(server, call(server, client, SHORT_MS)));
+	assert_false(
+		wait_for_reply(server, send_request(server, client, SHORT_MS)));
+	assert_true(
+		wait_for_reply(server, send_request(server, client, SHORT_MS)));
 	talloc_free(loop);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_silence_of_one_ends_all),
+		cmocka_unit_test(test_silent_connection_ends_reuse_of_others),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_resource.c
+++ b/tests/test_resource.c
@@ -1,4 +1,5 @@
-/* Resources: every error names resource, field and reason; races conflict. */
+/* Tests of resource documents: errors name resource, field and reason, and
+ * concurrent changes of one version conflict. */
 #include "test.h"
 
 #include "jt_change.h"
@@ -6,7 +7,7 @@
 
 #include <stdio.h>
 
-static const char good[] =
+static const char valid_document[] =
 	"{\"groups\":[{\"name\":\"a\"},{\"name\":\"b\"}],"
 	"\"services\":[{\"name\":\"s\",\"kind\":\"stream\"},"
 	"{\"name\":\"r\",\"kind\":\"request\"}],"
@@ -20,7 +21,7 @@
 static void expect_error(const char *kind, const char *entry,
 			 const char *resource, const char *field)
 {
-	json_t *document = json_loads(good, 0, NULL);
+	json_t *document = json_loads(valid_document, 0, NULL);
 	struct jt_resource_error error;
 
 	json_array_append_new(json_object_get(document, kind),
@@ -32,9 +33,9 @@
 	json_decref(document);
 }
 
-static void test_good(void **state)
+static void test_valid_document(void **state)
 {
-	json_t *document = json_loads(good, 0, NULL);
+	json_t *document = json_loads(valid_document, 0, NULL);
 	struct jt_resource_error error;
 	struct jt_config *config = jt_resource_build(NULL, document, 4, &error);
 
@@ -113,9 +114,9 @@
 	return result;
 }
 
-static void test_racing_operators(void **state)
+static void test_concurrent_changes_conflict(void **state)
 {
-	json_t *document = json_loads(good, 0, NULL);
+	json_t *document = json_loads(valid_document, 0, NULL);
 	struct jt_resource_error error;
 	static const char first[] =
 		"{\"shares\":[{\"service\":\"s\",\"group\":\"a\","
@@ -135,9 +136,9 @@
 	json_decref(document);
 }
 
-static void test_deletion_of_what_is_used(void **state)
+static void test_deletion_of_resource_in_use(void **state)
 {
-	json_t *document = json_loads(good, 0, NULL);
+	json_t *document = json_loads(valid_document, 0, NULL);
 	struct jt_change removal = {.kind = JT_RESOURCE_GROUP, .name = "a"};
 	struct jt_resource_error error;
 	json_t *after;
@@ -162,7 +163,7 @@
 
 static void test_write_ids_are_bounded(void **state)
 {
-	json_t *document = json_loads(good, 0, NULL);
+	json_t *document = json_loads(valid_document, 0, NULL);
 	struct jt_resource_error error;
 	char id[16];
 
@@ -177,10 +178,10 @@
 	json_decref(document);
 }
 
-/* An address of another group can't be taken over by naming it. */
+/* Guards against taking over an address of another group by naming it. */
 static void test_change_of_another_group(void **state)
 {
-	json_t *document = json_loads(good, 0, NULL);
+	json_t *document = json_loads(valid_document, 0, NULL);
 	json_t *address = json_pack("{s:s,s:s,s:s,s:s,s:s}", "name", "x",
 				    "address", "10.1.0.1:80", "protocol", "tcp",
 				    "service", "s", "group", "b");
@@ -206,10 +207,10 @@
 	json_decref(document);
 }
 
-/* Grows the document by endpoints until one is refused. */
+/* Adds endpoints until the document reaches its limit. */
 static void test_document_is_bounded(void **state)
 {
-	json_t *document = json_loads(good, 0, NULL);
+	json_t *document = json_loads(valid_document, 0, NULL);
 	enum jt_change_result result = JT_CHANGE_OK;
 	struct jt_resource_error error;
 	json_t *after;
@@ -240,7 +241,7 @@
 	}
 	assert_int_equal(result, JT_CHANGE_INVALID);
 	assert_non_null(strstr(error.reason, "bytes"));
-	/* With the longest ids it still fits in one datagram. */
+	/* With the longest write ids it still fits into one datagram. */
 	assert_true(json_dumpb(document, NULL, 0, JSON_COMPACT) +
 			    (size_t)JT_WRITE_IDS * JT_WRITE_ID_BYTES <
 		    JT_FRAME_MAX);
@@ -250,10 +251,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_good),
+		cmocka_unit_test(test_valid_document),
 		cmocka_unit_test(test_errors),
-		cmocka_unit_test(test_racing_operators),
-		cmocka_unit_test(test_deletion_of_what_is_used),
+		cmocka_unit_test(test_concurrent_changes_conflict),
+		cmocka_unit_test(test_deletion_of_resource_in_use),
 		cmocka_unit_test(test_write_ids_are_bounded),
 		cmocka_unit_test(test_document_is_bounded),
 		cmocka_unit_test(test_change_of_another_group),
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,5 @@
-/* Settings: a wrong one is named with file, line, key and what is allowed. */
+/* Tests of the settings file: an error names the file, the line, the key and
+ * the allowed values. */
 #include "test.h"
 
 #include "jt_settings.h"
@@ -21,7 +22,7 @@
 	return text;
 }
 
-/* The example with @from replaced by @to. */
+/* Loads the example with @from replaced by @to. */
 static struct jt_settings *load(const char *from, const char *to, char **error)
 {
 	char *text = read_example();
@@ -41,12 +42,12 @@
 	return jt_settings_load(NULL, name, error);
 }
 
-static void expect_error(const char *from, const char *to, const char *part)
+static void expect_error(const char *from, const char *to, const char *message)
 {
 	char *error;
 
 	assert_null(load(from, to, &error));
-	assert_non_null(strstr(error, part));
+	assert_non_null(strstr(error, message));
 	assert_non_null(strstr(error, name));
 	talloc_free(error);
 }
