--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -1,12 +1,12 @@
-/* Frames between nodes: keys, receivers, replays. */
+/* Tests of frames between nodes: authentication, key rotation and replays. */
 #include "test.h"
 
 #include "jt_codec.h"
 
 #include <sodium.h>
 
-static const struct jt_address here = {0x7f000001, 6081};
-static const struct jt_address elsewhere = {0x7f000002, 6081};
+static const struct jt_address receiver = {0x7f000001, 6081};
+static const struct jt_address other_receiver = {0x7f000002, 6081};
 static uint8_t frame[JT_FRAME_MAX];
 
 static struct jt_keys one_key(uint8_t id)
@@ -24,7 +24,7 @@
 				   .body.kind = JT_WIRE_STATE_REQUEST};
 
 	message.body.jt_wire_body_u.state_request.epoch = 7;
-	return jt_codec_encode(keys, here, sequence, &message, frame);
+	return jt_codec_encode(keys, receiver, sequence, &message, frame);
 }
 
 static enum jt_codec_error decode(const struct jt_keys *keys,
@@ -44,36 +44,37 @@
 	return error;
 }
 
-static void test_round_trip_and_damage(void **state)
+static void test_round_trip_and_corruption(void **state)
 {
 	struct jt_keys keys = one_key(1);
 	size_t length = encode(&keys, 5);
 
 	(void)state;
-	assert_int_equal(decode(&keys, here, length), JT_CODEC_OK);
-	assert_int_equal(decode(&keys, elsewhere, length), JT_CODEC_TAG);
+	assert_int_equal(decode(&keys, receiver, length), JT_CODEC_OK);
+	assert_int_equal(decode(&keys, other_receiver, length), JT_CODEC_TAG);
 	for (size_t i = 1; i < length; i++) {
 		frame[i] ^= 0x10;
-		assert_int_equal(decode(&keys, here, length), JT_CODEC_TAG);
+		assert_int_equal(decode(&keys, receiver, length), JT_CODEC_TAG);
 		frame[i] ^= 0x10;
 	}
-	assert_int_equal(decode(&keys, here, length - 1), JT_CODEC_TAG);
-	assert_int_equal(decode(&keys, here, 10), JT_CODEC_SHORT);
+	assert_int_equal(decode(&keys, receiver, length - 1), JT_CODEC_TAG);
+	assert_int_equal(decode(&keys, receiver, 10), JT_CODEC_SHORT);
 }
 
-static void test_keys_roll(void **state)
+static void test_key_rotation(void **state)
 {
-	struct jt_keys old = one_key(1), both = one_key(1), fresh = one_key(2);
-	size_t length = encode(&old, 1);
+	struct jt_keys old_keys = one_key(1), both_keys = one_key(1),
+		       new_keys = one_key(2);
+	size_t length = encode(&old_keys, 1);
 
 	(void)state;
-	assert_int_equal(decode(&fresh, here, length), JT_CODEC_KEY);
-	both.keys[1] = fresh.keys[0];
-	both.count = 2;
-	assert_int_equal(decode(&both, here, length), JT_CODEC_OK);
-	length = encode(&fresh, 1);
-	assert_int_equal(decode(&both, here, length), JT_CODEC_OK);
-	assert_int_equal(decode(&old, here, length), JT_CODEC_KEY);
+	assert_int_equal(decode(&new_keys, receiver, length), JT_CODEC_KEY);
+	both_keys.keys[1] = new_keys.keys[0];
+	both_keys.count = 2;
+	assert_int_equal(decode(&both_keys, receiver, length), JT_CODEC_OK);
+	length = encode(&new_keys, 1);
+	assert_int_equal(decode(&both_keys, receiver, length), JT_CODEC_OK);
+	assert_int_equal(decode(&old_keys, receiver, length), JT_CODEC_KEY);
 }
 
 static void test_replay_window(void **state)
@@ -94,8 +95,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_round_trip_and_damage),
-		cmocka_unit_test(test_keys_roll),
+		cmocka_unit_test(test_round_trip_and_corruption),
+		cmocka_unit_test(test_key_rotation),
 		cmocka_unit_test(test_replay_window),
 	};
 
--- a/tests/test_packet.c
+++ b/tests/test_packet.c
@@ -1,4 +1,4 @@
-/* Caller packets: what is taken, what is dropped and why, and resets. */
+/* Tests of parsing client packets, the reasons for drops, and reset packets. */
 #include "test.h"
 
 #include "jt_packet.h"
@@ -9,7 +9,7 @@
 	at[1] = (uint8_t)value;
 }
 
-/* A right SYN of 40 bytes, 10.0.0.1:1234 to 10.0.0.2:80. */
+/* Writes a valid SYN of 40 bytes from 10.0.0.1:1234 to 10.0.0.2:80. */
 static void make_syn(uint8_t packet[40])
 {
 	memset(packet, 0, 40);
@@ -28,13 +28,13 @@
 	packet[33] = JT_TCP_SYN;
 }
 
-static void fix_checksum(uint8_t *packet)
+static void update_checksum(uint8_t *packet)
 {
 	put16(packet + 10, 0);
 	put16(packet + 10, jt_checksum(packet, 20, 0));
 }
 
-static void test_right_packet(void **state)
+static void test_valid_packet(void **state)
 {
 	struct jt_parsed parsed;
 	uint8_t packet[40];
@@ -50,7 +50,7 @@
 	assert_int_equal(parsed.segment_length, 1);
 }
 
-static void test_bad_packets(void **state)
+static void test_invalid_packets(void **state)
 {
 	static const struct {
 		size_t at;
@@ -79,7 +79,7 @@
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		make_syn(packet);
 		packet[cases[i].at] = cases[i].value;
-		fix_checksum(packet);
+		update_checksum(packet);
 		assert_int_equal(jt_packet_parse(packet, 40, &parsed),
 				 cases[i].error);
 	}
@@ -94,20 +94,20 @@
 
 static void test_reset(void **state)
 {
-	struct jt_parsed parsed, answer;
+	struct jt_parsed parsed, parsed_reset;
 	uint8_t packet[40], reset[JT_RESET_SIZE];
 
 	(void)state;
 	make_syn(packet);
 	jt_packet_parse(packet, 40, &parsed);
 	assert_int_equal(jt_packet_reset(&parsed, reset), JT_RESET_SIZE);
-	assert_int_equal(jt_packet_parse(reset, JT_RESET_SIZE, &answer),
+	assert_int_equal(jt_packet_parse(reset, JT_RESET_SIZE, &parsed_reset),
 			 JT_PACKET_OK);
-	assert_int_equal(answer.key.source, parsed.key.destination);
-	assert_int_equal(answer.key.destination, parsed.key.source);
-	assert_int_equal(answer.tcp_flags, JT_TCP_RST | JT_TCP_ACK);
-	/* RFC 9293: it acknowledges the SYN, or it would be ignored. */
-	assert_int_equal(answer.acknowledgment, 10);
+	assert_int_equal(parsed_reset.key.source, parsed.key.destination);
+	assert_int_equal(parsed_reset.key.destination, parsed.key.source);
+	assert_int_equal(parsed_reset.tcp_flags, JT_TCP_RST | JT_TCP_ACK);
+	/* RFC 9293: a reset that does not acknowledge the SYN is ignored. */
+	assert_int_equal(parsed_reset.acknowledgment, 10);
 	parsed.tcp_flags = JT_TCP_RST;
 	assert_int_equal(jt_packet_reset(&parsed, reset), 0);
 }
@@ -115,8 +115,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_right_packet),
-		cmocka_unit_test(test_bad_packets),
+		cmocka_unit_test(test_valid_packet),
+		cmocka_unit_test(test_invalid_packets),
 		cmocka_unit_test(test_reset),
 	};
 
--- a/tests/test_tables.c
+++ b/tests/test_tables.c
@@ -1,4 +1,4 @@
-/* Flow records, fair shares and the pure functions over the cell state. */
+/* Tests of the flow table, fair shares and transitions of the cell state. */
 #include "test.h"
 
 #include "jaspertrack/cell.h"
@@ -29,9 +29,9 @@
 		jt_flow_table_add(table, &key)->endpoint_id = i + 1;
 	}
 	{
-		struct jt_flow_key one_more = key_of(FLOWS);
+		struct jt_flow_key extra_key = key_of(FLOWS);
 
-		assert_null(jt_flow_table_add(table, &one_more));
+		assert_null(jt_flow_table_add(table, &extra_key));
 	}
 	/* Remove every other one; the rest must still be found. */
 	for (uint32_t i = 0; i < FLOWS; i += 2) {
@@ -57,18 +57,18 @@
 	struct jt_share_use uses[2] = {{3, 0}, {1, 0}};
 
 	(void)state;
-	/* Alone, a group borrows all but half of the other's idle share. */
+	/* A group may borrow half of the idle share of the other group. */
 	uses[1].open = 61;
 	assert_true(jt_share_admit(uses, 2, 1, 100, 500));
 	uses[1].open = 62;
 	assert_true(jt_share_admit(uses, 2, 1, 100, 500));
 	uses[1].open = 63;
 	assert_false(jt_share_admit(uses, 2, 1, 100, 500));
-	/* The owner of the share gets in at once while there is room. */
+	/* The owner of the share is admitted while there is capacity. */
 	assert_true(jt_share_admit(uses, 2, 0, 100, 500));
 	uses[0].open = 37;
 	assert_false(jt_share_admit(uses, 2, 0, 100, 500));
-	/* Nothing kept back: full lending; everything: a static split. */
+	/* Nothing reserved: full borrowing; all reserved: a static split. */
 	uses[0].open = 0;
 	uses[1].open = 99;
 	assert_true(jt_share_admit(uses, 2, 1, 100, 0));
@@ -108,7 +108,7 @@
 	f->proposal.endpoints.endpoints_len = ENDPOINTS;
 }
 
-static size_t exceptional(const struct jt_cell_state *state)
+static size_t count_exceptional_buckets(const struct jt_cell_state *state)
 {
 	size_t count = 0;
 
@@ -117,33 +117,35 @@
 	return count;
 }
 
-static void test_first_state(void **state)
+static void test_initial_cell_state(void **state)
 {
 	struct jt_cell_state *cell;
-	uint32_t plain[ENDPOINTS] = {0};
+	uint32_t default_buckets[ENDPOINTS] = {0};
 	struct fixture f;
 
 	(void)state;
 	fixture_init(&f);
 	cell = jt_cell_apply(NULL, 9, NULL, &f.proposal, &f.config, 0);
-	assert_int_equal(exceptional(cell), 205); /* 20% of 1024, rounded up */
+	assert_int_equal(count_exceptional_buckets(cell),
+			 205); /* 20% of 1024, rounded up */
 	for (size_t b = 0; b < JT_BUCKETS; b++) {
 		const struct jt_table *t = &cell->tables[0];
 
 		assert_int_not_equal(cell->members[t->owner[b]].zone,
 				     cell->members[t->replica[b]].zone);
 		if (!jt_bit_get(t->exceptional, b))
-			plain[t->default_index[b]]++;
+			default_buckets[t->default_index[b]]++;
 	}
 	for (size_t e = 0; e < ENDPOINTS; e++)
-		assert_in_range(plain[e], 54, 55);
+		assert_in_range(default_buckets[e], 54, 55);
 	talloc_free(cell);
 }
 
-/* A drain marks its buckets; they stay marked until declared clean. */
-static void test_sticky(void **state)
+/* A drain marks the buckets of its endpoint as exceptional until they are
+ * declared clean. */
+static void test_drained_buckets_stay_exceptional(void **state)
 {
-	struct jt_cell_state *first, *drained, *back, *clean;
+	struct jt_cell_state *first, *drained, *returned, *clean;
 	jt_wire_bucket buckets[JT_BUCKETS];
 	struct fixture f;
 	size_t marked, free_buckets;
@@ -151,33 +153,33 @@
 	(void)state;
 	fixture_init(&f);
 	first = jt_cell_apply(NULL, 9, NULL, &f.proposal, &f.config, 0);
-	free_buckets = exceptional(first);
+	free_buckets = count_exceptional_buckets(first);
 	f.proposal.epoch = 2;
 	f.endpoints[3].port_state = JT_ENDPOINT_DRAINING;
 	drained = jt_cell_apply(NULL, 9, first, &f.proposal, &f.config, 0);
-	marked = exceptional(drained);
+	marked = count_exceptional_buckets(drained);
 	assert_in_range(marked - free_buckets, 54, 55);
 	assert_memory_equal(first->tables[0].defaults,
 			    drained->tables[0].defaults,
 			    sizeof(first->tables[0].defaults));
 	f.proposal.epoch = 3;
 	f.endpoints[3].port_state = JT_ENDPOINT_UP;
-	back = jt_cell_apply(NULL, 9, drained, &f.proposal, &f.config, 0);
-	assert_int_equal(exceptional(back), marked);
+	returned = jt_cell_apply(NULL, 9, drained, &f.proposal, &f.config, 0);
+	assert_int_equal(count_exceptional_buckets(returned), marked);
 	for (u_int b = 0; b < JT_BUCKETS; b++)
 		buckets[b] = (jt_wire_bucket){77, b};
 	f.proposal.epoch = 4;
 	f.proposal.clean.clean_val = buckets;
 	f.proposal.clean.clean_len = JT_BUCKETS;
-	clean = jt_cell_apply(NULL, 9, back, &f.proposal, &f.config, 0);
-	assert_int_equal(exceptional(clean), free_buckets);
+	clean = jt_cell_apply(NULL, 9, returned, &f.proposal, &f.config, 0);
+	assert_int_equal(count_exceptional_buckets(clean), free_buckets);
 	talloc_free(first);
 	talloc_free(drained);
-	talloc_free(back);
+	talloc_free(returned);
 	talloc_free(clean);
 }
 
-static void test_state_over_the_wire(void **state)
+static void test_wire_round_trip_of_cell_state(void **state)
 {
 	struct jt_cell_state *first, *copy;
 	jt_wire_state wire = {0};
@@ -204,9 +206,9 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_flow_table),
 		cmocka_unit_test(test_shares),
-		cmocka_unit_test(test_first_state),
-		cmocka_unit_test(test_sticky),
-		cmocka_unit_test(test_state_over_the_wire),
+		cmocka_unit_test(test_initial_cell_state),
+		cmocka_unit_test(test_drained_buckets_stay_exceptional),
+		cmocka_unit_test(test_wire_round_trip_of_cell_state),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_traffic.c
+++ b/tests/test_traffic.c
@@ -1,7 +1,7 @@
 /*
- * Traffic threads with real sockets on loopback: what the table decides goes
- * to the endpoint, the rest to control, and a lost lease stops the table.
- * The threads run under ThreadSanitizer in `make check`.
+ * Tests of traffic threads on loopback sockets: packets with a table entry go
+ * to the endpoint, others to the control thread; without a lease all of them
+ * go to the control thread. `make check` also runs them with ThreadSanitizer.
  */
 #include "test.h"
 
@@ -16,38 +16,39 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-enum { PACKETS = 200, PATIENCE_MS = 20000 };
+enum { PACKETS = 200, TIMEOUT_MS = 20000 };
 
-/* Set by main() for this process alone: the threads share their port with
- * whoever binds it, which would be another run of this test. */
-static struct jt_address data = {0x7f3c0000, 6080};
-static struct jt_address endpoint = {0x7f3d0000, 6080};
+/* Made unique by main() for each process: traffic threads share their port, so
+ * parallel runs of this test would receive each other's packets. */
+static struct jt_address data_address = {0x7f3c0000, 6080};
+static struct jt_address endpoint_address = {0x7f3d0000, 6080};
 
-/* A node alone in its cell, with one service and one endpoint. */
+/* Returns the core of a single-node cell with one service and one endpoint. */
 static struct jt_core *make_core(TALLOC_CTX *mem_ctx)
 {
 	struct jt_core_options options;
 	struct jt_core *core;
 
 	jt_core_options_init(&options);
-	core = lone_core_make(mem_ctx, jt_actions_create(mem_ctx),
-			      lone_config_make(mem_ctx, 1, endpoint, 1000, 0),
-			      options.flow_limit);
+	core = lone_core_make(
+		mem_ctx, jt_actions_create(mem_ctx),
+		lone_config_make(mem_ctx, 1, endpoint_address, 1000, 0),
+		options.flow_limit);
 	assert_non_null(jt_core_state(core));
 	return core;
 }
 
-static int receive(int fd, unsigned want)
+static int receive(int fd, unsigned expected)
 {
 	struct pollfd wait = {.fd = fd, .events = POLLIN};
 	uint8_t packet[100];
-	unsigned got = 0;
+	unsigned received = 0;
 
-	while (got < want && poll(&wait, 1, PATIENCE_MS) == 1) {
+	while (received < expected && poll(&wait, 1, TIMEOUT_MS) == 1) {
 		while (recv(fd, packet, sizeof(packet), MSG_DONTWAIT) == 40)
-			got++;
+			received++;
 	}
-	return (int)got;
+	return (int)received;
 }
 
 static void send_packets(int fd, uint8_t flags)
@@ -55,7 +56,7 @@
 	struct sockaddr_in to;
 	uint8_t packet[40];
 
-	jt_address_to_socket(data, &to);
+	jt_address_to_socket(data_address, &to);
 	for (unsigned i = 0; i < PACKETS; i++) {
 		tcp_packet_make(packet, 40, (uint16_t)(2000 + i), flags);
 		assert_int_equal(sendto(fd, packet, 40, 0,
@@ -65,22 +66,22 @@
 }
 
 static unsigned drain_queue(struct jt_traffic *traffic, int wake_fd,
-			    unsigned want)
+			    unsigned expected)
 {
 	struct pollfd wait = {.fd = wake_fd, .events = POLLIN};
 	struct jt_slow_packet *packet;
-	unsigned got = 0;
+	unsigned received = 0;
 	uint64_t value;
 
-	while (got < want && poll(&wait, 1, PATIENCE_MS) == 1) {
+	while (received < expected && poll(&wait, 1, TIMEOUT_MS) == 1) {
 		assert_int_equal(read(wake_fd, &value, sizeof(value)), 8);
 		while ((packet = jt_traffic_next(traffic)) != NULL) {
 			assert_int_equal(packet->length, 40);
 			free(packet);
-			got++;
+			received++;
 		}
 	}
-	return got;
+	return received;
 }
 
 static void test_table_and_queue(void **state)
@@ -88,25 +89,25 @@
 	TALLOC_CTX *frame = talloc_new(NULL);
 	struct jt_core *core = make_core(frame);
 	int wake_fd = eventfd(0, 0);
-	int sink = jt_udp_open(endpoint, false);
+	int sink = jt_udp_open(endpoint_address, false);
 	int source = socket(AF_INET, SOCK_DGRAM, 0);
 	struct jt_traffic_counters counters;
 	struct jt_traffic *traffic;
 
 	(void)state;
-	traffic = jt_traffic_create(frame, data, 2, wake_fd);
+	traffic = jt_traffic_create(frame, data_address, 2, wake_fd);
 	assert_non_null(traffic);
-	/* Without a lease nothing leaves by the table. */
+	/* Without a lease the table forwards nothing. */
 	jt_traffic_publish(traffic, core);
 	send_packets(source, JT_TCP_ACK);
 	assert_int_equal(drain_queue(traffic, wake_fd, PACKETS), PACKETS);
-	/* With one, every bucket that is not free goes straight out. */
+	/* With a lease the table forwards every bucket that is not free. */
 	jt_traffic_set_lease(traffic, UINT64_MAX);
 	for (int i = 0; i < 20; i++)
 		jt_traffic_publish(traffic, core); /* while threads read */
 	send_packets(source, JT_TCP_ACK);
 	assert_in_range(receive(sink, PACKETS / 2), PACKETS / 2, PACKETS);
-	/* First packets are always the control thread's. */
+	/* First packets always go to the control thread. */
 	send_packets(source, JT_TCP_SYN);
 	assert_true(drain_queue(traffic, wake_fd, PACKETS) >= PACKETS);
 	jt_traffic_stop(traffic);
@@ -125,7 +126,7 @@
 		cmocka_unit_test(test_table_and_queue),
 	};
 
-	data.ip |= (uint32_t)getpid() & 0xffff;
-	endpoint.ip |= (uint32_t)getpid() & 0xffff;
+	data_address.ip |= (uint32_t)getpid() & 0xffff;
+	endpoint_address.ip |= (uint32_t)getpid() & 0xffff;
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
