--- a/tests/compare-ways.sh
+++ b/tests/compare-ways.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# compare-ways.sh with a bench that is made up: pairs, spread, loads, a play
-# that fails, and going on where an earlier call was ended.
+# Tests scripts/compare-ways.sh with a fake bench: paired differences, spread,
+# loads, a failing run, and resuming an interrupted comparison.
 set -u
 top=$1
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 echo 'node = { };' >"$work/settings.cfg"
 printf 'x = @LOAD@\n' >"$work/load.toml"
-# Worth: 0.5, 0.1 less with the added setting, by a hundredth of the seed more.
+# The score G is 0.5 + seed / 100, minus 0.1 with the added setting.
 cat >"$work/bench.sh" <<'BENCH'
 day=$1 seed=$2 report=$3 settings=$4
 echo "$day $seed" >>"${settings%/*}/plays"
--- a/tests/repeat.sh
+++ b/tests/repeat.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The same seed gives the same bytes; another seed gives others.
+# Tests that a run is deterministic: equal seeds give equal output, others differ.
 set -eu
 [ "$("$1" run "$2" --seed 3)" = "$("$1" run "$2" --seed 3)" ]
 [ "$("$1" run "$2" --seed 3)" != "$("$1" run "$2" --seed 4)" ]
--- a/tests/test_soak_oracle.c
+++ b/tests/test_soak_oracle.c
@@ -1,6 +1,6 @@
 /*
- * The soak's oracle on refused first packets: what it takes for a broken
- * promise, and what a node may do. Times are virtual.
+ * Tests of the soak oracle: which refused or duplicated first packets violate
+ * the guarantees, and which are allowed. Times are virtual.
  */
 #include "soak/soak.h"
 
@@ -15,15 +15,15 @@
 	NODE = 2,
 	STEADY_SERVICE = 0,
 	OTHER_SERVICE = 1,
-	OTHER_ENDPOINT = 1, /* of the second service */
+	OTHER_ENDPOINT = 1, /* endpoint of OTHER_SERVICE */
 	LONG_AGO_MS = 1000,
 	SENT_MS = 100000,
 	JUST_BEFORE_MS = SENT_MS - 100,
-	/* Every node has to know by SENT_MS what was acknowledged by then. */
+	/* All nodes must know at SENT_MS what was acknowledged by then. */
 	KNOWN_MS = SENT_MS - SOAK_CONFIG_MS - 1,
 };
 
-/* What the oracle asks of the rest of the soak. */
+/* Stubs of the soak functions that the oracle calls. */
 
 uint64_t soak_store_put(struct soak_store *store, const char *key,
 			const char *value)
@@ -45,7 +45,7 @@
 	return soak->nodes[node].disturbed_ms + SOAK_CONTACT_MS <= since_ms;
 }
 
-/* An endpoint of each service and one version, all known for long. */
+/* One endpoint of each service and one version, all known to every node. */
 static int setup(void **state)
 {
 	struct soak *soak = talloc_zero(NULL, struct soak);
@@ -82,7 +82,7 @@
 		(struct soak_version){acked_ms, service};
 }
 
-/* The endpoint of the second service ends; another one takes its place. */
+/* Ends the endpoint of OTHER_SERVICE at @end_ms and adds a replacement. */
 static void endpoint_replaced(struct soak *soak, uint64_t end_ms)
 {
 	struct soak_endpoint *ended = &soak->endpoints[OTHER_ENDPOINT];
@@ -94,7 +94,7 @@
 	ended->end_ms = end_ms;
 }
 
-/* Whether the oracle takes a refusal of the route for a broken promise. */
+/* Returns true if the oracle reports a refusal on the route as a violation. */
 static bool refusal_breaks(struct soak *soak, uint16_t route_port)
 {
 	unsigned broken = soak->broken;
@@ -126,8 +126,8 @@
 	assert_false(refusal_breaks(soak, SOAK_STEADY_PORT));
 }
 
-/* A zone is drained by the older version's service alone; the newer one has
- * just been acknowledged. */
+/* The drained zone has the only endpoint of the older version's service; the
+ * newer version has just been acknowledged. */
 static void test_refusal_by_an_older_version_holds(void **state)
 {
 	struct soak *soak = *state;
@@ -152,12 +152,12 @@
 
 	endpoint_replaced(soak, JUST_BEFORE_MS);
 	assert_false(refusal_breaks(soak, SOAK_SWITCH_PORT));
-	/* No flow of the steady route goes there. */
+	/* The steady route does not use this endpoint. */
 	assert_true(refusal_breaks(soak, SOAK_STEADY_PORT));
 }
 
-/* The first packet came after its route had changed service, but before the
- * node knew it: it went to the ended endpoint of the service before. */
+/* The route has changed its service, but the node need not know it yet: it may
+ * still assign a first packet to the ended endpoint of the old service. */
 static void test_reset_by_an_older_version_holds(void **state)
 {
 	struct soak *soak = *state;
@@ -167,7 +167,7 @@
 	assert_false(refusal_breaks(soak, SOAK_SWITCH_PORT));
 }
 
-/* Then no first packet may have gone to the service before. */
+/* After the bound no first packet may be assigned to the old service. */
 static void test_reset_after_the_bound_of_a_version_breaks(void **state)
 {
 	struct soak *soak = *state;
@@ -185,7 +185,8 @@
 	assert_true(refusal_breaks(soak, SOAK_SWITCH_PORT));
 }
 
-/* Whether two endpoints that took one flow's first packet break a promise. */
+/* Returns true if the oracle reports one first packet accepted by two endpoints
+ * as a violation. */
 static bool taken_twice_breaks(struct soak *soak)
 {
 	unsigned broken = soak->broken;
@@ -200,13 +201,13 @@
 	struct soak *soak = *state;
 
 	assert_true(taken_twice_breaks(soak));
-	/* However much is wrong between nodes and the store. */
+	/* Disturbances between nodes and the store are no excuse. */
 	soak->nodes[NODE].disturbed_ms = JUST_BEFORE_MS;
 	assert_true(taken_twice_breaks(soak));
 }
 
-/* Soak seed 1001: the first one had crashed and started again under its id
- * 0.17 s before the copy came; the node could not know. */
+/* The first endpoint crashed and restarted with the same id just before the
+ * copy arrived: the node could not know. */
 static void test_an_endpoint_that_ended_has_no_flow(void **state)
 {
 	struct soak *soak = *state;
@@ -215,8 +216,8 @@
 	assert_false(taken_twice_breaks(soak));
 }
 
-/* Soak seed 5002: an endpoint that leaves closes a flow after its answer; then
- * the network's late double of the first packet came to it again. */
+/* A late duplicate of a first packet may reach the same endpoint again after it
+ * closed the flow. */
 static void test_one_endpoint_may_take_a_flow_twice(void **state)
 {
 	struct soak *soak = *state;
