--- a/fuzz/driver.c
+++ b/fuzz/driver.c
@@ -15,7 +15,7 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
 /* Overridden by the targets that support them. */
-__attribute__((weak)) unsigned fuzz_disabled_features;
+__attribute__((weak)) unsigned fuzz_injected_faults;
 __attribute__((weak)) int fuzz_verbose;
 
 enum { INPUT_LIMIT = 1 << 16 };
@@ -79,7 +79,7 @@
 		if (strcmp(argv[i], "--verbose") == 0) {
 			fuzz_verbose = 1;
 		} else if (strcmp(argv[i], "--break") == 0 && i + 1 < argc) {
-			fuzz_disabled_features =
+			fuzz_injected_faults =
 				(unsigned)strtoul(argv[++i], NULL, 0);
 		} else if (strcmp(argv[i], "--seeds") == 0 && i + 3 < argc) {
 			unsigned long first = strtoul(argv[++i], NULL, 10);
--- a/fuzz/fuzz_cluster.c
+++ b/fuzz/fuzz_cluster.c
@@ -72,7 +72,7 @@
 
 /* Set by the driver: the features to disable, without which runs must fail,
  * and whether to log each step to stderr. */
-unsigned fuzz_disabled_features;
+unsigned fuzz_injected_faults;
 int fuzz_verbose;
 
 __attribute__((format(printf, 2, 3))) static void trace(const struct fuzz *fuzz,
@@ -671,7 +671,7 @@
 	options.duplicate_per_million = seed & 4 ? 50000 : 0;
 	options.machine_list_lag_us = SECOND;
 	options.store_operations_per_s = 50;
-	options.break_mechanism = fuzz_disabled_features;
+	options.injected_faults = fuzz_injected_faults;
 	options.on_verdict = on_verdict;
 	options.read_health = read_health;
 	options.private_data = fuzz;
--- a/fuzz/fuzz_director.c
+++ b/fuzz/fuzz_director.c
@@ -38,9 +38,9 @@
 #include <string.h>
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
-extern unsigned fuzz_disabled_features;
+extern unsigned fuzz_injected_faults;
 extern int fuzz_verbose;
-unsigned fuzz_disabled_features;
+unsigned fuzz_injected_faults;
 int fuzz_verbose;
 
 enum {
@@ -78,10 +78,10 @@
 /* The newest state of an endpoint's entry that a node was sent. */
 struct sent_entry {
 	uint64_t revision;
-	uint64_t gone_revision;
+	uint64_t removed_revision;
 	uint64_t leaving_start_ms; /* of the leaving incarnation */
 	uint32_t ip;
-	bool unreadable; /* at gone_revision */
+	bool unreadable; /* at removed_revision */
 };
 
 struct endpoint {
@@ -215,13 +215,13 @@
 
 static void entry_remove(struct world *world, struct endpoint *endpoint)
 {
-	struct update update = {.event.kind = JT_DIRECTOR_GONE};
+	struct update update = {.event.kind = JT_DIRECTOR_ENTRY_REMOVED};
 
 	if (!endpoint->listed)
 		return;
 	endpoint->listed = false;
-	update.event.u.gone.id = endpoint->entry.id;
-	update.event.u.gone.revision = ++world->revision;
+	update.event.u.removed.id = endpoint->entry.id;
+	update.event.u.removed.revision = ++world->revision;
 	update_add(world, &update);
 }
 
@@ -233,8 +233,8 @@
 	endpoint->listed = true;
 	endpoint->unreadable = true;
 	endpoint->corrupt_revision = ++world->revision;
-	update.event.u.gone.id = endpoint->entry.id;
-	update.event.u.gone.revision = endpoint->corrupt_revision;
+	update.event.u.removed.id = endpoint->entry.id;
+	update.event.u.removed.revision = endpoint->corrupt_revision;
 	update_add(world, &update);
 }
 
@@ -258,7 +258,7 @@
 
 	if (choice & 1)
 		address = 0x0a000000 + choice / 4 % ADDRESSES;
-	if (endpoint->entry.born_ms == 0)
+	if (endpoint->entry.start_time_ms == 0)
 		return;
 	endpoint_close_flows(world, (int)(endpoint - world->endpoints));
 	endpoint->life = ENDED;
@@ -268,7 +268,7 @@
 	endpoint->starts++;
 	endpoint->entry.address.ip = address;
 	endpoint->entry.draining = false;
-	endpoint->entry.born_ms =
+	endpoint->entry.start_time_ms =
 		world->now_ms * 8 + endpoint->starts % 8 - choice / 128 * 5000;
 	entry_publish(world, endpoint);
 }
@@ -289,9 +289,9 @@
 		.zone_id = jt_name_id(zone_names[choice % ZONES]),
 		.address = {address, 80},
 		.capacity = 2,
-		.born_ms = world->start_times && world->endpoint_count % 2
-				   ? world->now_ms * 8
-				   : 0,
+		.start_time_ms = world->start_times && world->endpoint_count % 2
+					 ? world->now_ms * 8
+					 : 0,
 	};
 	world->endpoint_count++;
 	entry_publish(world, endpoint);
@@ -494,9 +494,9 @@
 
 	/* A node ignores removals of endpoints that it doesn't know. */
 	if (sent->revision == 0 || revision <= sent->revision ||
-	    revision <= sent->gone_revision)
+	    revision <= sent->removed_revision)
 		return;
-	sent->gone_revision = revision;
+	sent->removed_revision = revision;
 	sent->unreadable = unreadable;
 }
 
@@ -511,10 +511,10 @@
 		sent->revision = entry->revision;
 		sent->ip = entry->address.ip;
 		sent->leaving_start_ms =
-			entry->draining ? entry->born_ms : NOT_LEAVING;
+			entry->draining ? entry->start_time_ms : NOT_LEAVING;
 	}
-	if (entry->gone_revision > 0)
-		removal_record(world, node, entry->id, entry->gone_revision,
+	if (entry->removed_revision > 0)
+		removal_record(world, node, entry->id, entry->removed_revision,
 			       entry->unreadable);
 }
 
@@ -535,8 +535,8 @@
 	if (event.kind == JT_DIRECTOR_ENDPOINT)
 		entry_record(world, node, &event.u.endpoint);
 	else
-		removal_record(world, node, event.u.gone.id,
-			       event.u.gone.revision,
+		removal_record(world, node, event.u.removed.id,
+			       event.u.removed.revision,
 			       event.kind == JT_DIRECTOR_UNREADABLE);
 	send_event(world, node, &event);
 }
@@ -569,10 +569,10 @@
 		}
 		if (endpoint->unreadable) {
 			event.kind = JT_DIRECTOR_UNREADABLE;
-			event.u.gone.id = endpoint->entry.id;
-			event.u.gone.revision = endpoint->corrupt_revision;
-			removal_record(world, node, event.u.gone.id,
-				       event.u.gone.revision, true);
+			event.u.removed.id = endpoint->entry.id;
+			event.u.removed.revision = endpoint->corrupt_revision;
+			removal_record(world, node, event.u.removed.id,
+				       event.u.removed.revision, true);
 		} else {
 			event.kind = JT_DIRECTOR_ENDPOINT;
 			event.u.endpoint = endpoint->entry;
@@ -604,7 +604,7 @@
 	options.flow_limit = FLOW_TABLE_SIZE;
 	options.flow_age_limit_ms = 600000;
 	options.seed = (uint64_t)node + 1;
-	options.break_mechanism = fuzz_disabled_features;
+	options.injected_faults = fuzz_injected_faults;
 	world->directors[node] = jt_director_create(world, &options);
 	world->versions[node] = 0;
 	world->updates_sent[node] = 0;
@@ -641,7 +641,7 @@
 				      knowledge.zones.zones_len),
 		   knowledge.zones.zones_len, true, knowledge.revision);
 	zones_record_all(world, node, knowledge.revision);
-	event = (struct jt_director_event){.kind = JT_DIRECTOR_INFORMED};
+	event = (struct jt_director_event){.kind = JT_DIRECTOR_PEER_SNAPSHOT};
 	event.u.listed.revision = knowledge.revision;
 	send_event(world, node, &event);
 out:
@@ -735,7 +735,7 @@
 		fail(world, "a first packet reached another service");
 	if (a->address.ip != sent->ip)
 		fail(world, "a first packet went to an outdated address");
-	if (sent->unreadable && sent->gone_revision > sent->revision &&
+	if (sent->unreadable && sent->removed_revision > sent->revision &&
 	    flow->retransmissions == 0)
 		fail(world,
 		     "an endpoint with an unreadable entry got a first packet");
@@ -834,7 +834,7 @@
 struct probe {
 	int node;
 	uint64_t id;
-	uint64_t born_ms;
+	uint64_t start_time_ms;
 	uint32_t ip;
 	bool identify;
 };
@@ -870,7 +870,7 @@
 
 struct incarnation {
 	uint64_t id;
-	uint64_t born_ms;
+	uint64_t start_time_ms;
 };
 
 /* Death reports of nodes, for delivery to other nodes. */
@@ -900,13 +900,13 @@
 {
 	if (probe_count < sizeof(probes) / sizeof(probes[0]))
 		probes[probe_count++] =
-			(struct probe){node, a->endpoint_id, a->born_ms,
+			(struct probe){node, a->endpoint_id, a->start_time_ms,
 				       a->address.ip, identify};
 }
 
 static struct incarnation incarnation_of(const struct jt_director_action *a)
 {
-	return (struct incarnation){a->endpoint_id, a->born_ms};
+	return (struct incarnation){a->endpoint_id, a->start_time_ms};
 }
 
 static void apply_actions(struct world *world, int node)
@@ -935,14 +935,14 @@
 		case JT_DIRECTOR_PROBE:
 			probe_record(node, a, false);
 			break;
-		case JT_DIRECTOR_FAILING:
+		case JT_DIRECTOR_OVERDUE_REPORT:
 			if (failing_count < DEATH_REPORTS)
 				failing[failing_count++] = incarnation_of(a);
 			break;
 		case JT_DIRECTOR_FAILURES:
 			failures_collect(world, node);
 			break;
-		case JT_DIRECTOR_VERDICT:
+		case JT_DIRECTOR_DEATH_REPORT:
 			death_reports[death_report_count++ % DEATH_REPORTS] =
 				incarnation_of(a);
 			break;
@@ -973,13 +973,13 @@
 	if (probe.identify) {
 		event.kind = JT_DIRECTOR_IDENTIFIED;
 		event.u.identified.id = probe.id;
-		event.u.identified.born_ms = probe.born_ms;
+		event.u.identified.start_time_ms = probe.start_time_ms;
 		event.u.identified.found = found;
 	} else {
 		event.u.probed.id = probe.id;
-		event.u.probed.born_ms = probe.born_ms;
+		event.u.probed.start_time_ms = probe.start_time_ms;
 		event.u.probed.outcome =
-			choice & 0x80 ? JT_PROBE_VOID : outcome;
+			choice & 0x80 ? JT_PROBE_INCONCLUSIVE : outcome;
 	}
 	send_event(world, probe.node, &event);
 }
@@ -1182,13 +1182,14 @@
 	while (failing_count > 0) {
 		failing_count--;
 		event.u.suspicion.id = failing[failing_count].id;
-		event.u.suspicion.born_ms = failing[failing_count].born_ms;
+		event.u.suspicion.start_time_ms =
+			failing[failing_count].start_time_ms;
 		for (int node = 0; node < NODES; node++)
 			send_event(world, node, &event);
 	}
 	if (failures_count == 0)
 		return;
-	event.kind = JT_DIRECTOR_FAILURES_TOLD;
+	event.kind = JT_DIRECTOR_FAILURE_REPORT;
 	memcpy(sent, failures, sizeof(sent));
 	event.u.failures.items = sent;
 	event.u.failures.count = failures_count;
@@ -1261,7 +1262,7 @@
 					       DEATH_REPORTS];
 
 			event.u.suspicion.id = dead->id;
-			event.u.suspicion.born_ms = dead->born_ms;
+			event.u.suspicion.start_time_ms = dead->start_time_ms;
 			send_event(world, node, &event);
 		}
 		break;
--- a/include/jaspertrack/cell.h
+++ b/include/jaspertrack/cell.h
@@ -13,7 +13,7 @@
 				    const struct jt_cell_state *base,
 				    const jt_wire_proposal *proposal,
 				    const struct jt_config *config,
-				    unsigned break_mechanism);
+				    unsigned injected_faults);
 
 /* Encodes @state as a message body, allocated below @mem_ctx. Returns 0, or
  * -1 if out of memory. */
--- a/include/jaspertrack/core-t.h
+++ b/include/jaspertrack/core-t.h
@@ -59,7 +59,7 @@
 	/* Fraction of an idle group's share that is reserved, thousandths. */
 	uint32_t reserve_permille;
 	size_t flow_limit;	  /* records of the flow table */
-	unsigned break_mechanism; /* enum jt_break, tests only */
+	unsigned injected_faults; /* enum jt_break, tests only */
 };
 
 enum jt_event_kind {
--- a/include/jaspertrack/director-t.h
+++ b/include/jaspertrack/director-t.h
@@ -66,18 +66,19 @@
 	/* Start time of the incarnation by the endpoint's own clock, Unix
 	 * milliseconds. It distinguishes incarnations but does not order them.
 	 * 0: every start has an id of its own. */
-	uint64_t born_ms;
+	uint64_t start_time_ms;
 	uint32_t service_id;
 	uint32_t zone_id;
 	struct jt_address address;
 	uint32_t capacity; /* requests processed concurrently */
 	bool draining;
-	uint32_t cold_left_ms; /* remaining slow-start time */
-	uint64_t revision;     /* revision of the discovery entry */
-	uint64_t created;      /* revision that created the entry; 0: unknown */
+	uint32_t cold_left_ms;	   /* remaining slow-start time */
+	uint64_t revision;	   /* revision of the discovery entry */
+	uint64_t created_revision; /* revision that created the entry; 0:
+				      unknown */
 	/* Revision that removed the entry; 0: present. */
-	uint64_t gone_revision;
-	/* The entry still exists, but its revision gone_revision can't be
+	uint64_t removed_revision;
+	/* The entry still exists, but its revision removed_revision can't be
 	 * decoded. */
 	bool unreadable;
 };
@@ -91,7 +92,7 @@
 
 /* A revision range that was skipped by a full listing: entries created and
  * removed in it were not observed. Both 0: no gap. */
-struct jt_list_gap {
+struct jt_listing_gap {
 	uint64_t from;
 	uint64_t to;
 };
@@ -101,11 +102,11 @@
 	uint32_t label;
 	uint32_t flows;
 	/* Decayed count of recent requests, in thousandths. */
-	uint32_t work_permille;
-	uint32_t speed; /* encoded by jt_speed_told() */
+	uint32_t recent_load_permille;
+	uint32_t response_ratio; /* encoded by jt_response_ratio_encode() */
 };
 
-enum { JT_WORK_UNIT = 1000 }; /* work_permille of one request */
+enum { JT_RECENT_LOAD_UNIT = 1000 }; /* recent_load_permille of one request */
 
 /* Failed and served requests of an endpoint since the last report, in
  * thousandths. */
@@ -121,8 +122,8 @@
 	JT_INCARNATION_READY,
 	/* Announced that it leaves: accepts no new flows. */
 	JT_INCARNATION_DRAINING,
-	JT_INCARNATION_LAPSED, /* entry removed; may still be serving */
-	JT_INCARNATION_DEAD,   /* declared dead: its flows are reset */
+	JT_INCARNATION_EXPIRED, /* entry removed; may still be serving */
+	JT_INCARNATION_DEAD,	/* declared dead: its flows are reset */
 };
 
 /* Why an incarnation was declared dead. */
@@ -139,7 +140,7 @@
 	JT_PROBE_CONNECTED,
 	JT_PROBE_REFUSED,
 	JT_PROBE_SILENT,
-	JT_PROBE_VOID, /* inconclusive: this node was delayed */
+	JT_PROBE_INCONCLUSIVE, /* inconclusive: this node was delayed */
 };
 
 /* TCP flags of a packet. */
@@ -163,30 +164,33 @@
 
 enum jt_director_event_kind {
 	JT_DIRECTOR_PACKET,
-	JT_DIRECTOR_ROUTING,	/* a new routing configuration */
-	JT_DIRECTOR_ENDPOINT,	/* a discovery entry of an endpoint */
-	JT_DIRECTOR_GONE,	/* a discovery entry was removed */
-	JT_DIRECTOR_UNREADABLE, /* a discovery entry can't be decoded */
-	JT_DIRECTOR_LISTING,	/* a full listing of discovery begins */
+	JT_DIRECTOR_ROUTING,	   /* a new routing configuration */
+	JT_DIRECTOR_ENDPOINT,	   /* a discovery entry of an endpoint */
+	JT_DIRECTOR_ENTRY_REMOVED, /* a discovery entry was removed */
+	JT_DIRECTOR_UNREADABLE,	   /* a discovery entry can't be decoded */
+	JT_DIRECTOR_LISTING,	   /* a full listing of discovery begins */
 	/* Some endpoints and all zone drains were received; the rest
 	 * follows. */
-	JT_DIRECTOR_PARTLY_TOLD,
+	JT_DIRECTOR_PARTIAL_STATE,
 	JT_DIRECTOR_LISTED, /* the full listing is complete as of a revision */
 	JT_DIRECTOR_CAUGHT_UP, /* all changes up to a revision were received */
-	JT_DIRECTOR_INFORMED,  /* a peer's full state snapshot was received */
+	JT_DIRECTOR_PEER_SNAPSHOT, /* a peer's full state snapshot was received
+				    */
 	/* All endpoints in some slices of a peer's state snapshot were
 	 * received. */
-	JT_DIRECTOR_SLICES_TOLD,
-	JT_DIRECTOR_NEWS, /* gossip updates up to a revision were received */
-	JT_DIRECTOR_SUSPICION, /* a peer declared the endpoint dead */
+	JT_DIRECTOR_SLICES_RECEIVED,
+	JT_DIRECTOR_GOSSIP_UPDATES, /* gossip updates up to a revision were
+				       received */
+	JT_DIRECTOR_SUSPICION,	    /* a peer declared the endpoint dead */
 	/* A peer reports overdue responses of the endpoint. */
 	JT_DIRECTOR_OVERDUE,
-	JT_DIRECTOR_FAILURES_TOLD, /* a peer's failure report */
-	JT_DIRECTOR_IDENTIFIED,	   /* which endpoint responds at an address */
-	JT_DIRECTOR_PROBED,	   /* the outcome of a probe */
-	JT_DIRECTOR_LOADS,	   /* a peer's load report */
-	JT_DIRECTOR_ZONE_DRAINS,   /* zone drains that began or ended */
-	JT_DIRECTOR_FLOW_TOLD,	   /* a peer's response to a flow lookup */
+	JT_DIRECTOR_FAILURE_REPORT, /* a peer's failure report */
+	JT_DIRECTOR_IDENTIFIED,	    /* which endpoint responds at an address */
+	JT_DIRECTOR_PROBED,	    /* the outcome of a probe */
+	JT_DIRECTOR_LOADS,	    /* a peer's load report */
+	JT_DIRECTOR_ZONE_DRAINS,    /* zone drains that began or ended */
+	JT_DIRECTOR_FLOW_LOOKUP_RESPONSE, /* a peer's response to a flow lookup
+					   */
 	JT_DIRECTOR_TICK,
 };
 
@@ -202,19 +206,20 @@
 		struct {
 			uint64_t id;
 			uint64_t revision;
-		} gone; /* also JT_DIRECTOR_UNREADABLE */
+		} removed; /* also JT_DIRECTOR_UNREADABLE */
 		struct {
 			uint64_t revision;
-			/* JT_DIRECTOR_INFORMED: remaining initial
+			/* JT_DIRECTOR_PEER_SNAPSHOT: remaining initial
 			 * synchronisation time of the peer; 0: complete. */
-			uint32_t learning_ms;
-			/* JT_DIRECTOR_INFORMED: listing gap in the peer's
+			uint32_t initial_sync_ms;
+			/* JT_DIRECTOR_PEER_SNAPSHOT: listing gap in the peer's
 			 * state. */
-			struct jt_list_gap gap;
-			/* JT_DIRECTOR_INFORMED: the peer may lack changes
+			struct jt_listing_gap gap;
+			/* JT_DIRECTOR_PEER_SNAPSHOT: the peer may lack changes
 			 * before this revision. */
-			uint64_t forgotten;
-		} listed; /* also JT_DIRECTOR_CAUGHT_UP, JT_DIRECTOR_INFORMED */
+			uint64_t incomplete_before;
+		} listed; /* also JT_DIRECTOR_CAUGHT_UP,
+			     JT_DIRECTOR_PEER_SNAPSHOT */
 		struct {
 			uint32_t first; /* first slice */
 			uint32_t end;	/* one past the last slice */
@@ -230,20 +235,21 @@
 			/* In force at the sending peer. */
 			uint64_t routing_version;
 			/* Listing gap in the peer's state. */
-			struct jt_list_gap gap;
-		} news;
+			struct jt_listing_gap gap;
+		} updates;
 		struct {
 			uint64_t id;
-			uint64_t born_ms; /* of the reported incarnation */
-		} suspicion;		  /* also JT_DIRECTOR_OVERDUE */
+			uint64_t
+				start_time_ms; /* of the reported incarnation */
+		} suspicion;		       /* also JT_DIRECTOR_OVERDUE */
 		struct {
 			uint64_t id;
-			uint64_t born_ms; /* of the probed incarnation */
+			uint64_t start_time_ms; /* of the probed incarnation */
 			enum jt_probe_outcome outcome;
 		} probed;
 		struct {
 			uint64_t id; /* the requested endpoint */
-			uint64_t born_ms;
+			uint64_t start_time_ms;
 			/* Id of the endpoint that responded; 0: none. */
 			uint64_t found;
 		} identified;
@@ -270,7 +276,7 @@
 			/* Label of the flow's endpoint; 0: the peer does not
 			 * know the flow. */
 			uint32_t label;
-		} flow_told;
+		} flow_lookup_response;
 		struct {
 			uint64_t nodes;	  /* live nodes, including this one */
 			uint64_t node_id; /* id of this node */
@@ -290,9 +296,9 @@
 	JT_DIRECTOR_PROBE,    /* open a connection to an endpoint */
 	JT_DIRECTOR_IDENTIFY, /* ask which endpoint responds at an address */
 	/* An endpoint was declared dead: report to peers. */
-	JT_DIRECTOR_VERDICT,
+	JT_DIRECTOR_DEATH_REPORT,
 	/* Responses of an endpoint are overdue: report to peers. */
-	JT_DIRECTOR_FAILING,
+	JT_DIRECTOR_OVERDUE_REPORT,
 	JT_DIRECTOR_FAILURES,	   /* send jt_director_failures() to peers */
 	JT_DIRECTOR_SHARE_REDUCED, /* an endpoint's traffic share was reduced */
 	/* An endpoint's full traffic share was restored. */
@@ -305,7 +311,7 @@
 	JT_DIRECTOR_SERVICE_FULL,  /* admission control limits a service */
 	/* Admission control no longer limits a service. */
 	JT_DIRECTOR_SERVICE_FREE,
-	JT_DIRECTOR_FLOW_ASK, /* look up the packet's flow at peers */
+	JT_DIRECTOR_FLOW_LOOKUP, /* look up the packet's flow at peers */
 };
 
 enum jt_director_reason {
@@ -324,15 +330,16 @@
 	JT_DIRECTOR_NOT_STARTED, /* routing or endpoints not yet received */
 	JT_DIRECTOR_NO_ZONE,	 /* the zones of all endpoints are drained */
 	JT_DIRECTOR_COLD, /* only cold endpoints at their rate limit are left */
-	JT_DIRECTOR_LEARNING,	 /* initial synchronisation is not complete */
-	JT_DIRECTOR_UNPROVEN,	 /* the dead endpoint may have restarted */
-	JT_DIRECTOR_OVERLOADED,	 /* rejected by admission control */
-	JT_DIRECTOR_PEERS_ASKED, /* waits for a flow lookup at peers */
+	JT_DIRECTOR_INITIAL_SYNC, /* initial synchronisation is not complete */
+	JT_DIRECTOR_DEATH_UNCONFIRMED, /* the dead endpoint may have restarted
+					*/
+	JT_DIRECTOR_OVERLOADED,	       /* rejected by admission control */
+	JT_DIRECTOR_PEERS_ASKED,       /* waits for a flow lookup at peers */
 	JT_DIRECTOR_REASONS,
 };
 
 /* The state behind an admission decision of a service. */
-struct jt_director_room {
+struct jt_admission_state {
 	const char *route; /* valid until the next event; NULL: no route */
 	uint32_t priority; /* of the route */
 	uint32_t limit;	   /* requests in flight allowed through this node */
@@ -346,7 +353,7 @@
 	enum jt_director_reason reason;
 	struct jt_flow_key key; /* forward, reset, drop, hold, flow ask */
 	uint64_t endpoint_id;
-	uint64_t born_ms; /* of the endpoint's incarnation */
+	uint64_t start_time_ms; /* of the endpoint's incarnation */
 	uint32_t label;
 	struct jt_address address; /* of the endpoint */
 	uint32_t reset_sequence;
@@ -367,7 +374,8 @@
 	uint32_t usual_permille;
 	/* Drained or restored zone; valid until the next event. */
 	const char *zone;
-	struct jt_director_room room; /* overloaded; service full or free */
+	struct jt_admission_state
+		admission; /* overloaded; service full or free */
 };
 
 /* A growable array of actions; clear it between events. */
@@ -378,24 +386,24 @@
 };
 
 /* Faults that tests inject to verify that the checks detect them. */
-enum jt_director_break {
-	JT_DIRECTOR_BREAK_NONE = 0,
+enum jt_director_fault {
+	JT_DIRECTOR_FAULT_NONE = 0,
 	/* Declares silent endpoints dead. */
-	JT_DIRECTOR_BREAK_GUESS_DEATH = 1 << 0,
-	JT_DIRECTOR_BREAK_NO_DETECTOR = 1 << 1, /* never declares death */
-	JT_DIRECTOR_BREAK_VERSION = 1 << 2,	/* accepts older routing */
+	JT_DIRECTOR_FAULT_GUESS_DEATH = 1 << 0,
+	JT_DIRECTOR_FAULT_NO_DETECTOR = 1 << 1, /* never declares death */
+	JT_DIRECTOR_FAULT_VERSION = 1 << 2,	/* accepts older routing */
 	/* Reassigns retransmitted SYNs. */
-	JT_DIRECTOR_BREAK_PLACE_COPIES = 1 << 3,
+	JT_DIRECTOR_FAULT_PLACE_COPIES = 1 << 3,
 	/* Assigns flows to draining endpoints. */
-	JT_DIRECTOR_BREAK_DRAINING = 1 << 4,
-	JT_DIRECTOR_BREAK_FORGET_GONE = 1 << 5,	   /* forgets removed entries */
-	JT_DIRECTOR_BREAK_STALE_ENTRY = 1 << 6,	   /* accepts older entries */
-	JT_DIRECTOR_BREAK_ZONE_DRAIN = 1 << 7,	   /* ignores zone drains */
-	JT_DIRECTOR_BREAK_COLD = 1 << 8,	   /* no cold rate limit */
-	JT_DIRECTOR_BREAK_BIRTH = 1 << 9,	   /* ignores start times */
-	JT_DIRECTOR_BREAK_REFUSE_PLACED = 1 << 10, /* rejects assigned flows */
+	JT_DIRECTOR_FAULT_DRAINING = 1 << 4,
+	JT_DIRECTOR_FAULT_FORGET_GONE = 1 << 5,	   /* forgets removed entries */
+	JT_DIRECTOR_FAULT_STALE_ENTRY = 1 << 6,	   /* accepts older entries */
+	JT_DIRECTOR_FAULT_ZONE_DRAIN = 1 << 7,	   /* ignores zone drains */
+	JT_DIRECTOR_FAULT_COLD = 1 << 8,	   /* no cold rate limit */
+	JT_DIRECTOR_FAULT_START_TIME = 1 << 9,	   /* ignores start times */
+	JT_DIRECTOR_FAULT_REFUSE_PLACED = 1 << 10, /* rejects assigned flows */
 	/* Resets flows at endpoints with a reduced traffic share. */
-	JT_DIRECTOR_BREAK_END_FAILING = 1 << 11,
+	JT_DIRECTOR_FAULT_END_FAILING = 1 << 11,
 };
 
 /* Limits and durations; jt_director_options_init() sets the defaults. */
@@ -405,11 +413,11 @@
 	size_t endpoint_limit;	    /* known incarnations */
 	uint64_t flow_age_limit_ms; /* maximum lifetime of a flow */
 	/* An expired endpoint stays eligible as a fallback for this long. */
-	uint32_t lapsed_grace_ms;
+	uint32_t expired_grace_ms;
 	/* The same for an endpoint that expired during a store outage. */
-	uint32_t returned_grace_ms;
+	uint32_t outage_grace_ms;
 	/* The store is unreachable when its state is older. */
-	uint32_t store_away_ms;
+	uint32_t store_outage_ms;
 	uint32_t probe_pause_ms; /* between probes of one endpoint */
 	uint32_t dead_probe_pause_ms;
 	/* A cold endpoint gets at most its accepted rate times the overshoot,
@@ -420,7 +428,7 @@
 	 * that each priority gets. */
 	uint32_t admission_floor_permille;
 	uint64_t seed;		  /* of the pseudo-random generator */
-	unsigned break_mechanism; /* enum jt_director_break; tests only */
+	unsigned injected_faults; /* enum jt_director_fault; tests only */
 	uint32_t without;	  /* bit set of features that are off */
 };
 
@@ -437,11 +445,11 @@
 	uint64_t routing_refused; /* versions not above the one in force */
 	/* Entries older than the known one, or beyond the table limit. */
 	uint64_t entries_refused;
-	uint64_t resent;	 /* retransmitted packets */
-	uint64_t overdue;	 /* requests with overdue responses */
-	uint64_t short_answers;	 /* short responses counted as failures */
-	uint64_t failures_told;	 /* endpoints in failure reports sent */
-	uint64_t failures_heard; /* endpoints in failure reports received */
+	uint64_t resent;	    /* retransmitted packets */
+	uint64_t overdue;	    /* requests with overdue responses */
+	uint64_t short_answers;	    /* short responses counted as failures */
+	uint64_t failures_sent;	    /* endpoints in failure reports sent */
+	uint64_t failures_received; /* endpoints in failure reports received */
 	uint64_t shares_reduced;
 	uint64_t placed_far; /* new flows assigned to another zone */
 	/* Retransmitted SYNs looked up at peers, and those that a peer knew. */
--- a/include/jaspertrack/director.h
+++ b/include/jaspertrack/director.h
@@ -31,12 +31,12 @@
 bool jt_director_started(const struct jt_director *director);
 /* Returns true if new flows are assigned: a partial set of endpoints is
  * enough. */
-bool jt_director_places(const struct jt_director *director);
+bool jt_director_accepts_flows(const struct jt_director *director);
 
 /* Returns the remaining milliseconds of the initial synchronisation, in which
  * entries may still be missing; 0 when it is complete. */
-uint32_t jt_director_learning_ms(const struct jt_director *director,
-				 uint64_t now_ms);
+uint32_t jt_director_initial_sync_ms(const struct jt_director *director,
+				     uint64_t now_ms);
 
 /* Accessors for drivers; returned pointers are valid until the next event. */
 const struct jt_routing *
@@ -79,7 +79,7 @@
 size_t jt_director_loads(struct jt_director *director, uint64_t now_ms,
 			 struct jt_endpoint_load loads[JT_LOAD_LIMIT]);
 
-/* Records that JT_DIRECTOR_FLOW_ASK was sent to @peers peers. */
+/* Records that JT_DIRECTOR_FLOW_LOOKUP was sent to @peers peers. */
 void jt_director_flow_asked(struct jt_director *director,
 			    const struct jt_flow_key *key, size_t peers,
 			    uint64_t now_ms);
@@ -102,7 +102,7 @@
 
 /* Returns the label that identifies an incarnation in a flow's packets; never
  * 0. */
-uint32_t jt_incarnation_label(uint64_t endpoint_id, uint64_t born_ms);
+uint32_t jt_incarnation_label(uint64_t endpoint_id, uint64_t start_time_ms);
 /* Returns the label of an endpoint without a start time. */
 uint32_t jt_flow_label(uint64_t endpoint_id);
 
--- a/src/cluster/jt_cluster.c
+++ b/src/cluster/jt_cluster.c
@@ -545,7 +545,7 @@
 	options.node_id = cluster_random64(cluster);
 	options.zone = zone + FIRST_ZONE_ID;
 	options.address = node_address(index);
-	options.break_mechanism = cluster->options.break_mechanism;
+	options.injected_faults = cluster->options.injected_faults;
 	node->core = jt_core_create(node, &options);
 	if (node->core == NULL)
 		abort();
--- a/src/cluster/jt_cluster.h
+++ b/src/cluster/jt_cluster.h
@@ -58,7 +58,7 @@
 	uint32_t store_answer_us;
 	uint32_t store_operations_per_s;
 	unsigned cell_nodes; /* nodes per cell; 0: a single cell */
-	unsigned break_mechanism;
+	unsigned injected_faults;
 	unsigned probe_interval_us;
 	uint32_t leave_delay_us; /* from SIGTERM to leaving the cell */
 	void (*on_verdict)(void *private_data,
--- a/src/core/jt_activate.c
+++ b/src/core/jt_activate.c
@@ -68,7 +68,7 @@
 			  const struct jt_cell_state *target)
 {
 	if (base == NULL || base == target ||
-	    (core->options.break_mechanism & JT_BREAK_NO_HANDOVER))
+	    (core->options.injected_faults & JT_BREAK_NO_HANDOVER))
 		return;
 	for (size_t i = 0; i < core->flows->capacity; i++) {
 		const struct jt_flow *flow = &core->flows->slots[i];
@@ -273,7 +273,7 @@
 	jt_members_synchronise(core);
 	core->heartbeat_due_ms = 0;
 	jt_core_publish(actions);
-	if (core->options.break_mechanism & JT_BREAK_NO_BARRIER)
+	if (core->options.injected_faults & JT_BREAK_NO_BARRIER)
 		activate(core, actions);
 	else
 		jt_activate_tick(core, actions);
--- a/src/core/jt_agree.c
+++ b/src/core/jt_agree.c
@@ -59,7 +59,7 @@
 
 static size_t majority_of(const struct jt_core *core)
 {
-	if (core->options.break_mechanism & JT_BREAK_SPLIT_VOTE)
+	if (core->options.injected_faults & JT_BREAK_SPLIT_VOTE)
 		return 1;
 	return core->current->member_count / 2 + 1;
 }
@@ -164,7 +164,7 @@
 	state = jt_cell_apply(core, core->current->cell, core->current,
 			      proposal,
 			      jt_core_config(core, proposal->config_revision),
-			      core->options.break_mechanism);
+			      core->options.injected_faults);
 	if (state == NULL)
 		return false;
 	talloc_free(core->accepted);
--- a/src/core/jt_cell.c
+++ b/src/core/jt_cell.c
@@ -221,7 +221,7 @@
 
 static bool default_is_valid(const struct jt_cell_state *state,
 			     const struct jt_table *table, size_t bucket,
-			     unsigned break_mechanism)
+			     unsigned injected_faults)
 {
 	uint16_t e = jt_cell_endpoint(state, table->defaults[bucket]);
 
@@ -229,7 +229,7 @@
 	    state->endpoints[e].service_id != table->service_id ||
 	    state->endpoints[e].state == JT_ENDPOINT_GONE)
 		return false;
-	if ((break_mechanism & JT_BREAK_MOVE_DEFAULTS) &&
+	if ((injected_faults & JT_BREAK_MOVE_DEFAULTS) &&
 	    state->endpoints[e].state == JT_ENDPOINT_DOWN)
 		return false;
 	return true;
@@ -238,7 +238,7 @@
 static void table_assign_defaults(const struct jt_cell_state *state,
 				  struct jt_table *table,
 				  uint32_t free_permille, uint32_t *held,
-				  uint8_t *changed, unsigned break_mechanism)
+				  uint8_t *changed, unsigned injected_faults)
 {
 	count_defaults(table, state, free_permille, held);
 	for (size_t b = 0; b < JT_BUCKETS; b++) {
@@ -247,7 +247,7 @@
 					 : held;
 		uint16_t e;
 
-		if (default_is_valid(state, table, b, break_mechanism))
+		if (default_is_valid(state, table, b, injected_faults))
 			continue;
 		e = least_assigned_endpoint(state, table->service_id, kind);
 		if (table->defaults[b] != 0)
@@ -357,7 +357,7 @@
 static int state_build_tables(struct jt_cell_state *state,
 			      const struct jt_cell_state *base,
 			      const jt_wire_proposal *proposal,
-			      unsigned break_mechanism)
+			      unsigned injected_faults)
 {
 	const struct jt_config *config = state->config;
 	uint32_t *held;
@@ -381,8 +381,8 @@
 			memcpy(table->defaults, old->defaults,
 			       sizeof(table->defaults));
 		table_assign_defaults(state, table, service->free_permille,
-				      held, changed, break_mechanism);
-		if (!(break_mechanism & JT_BREAK_NO_STICKY))
+				      held, changed, injected_faults);
+		if (!(injected_faults & JT_BREAK_NO_STICKY))
 			table_carry_sticky(table, old, changed, proposal);
 		table_derive(state, table, service);
 	}
@@ -394,7 +394,7 @@
 				    const struct jt_cell_state *base,
 				    const jt_wire_proposal *proposal,
 				    const struct jt_config *config,
-				    unsigned break_mechanism)
+				    unsigned injected_faults)
 {
 	struct jt_cell_state *state;
 
@@ -410,7 +410,7 @@
 	if (state_set_endpoints(state, proposal->endpoints.endpoints_val,
 				proposal->endpoints.endpoints_len) != 0)
 		goto fail;
-	if (state_build_tables(state, base, proposal, break_mechanism) != 0)
+	if (state_build_tables(state, base, proposal, injected_faults) != 0)
 		goto fail;
 	return state;
 fail:
--- a/src/core/jt_coordinate.c
+++ b/src/core/jt_coordinate.c
@@ -121,7 +121,7 @@
 {
 	struct jt_endpoint_view *view = jt_endpoint_view(core, endpoint->id);
 
-	if (core->options.break_mechanism & JT_BREAK_NO_QUARANTINE)
+	if (core->options.injected_faults & JT_BREAK_NO_QUARANTINE)
 		return true;
 	if (endpoint->state != JT_ENDPOINT_GONE)
 		return false;
--- a/src/core/jt_core.c
+++ b/src/core/jt_core.c
@@ -221,7 +221,7 @@
 	if (proposal == NULL)
 		return;
 	state = jt_cell_apply(core, cell, NULL, proposal, core->newest,
-			      core->options.break_mechanism);
+			      core->options.injected_faults);
 	talloc_free(proposal);
 	if (state == NULL)
 		return;
--- a/src/core/jt_members.c
+++ b/src/core/jt_members.c
@@ -105,7 +105,7 @@
 	if (core->current == NULL ||
 	    jt_core_self(core, core->current) == JT_NO_MEMBER)
 		return false;
-	if (core->options.break_mechanism & JT_BREAK_NO_LEASE)
+	if (core->options.injected_faults & JT_BREAK_NO_LEASE)
 		return true;
 	return core->now_ms < core->lease_until_ms;
 }
--- a/src/core/jt_owner.c
+++ b/src/core/jt_owner.c
@@ -109,7 +109,7 @@
 	table = jt_cell_table(states[0], service_id);
 	replica = table->replica[bucket];
 	if (replica == JT_NO_MEMBER ||
-	    (core->options.break_mechanism & JT_BREAK_NO_REPLICA))
+	    (core->options.injected_faults & JT_BREAK_NO_REPLICA))
 		return NULL;
 	return jt_peer_find(core, states[0]->members[replica].id);
 }
--- a/src/core/jt_placement.c
+++ b/src/core/jt_placement.c
@@ -39,7 +39,7 @@
 	struct jt_share_use uses[SHARE_LIMIT];
 	size_t count = 0, index = SIZE_MAX;
 
-	if (core->options.break_mechanism & JT_BREAK_NO_ADMISSION)
+	if (core->options.injected_faults & JT_BREAK_NO_ADMISSION)
 		return true;
 	for (size_t i = 0; i < config->share_count; i++) {
 		const struct jt_share_config *share = &config->shares[i];
@@ -102,7 +102,7 @@
 	/* At least one flow is allowed, so that a cold endpoint can warm up. */
 	if (candidate->capacity < 1000)
 		candidate->capacity = 1000;
-	if (core->options.break_mechanism & JT_BREAK_NO_ADMISSION)
+	if (core->options.injected_faults & JT_BREAK_NO_ADMISSION)
 		return true;
 	return (uint64_t)(candidate->open + 1) * 1000 <= candidate->capacity;
 }
--- a/src/director/jt_director_log.c
+++ b/src/director/jt_director_log.c
@@ -51,7 +51,7 @@
 static void log_refusal(const struct jt_log *log,
 			const struct jt_director_action *action)
 {
-	const struct jt_director_room *admission = &action->room;
+	const struct jt_admission_state *admission = &action->admission;
 	char flow[FLOW_TEXT];
 
 	jt_log_line(log, LOG_INFO,
@@ -86,7 +86,7 @@
 		    jt_director_reason_name(action->reason),
 		    (unsigned long long)action->version,
 		    (unsigned long long)action->endpoint_id,
-		    (unsigned long long)action->born_ms,
+		    (unsigned long long)action->start_time_ms,
 		    jt_address_format(action->address, address),
 		    jt_incarnation_state_name(action->state),
 		    (unsigned long long)action->revision,
@@ -107,7 +107,7 @@
 		    "born_ms=%llu state=%s revision=%llu age_ms=%llu",
 		    request, flow_format(&action->key, flow),
 		    (unsigned long long)action->endpoint_id,
-		    (unsigned long long)action->born_ms,
+		    (unsigned long long)action->start_time_ms,
 		    jt_incarnation_state_name(action->state),
 		    (unsigned long long)action->revision,
 		    (unsigned long long)action->age_ms);
@@ -135,7 +135,7 @@
 		    "event=%s endpoint=%llx born_ms=%llu address=%s "
 		    "state=%s cause=%s revision=%llu age_ms=%llu",
 		    event, (unsigned long long)action->endpoint_id,
-		    (unsigned long long)action->born_ms,
+		    (unsigned long long)action->start_time_ms,
 		    jt_address_format(action->address, address),
 		    jt_incarnation_state_name(action->state),
 		    jt_death_cause_name(action->cause),
@@ -158,7 +158,7 @@
 		    "share_permille=%u failed_permille=%u "
 		    "served_permille=%u usual_permille=%u",
 		    event, (unsigned long long)action->endpoint_id,
-		    (unsigned long long)action->born_ms,
+		    (unsigned long long)action->start_time_ms,
 		    jt_address_format(action->address, address),
 		    action->share_permille, action->failed_permille,
 		    action->served_permille, action->usual_permille);
@@ -177,7 +177,7 @@
 void jt_director_log_room(const struct jt_log *log,
 			  const struct jt_director_action *action)
 {
-	const struct jt_director_room *admission = &action->room;
+	const struct jt_admission_state *admission = &action->admission;
 	bool full = action->kind == JT_DIRECTOR_SERVICE_FULL;
 
 	jt_log_line(log, LOG_NOTICE,
--- a/src/director/jt_director_node.c
+++ b/src/director/jt_director_node.c
@@ -205,24 +205,24 @@
 
 /* Probes */
 
-static void on_probed(uint64_t endpoint_id, uint64_t born_ms,
+static void on_probed(uint64_t endpoint_id, uint64_t start_time_ms,
 		      enum jt_probe_outcome outcome, void *private_data)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PROBED};
 
 	event.u.probed.id = endpoint_id;
-	event.u.probed.born_ms = born_ms;
+	event.u.probed.start_time_ms = start_time_ms;
 	event.u.probed.outcome = outcome;
 	jt_director_node_event(private_data, &event);
 }
 
-static void on_identified(uint64_t endpoint_id, uint64_t born_ms,
+static void on_identified(uint64_t endpoint_id, uint64_t start_time_ms,
 			  uint64_t found, void *private_data)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_IDENTIFIED};
 
 	event.u.identified.id = endpoint_id;
-	event.u.identified.born_ms = born_ms;
+	event.u.identified.start_time_ms = start_time_ms;
 	event.u.identified.found = found;
 	jt_director_node_event(private_data, &event);
 }
@@ -353,13 +353,13 @@
 	options.cold_overshoot_permille = settings->cold_overshoot_permille;
 	options.cold_slack = settings->cold_slack;
 	options.admission_floor_permille = settings->admission_floor_permille;
-	options.lapsed_grace_ms =
+	options.expired_grace_ms =
 		settings->drain_limit_ms / 100 * EXPIRED_GRACE_PERCENT;
-	options.returned_grace_ms =
+	options.outage_grace_ms =
 		settings->drain_limit_ms / 100 * RESTORED_GRACE_PERCENT;
-	if (options.returned_grace_ms > RESTORED_GRACE_MS)
-		options.returned_grace_ms = RESTORED_GRACE_MS;
-	options.store_away_ms =
+	if (options.outage_grace_ms > RESTORED_GRACE_MS)
+		options.outage_grace_ms = RESTORED_GRACE_MS;
+	options.store_outage_ms =
 		settings->store_age_limit_ms / 100 * OUTAGE_PERCENT;
 	randombytes_buf(&options.seed, sizeof(options.seed));
 	jt_reader_init(&node->reader, settings->store_age_limit_ms,
--- a/src/director/jt_director_node_news.c
+++ b/src/director/jt_director_node_news.c
@@ -31,16 +31,16 @@
 	jt_director_node_event(node, &event);
 }
 
-/* Applies the removal of an entry (JT_DIRECTOR_GONE), or an entry that can't
- * be parsed. */
+/* Applies the removal of an entry (JT_DIRECTOR_ENTRY_REMOVED), or an entry that
+ * can't be parsed. */
 static void removal_apply(struct jt_director_node *node,
 			  enum jt_director_event_kind kind,
 			  const struct jt_change *change)
 {
 	struct jt_director_event event = {.kind = kind};
 
-	event.u.gone.id = change->endpoint.id;
-	event.u.gone.revision = change->endpoint.revision;
+	event.u.removed.id = change->endpoint.id;
+	event.u.removed.revision = change->endpoint.revision;
 	jt_director_node_event(node, &event);
 }
 
@@ -83,7 +83,7 @@
 		endpoint_apply(node, &change->endpoint);
 		break;
 	case JT_CHANGE_GONE:
-		removal_apply(node, JT_DIRECTOR_GONE, change);
+		removal_apply(node, JT_DIRECTOR_ENTRY_REMOVED, change);
 		break;
 	case JT_CHANGE_ZONE:
 		zone_drains_apply(node, &change->zone, 1, false,
@@ -137,7 +137,7 @@
 /* Some endpoints and all zone drains are known. */
 static void on_partial_listing(void *private_data)
 {
-	struct jt_director_event event = {.kind = JT_DIRECTOR_PARTLY_TOLD};
+	struct jt_director_event event = {.kind = JT_DIRECTOR_PARTIAL_STATE};
 	struct jt_director_node *node = private_data;
 
 	jt_director_node_event(node, &event);
@@ -177,7 +177,7 @@
 
 	jt_directory_sync_learning(
 		node->sync,
-		jt_director_learning_ms(node->director, now_ms) > 0);
+		jt_director_initial_sync_ms(node->director, now_ms) > 0);
 	jt_reader_read(&node->reader, jt_directory_sync_as_of_ms(node->sync));
 	if (failures > node->store_failures)
 		jt_reader_failed(&node->reader,
@@ -213,7 +213,7 @@
 		return JT_PEERS_SILENT;
 	if (jt_peer_exchange_learns(node->peers))
 		return JT_PEERS_TELL;
-	if (jt_director_places(node->director) &&
+	if (jt_director_accepts_flows(node->director) &&
 	    jt_reader_list_waits(&node->reader,
 				 jt_peer_exchange_live(node->peers) + 1,
 				 jt_clock_ms()))
@@ -232,7 +232,7 @@
 	own->routing_version = routing ? routing->version : 0;
 	own->revision = jt_director_revision(node->director);
 	own->started = jt_director_started(node->director);
-	own->places = jt_director_places(node->director);
+	own->places = jt_director_accepts_flows(node->director);
 	own->leaving = node->leave.stage != JT_LEAVE_STAYS;
 	own->ready = node->told_ready;
 	own->reading = node->reader.reading == JT_READING_WATCHES;
@@ -317,7 +317,7 @@
 static void on_snapshot_complete(const struct jt_knowledge_fetch *snapshot,
 				 void *private_data)
 {
-	struct jt_director_event event = {.kind = JT_DIRECTOR_INFORMED};
+	struct jt_director_event event = {.kind = JT_DIRECTOR_PEER_SNAPSHOT};
 	struct jt_director_node *node = private_data;
 
 	jt_log_line(node->log, LOG_NOTICE,
@@ -325,11 +325,11 @@
 		    "learning_ms=%u",
 		    (unsigned long long)snapshot->since,
 		    (unsigned long long)snapshot->revision,
-		    snapshot->learning_ms);
+		    snapshot->initial_sync_ms);
 	event.u.listed.revision = snapshot->revision;
-	event.u.listed.learning_ms = snapshot->learning_ms;
+	event.u.listed.initial_sync_ms = snapshot->initial_sync_ms;
 	event.u.listed.gap = snapshot->gap;
-	event.u.listed.forgotten = snapshot->forgotten;
+	event.u.listed.incomplete_before = snapshot->forgotten;
 	revision_apply(node, &event);
 	if (snapshot->store_reader != jt_peer_exchange_id(node->peers) &&
 	    snapshot->store_as_of_ms > 0)
@@ -341,7 +341,7 @@
 static void on_updates(const jt_wire_news *update, void *private_data)
 {
 	struct jt_director_node *node = private_data;
-	struct jt_director_event event = {.kind = JT_DIRECTOR_NEWS};
+	struct jt_director_event event = {.kind = JT_DIRECTOR_GOSSIP_UPDATES};
 	uint64_t before = jt_director_revision(node->director);
 
 	if (!jt_director_started(node->director))
@@ -351,11 +351,11 @@
 	wire_zone_drains_apply(node, update->zones.zones_val,
 			       update->zones.zones_len, false,
 			       update->digest.revision);
-	event.u.news.since = update->since;
-	event.u.news.revision = update->digest.revision;
-	event.u.news.routing_version = update->digest.routing_version;
-	event.u.news.gap =
-		(struct jt_list_gap){update->gap_from, update->gap_to};
+	event.u.updates.since = update->since;
+	event.u.updates.revision = update->digest.revision;
+	event.u.updates.routing_version = update->digest.routing_version;
+	event.u.updates.gap =
+		(struct jt_listing_gap){update->gap_from, update->gap_to};
 	jt_director_node_event(node, &event);
 	if (jt_director_revision(node->director) > before)
 		jt_peer_exchange_news(node->peers);
@@ -397,19 +397,19 @@
 	if (overdue)
 		event.kind = JT_DIRECTOR_OVERDUE;
 	event.u.suspicion.id = suspicion->endpoint_id;
-	event.u.suspicion.born_ms = suspicion->born_ms;
+	event.u.suspicion.start_time_ms = suspicion->start_time_ms;
 	jt_director_node_event(node, &event);
 	jt_log_line(node->log, LOG_NOTICE,
 		    "event=peer_suspects endpoint=%llx born_ms=%llu cause=%s",
 		    (unsigned long long)suspicion->endpoint_id,
-		    (unsigned long long)suspicion->born_ms,
+		    (unsigned long long)suspicion->start_time_ms,
 		    overdue ? "overdue" : "dead");
 }
 
 static void on_peer_failures(const struct jt_endpoint_failure *failures,
 			     size_t count, void *private_data)
 {
-	struct jt_director_event event = {.kind = JT_DIRECTOR_FAILURES_TOLD};
+	struct jt_director_event event = {.kind = JT_DIRECTOR_FAILURE_REPORT};
 
 	event.u.failures.items = failures;
 	event.u.failures.count = count;
@@ -427,12 +427,13 @@
 static void on_flow_answer(const struct jt_flow_key *key, uint32_t sequence,
 			   uint32_t label, void *private_data)
 {
-	struct jt_director_event event = {.kind = JT_DIRECTOR_FLOW_TOLD};
+	struct jt_director_event event = {
+		.kind = JT_DIRECTOR_FLOW_LOOKUP_RESPONSE};
 	struct jt_director_node *node = private_data;
 
-	event.u.flow_told.key = *key;
-	event.u.flow_told.sequence = sequence;
-	event.u.flow_told.label = label;
+	event.u.flow_lookup_response.key = *key;
+	event.u.flow_lookup_response.sequence = sequence;
+	event.u.flow_lookup_response.label = label;
 	jt_director_log_flow_told(node->log, key, label, jt_clock_ms());
 	jt_director_node_event(node, &event);
 	jt_director_node_release(node);
--- a/src/director/jt_director_node_packets.c
+++ b/src/director/jt_director_node_packets.c
@@ -85,7 +85,7 @@
 		jt_director_routing(node->director), action->service_id);
 
 	jt_endpoint_probes_identify(node->probes, action->endpoint_id,
-				    action->born_ms, action->address,
+				    action->start_time_ms, action->address,
 				    service ? service->health_path : "/");
 }
 
@@ -181,22 +181,24 @@
 		break;
 	case JT_DIRECTOR_PROBE:
 		jt_endpoint_probes_connect(node->probes, action->endpoint_id,
-					   action->born_ms, action->address);
+					   action->start_time_ms,
+					   action->address);
 		break;
 	case JT_DIRECTOR_IDENTIFY:
 		act_identify(node, action);
 		break;
-	case JT_DIRECTOR_VERDICT:
+	case JT_DIRECTOR_DEATH_REPORT:
 		jt_director_log_endpoint(node->log, action, "endpoint_dead");
 		if (!action->peers_know)
 			jt_peer_exchange_suspect(
 				node->peers, JT_WIRE_FOUND_DEAD,
-				action->endpoint_id, action->born_ms);
+				action->endpoint_id, action->start_time_ms);
 		break;
-	case JT_DIRECTOR_FAILING:
+	case JT_DIRECTOR_OVERDUE_REPORT:
 		jt_director_log_endpoint(node->log, action, "endpoint_failing");
 		jt_peer_exchange_suspect(node->peers, JT_WIRE_ANSWERS_OVERDUE,
-					 action->endpoint_id, action->born_ms);
+					 action->endpoint_id,
+					 action->start_time_ms);
 		break;
 	case JT_DIRECTOR_FAILURES:
 		act_failures(node);
@@ -233,7 +235,7 @@
 	case JT_DIRECTOR_HOLD:
 		act_hold(node);
 		break;
-	case JT_DIRECTOR_FLOW_ASK:
+	case JT_DIRECTOR_FLOW_LOOKUP:
 		act_flow_query(node, action);
 		break;
 	case JT_DIRECTOR_DROP:
@@ -296,7 +298,7 @@
 {
 	size_t count = node->held_count;
 
-	if (!jt_director_places(node->director))
+	if (!jt_director_accepts_flows(node->director))
 		return;
 	for (; count > 0; count--) {
 		struct held_packet *held = STAILQ_FIRST(&node->held);
--- a/src/director/jt_director_pages.c
+++ b/src/director/jt_director_pages.c
@@ -116,9 +116,9 @@
 	text = add_metric(text, "answers_short_total", "counter",
 			  counters->short_answers);
 	text = add_metric(text, "failures_told_total", "counter",
-			  counters->failures_told);
+			  counters->failures_sent);
 	text = add_metric(text, "failures_heard_total", "counter",
-			  counters->failures_heard);
+			  counters->failures_received);
 	text = add_metric(text, "endpoint_shares_reduced_total", "counter",
 			  counters->shares_reduced);
 	text = add_metric(text, "probes_total", "counter", counters->probes);
--- a/src/director/jt_endpoint_probes.c
+++ b/src/director/jt_endpoint_probes.c
@@ -14,7 +14,7 @@
 struct probe_call {
 	struct jt_endpoint_probes *probes;
 	uint64_t endpoint_id;
-	uint64_t born_ms;
+	uint64_t start_time_ms;
 };
 
 struct jt_endpoint_probes *
@@ -36,7 +36,8 @@
 }
 
 static struct probe_call *call_create(struct jt_endpoint_probes *probes,
-				      uint64_t endpoint_id, uint64_t born_ms)
+				      uint64_t endpoint_id,
+				      uint64_t start_time_ms)
 {
 	struct probe_call *call = talloc_zero(probes, struct probe_call);
 
@@ -44,7 +45,7 @@
 		return NULL;
 	call->probes = probes;
 	call->endpoint_id = endpoint_id;
-	call->born_ms = born_ms;
+	call->start_time_ms = start_time_ms;
 	return call;
 }
 
@@ -64,11 +65,11 @@
 		tevent_req_callback_data(req, struct probe_call);
 	struct jt_endpoint_probes *probes = call->probes;
 	uint64_t endpoint_id = call->endpoint_id;
-	uint64_t born_ms = call->born_ms;
+	uint64_t start_time_ms = call->start_time_ms;
 	enum jt_probe_outcome outcome = jt_probe_recv(req);
 
 	talloc_free(call);
-	probes->handler.probed(endpoint_id, born_ms, outcome,
+	probes->handler.probed(endpoint_id, start_time_ms, outcome,
 			       probes->handler.private_data);
 }
 
@@ -78,19 +79,20 @@
 		tevent_req_callback_data(req, struct probe_call);
 	struct jt_endpoint_probes *probes = call->probes;
 	uint64_t endpoint_id = call->endpoint_id;
-	uint64_t born_ms = call->born_ms;
+	uint64_t start_time_ms = call->start_time_ms;
 	uint64_t found = probes->identity->recv(req);
 
 	talloc_free(call);
-	probes->handler.identified(endpoint_id, born_ms, found,
+	probes->handler.identified(endpoint_id, start_time_ms, found,
 				   probes->handler.private_data);
 }
 
 void jt_endpoint_probes_connect(struct jt_endpoint_probes *probes,
-				uint64_t endpoint_id, uint64_t born_ms,
+				uint64_t endpoint_id, uint64_t start_time_ms,
 				struct jt_address address)
 {
-	struct probe_call *call = call_create(probes, endpoint_id, born_ms);
+	struct probe_call *call =
+		call_create(probes, endpoint_id, start_time_ms);
 
 	if (call != NULL)
 		call_start(call,
@@ -100,11 +102,12 @@
 }
 
 void jt_endpoint_probes_identify(struct jt_endpoint_probes *probes,
-				 uint64_t endpoint_id, uint64_t born_ms,
+				 uint64_t endpoint_id, uint64_t start_time_ms,
 				 struct jt_address address,
 				 const char *health_path)
 {
-	struct probe_call *call = call_create(probes, endpoint_id, born_ms);
+	struct probe_call *call =
+		call_create(probes, endpoint_id, start_time_ms);
 
 	if (call != NULL)
 		call_start(call,
--- a/src/director/jt_endpoint_probes.h
+++ b/src/director/jt_endpoint_probes.h
@@ -10,10 +10,10 @@
 /* Callbacks with the results, for the incarnation that was given to the
  * probe. */
 struct jt_probe_handler {
-	void (*probed)(uint64_t endpoint_id, uint64_t born_ms,
+	void (*probed)(uint64_t endpoint_id, uint64_t start_time_ms,
 		       enum jt_probe_outcome outcome, void *private_data);
 	/* @found is 0 if there was no valid answer. */
-	void (*identified)(uint64_t endpoint_id, uint64_t born_ms,
+	void (*identified)(uint64_t endpoint_id, uint64_t start_time_ms,
 			   uint64_t found, void *private_data);
 	void *private_data;
 };
@@ -28,11 +28,11 @@
 			  const struct jt_probe_handler *handler);
 /* Opens a TCP connection to the endpoint and reports the outcome. */
 void jt_endpoint_probes_connect(struct jt_endpoint_probes *probes,
-				uint64_t endpoint_id, uint64_t born_ms,
+				uint64_t endpoint_id, uint64_t start_time_ms,
 				struct jt_address address);
 /* Queries which incarnation answers at @address and reports its id. */
 void jt_endpoint_probes_identify(struct jt_endpoint_probes *probes,
-				 uint64_t endpoint_id, uint64_t born_ms,
+				 uint64_t endpoint_id, uint64_t start_time_ms,
 				 struct jt_address address,
 				 const char *health_path);
 
--- a/src/director/jt_peer_exchange.c
+++ b/src/director/jt_peer_exchange.c
@@ -54,7 +54,8 @@
 
 	for (size_t i = 0; i < own_count; i++)
 		wire[i] = (jt_wire_load){own[i].label, own[i].flows,
-					 own[i].work_permille, own[i].speed};
+					 own[i].recent_load_permille,
+					 own[i].response_ratio};
 	loads->loads.loads_val = wire;
 	loads->loads.loads_len = (u_int)own_count;
 	for (size_t i = 0; i < count; i++)
@@ -69,8 +70,10 @@
 	for (u_int i = 0; i < wire->loads.loads_len; i++) {
 		loads[i].label = wire->loads.loads_val[i].label;
 		loads[i].flows = wire->loads.loads_val[i].flows;
-		loads[i].work_permille = wire->loads.loads_val[i].work_permille;
-		loads[i].speed = wire->loads.loads_val[i].speed;
+		loads[i].recent_load_permille =
+			wire->loads.loads_val[i].recent_load_permille;
+		loads[i].response_ratio =
+			wire->loads.loads_val[i].response_ratio;
 	}
 	exchange->handler.loads(peer, loads, wire->loads.loads_len,
 				exchange->handler.private_data);
@@ -239,7 +242,7 @@
 
 void jt_peer_exchange_suspect(struct jt_peer_exchange *exchange,
 			      jt_wire_suspicion_kind kind, uint64_t endpoint_id,
-			      uint64_t born_ms)
+			      uint64_t start_time_ms)
 {
 	jt_wire_director_message message = {
 		.from = exchange->membership->id,
@@ -249,7 +252,7 @@
 	message.body.jt_wire_director_body_u.suspicion = (jt_wire_suspicion){
 		.kind = kind,
 		.endpoint_id = endpoint_id,
-		.born_ms = born_ms,
+		.start_time_ms = start_time_ms,
 	};
 	jt_peer_sender_send_all(&exchange->sender, &message, false);
 }
--- a/src/director/jt_peer_exchange.h
+++ b/src/director/jt_peer_exchange.h
@@ -63,7 +63,7 @@
 /* Reports a suspected endpoint to all live peers. */
 void jt_peer_exchange_suspect(struct jt_peer_exchange *exchange,
 			      jt_wire_suspicion_kind kind, uint64_t endpoint_id,
-			      uint64_t born_ms);
+			      uint64_t start_time_ms);
 /* Reports failed requests to @peers peers of the zone, in rotation. */
 void jt_peer_exchange_failures(struct jt_peer_exchange *exchange,
 			       const struct jt_endpoint_failure *failures,
--- a/src/director/jt_peer_knowledge.c
+++ b/src/director/jt_peer_knowledge.c
@@ -204,8 +204,8 @@
 	}
 	if (length > 0) {
 		snapshots->frames->counters.fetches_served++;
-		jt_serve_budget_given(&snapshots->budget, length,
-				      jt_clock_ms());
+		jt_serve_budget_consume(&snapshots->budget, length,
+					jt_clock_ms());
 		jt_http_reply_bytes(request, 200, "application/octet-stream",
 				    body, length);
 	} else {
--- a/src/director/jt_prober.c
+++ b/src/director/jt_prober.c
@@ -59,7 +59,7 @@
 	case ENETUNREACH:
 		return JT_PROBE_SILENT;
 	default:
-		return JT_PROBE_VOID; /* an error of this node */
+		return JT_PROBE_INCONCLUSIVE; /* an error of this node */
 	}
 }
 
@@ -90,7 +90,7 @@
 	if (poll(&ready, 1, 0) > 0)
 		probe_connect_finish(state);
 	else if (jt_clock_ms() > state->deadline_ms + TIMER_LATE_MS)
-		probe_finish(state, JT_PROBE_VOID);
+		probe_finish(state, JT_PROBE_INCONCLUSIVE);
 	else
 		probe_finish(state, JT_PROBE_SILENT);
 }
@@ -108,7 +108,7 @@
 		return NULL;
 	state->req = req;
 	state->deadline_ms = jt_clock_ms() + timeout_ms;
-	state->outcome = JT_PROBE_VOID;
+	state->outcome = JT_PROBE_INCONCLUSIVE;
 	tevent_req_set_cleanup_fn(req, probe_cleanup);
 	state->fd =
 		socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
--- a/src/director/jt_prober.h
+++ b/src/director/jt_prober.h
@@ -13,7 +13,8 @@
 				 struct tevent_context *loop,
 				 struct jt_address address,
 				 uint32_t timeout_ms);
-/* Returns the outcome: JT_PROBE_VOID if an error of this node prevented it. */
+/* Returns the outcome: JT_PROBE_INCONCLUSIVE if an error of this node prevented
+ * it. */
 enum jt_probe_outcome jt_probe_recv(struct tevent_req *req);
 
 #endif
--- a/src/lab/label.c
+++ b/src/lab/label.c
@@ -185,7 +185,7 @@
 		if (!entry->listed)
 			return false;
 		entry->listed = false;
-		entry->entry.gone_revision = ++world->label->revision;
+		entry->entry.removed_revision = ++world->label->revision;
 		return true;
 	}
 	next = (struct jt_endpoint_entry){
@@ -293,7 +293,7 @@
 {
 	struct label_node *node = &world->label->nodes[index];
 	/* The full listing is complete: there is no gap. */
-	struct jt_director_event event = {.kind = JT_DIRECTOR_INFORMED};
+	struct jt_director_event event = {.kind = JT_DIRECTOR_PEER_SNAPSHOT};
 	struct jt_director_options options;
 
 	if (node->director != NULL)
@@ -302,7 +302,7 @@
 	options.zone_id = 1;
 	options.seed = world->options.seed * 1000 + index;
 	options.flow_limit = 1 << 20;
-	options.break_mechanism = world->options.break_mechanism;
+	options.injected_faults = world->options.injected_faults;
 	node->director = jt_director_create(world->label, &options);
 	node->paused = false;
 	node->bytes += STORE_CALL_BYTES;
@@ -436,12 +436,13 @@
 				 uint16_t index)
 {
 	struct label_world *label = held->world->label;
-	struct jt_director_event event = {.kind = JT_DIRECTOR_FLOW_TOLD};
+	struct jt_director_event event = {
+		.kind = JT_DIRECTOR_FLOW_LOOKUP_RESPONSE};
 
 	label->nodes[index].bytes += FLOW_LOOKUP_BYTES;
-	event.u.flow_told.key = held->key;
-	event.u.flow_told.sequence = held->sequence;
-	event.u.flow_told.label = jt_director_flow_label(
+	event.u.flow_lookup_response.key = held->key;
+	event.u.flow_lookup_response.sequence = held->sequence;
+	event.u.flow_lookup_response.label = jt_director_flow_label(
 		label->nodes[index].director, &held->key, held->sequence);
 	handle_event(held->world, held->node, &event);
 }
@@ -528,7 +529,7 @@
 	case JT_DIRECTOR_HOLD:
 		label->packet_held = true;
 		break;
-	case JT_DIRECTOR_FLOW_ASK:
+	case JT_DIRECTOR_FLOW_LOOKUP:
 		query_peers(world, index, action);
 		break;
 	case JT_DIRECTOR_PROBE:
--- a/src/lab/run.c
+++ b/src/lab/run.c
@@ -89,7 +89,7 @@
 				broken->sval[i]);
 			goto out;
 		}
-		a->options.break_mechanism |= flag;
+		a->options.injected_faults |= flag;
 	}
 	a->scenario = scenario->filename[0];
 	a->timeline = timeline->count ? timeline->filename[0] : NULL;
--- a/src/lab/trace.c
+++ b/src/lab/trace.c
@@ -336,7 +336,7 @@
 }
 
 static void start_replay(struct replay *replay, const json_t *head,
-			 unsigned break_mechanism)
+			 unsigned injected_faults)
 {
 	struct jt_cluster_options options;
 
@@ -347,7 +347,7 @@
 		(unsigned)json_integer_value(json_object_get(head, "zones"));
 	options.loss_per_million = (uint32_t)json_integer_value(
 		json_object_get(head, "loss_per_million"));
-	options.break_mechanism = break_mechanism;
+	options.injected_faults = injected_faults;
 	options.on_verdict = on_verdict;
 	options.read_health = read_health;
 	options.private_data = replay;
@@ -392,7 +392,7 @@
 	return met;
 }
 
-static int replay_file(FILE *file, unsigned break_mechanism)
+static int replay_file(FILE *file, unsigned injected_faults)
 {
 	struct replay *replay = talloc_zero(NULL, struct replay);
 	const json_t *expected;
@@ -406,7 +406,7 @@
 		expected = json_object_get(row, "outcome");
 		if (json_object_get(row, "seed") != NULL &&
 		    replay->cluster == NULL) {
-			start_replay(replay, row, break_mechanism);
+			start_replay(replay, row, injected_faults);
 		} else if (replay->cluster == NULL) {
 			break;
 		} else if (expected != NULL) {
--- a/src/lab/world.c
+++ b/src/lab/world.c
@@ -643,7 +643,7 @@
 	options.store_answer_us = (uint32_t)(s->store_answer_ms * 1000);
 	options.store_operations_per_s = (uint32_t)s->store_operations_per_s;
 	options.cell_nodes = s->cell_nodes;
-	options.break_mechanism = world->options.break_mechanism;
+	options.injected_faults = world->options.injected_faults;
 	options.on_verdict = flows_on_verdict;
 	options.read_health = endpoint_health;
 	options.private_data = world;
--- a/src/label/admission/jt_admission.c
+++ b/src/label/admission/jt_admission.c
@@ -248,10 +248,10 @@
 	       (1 - RESERVE_PART * (double)more_urgent / (double)(active - 1));
 }
 
-static struct jt_director_room room_describe(struct admission_service *service,
-					     size_t index, uint64_t now_ms)
+static struct jt_admission_state
+state_describe(struct admission_service *service, size_t index, uint64_t now_ms)
 {
-	return (struct jt_director_room){
+	return (struct jt_admission_state){
 		.priority = service->priorities[index].priority,
 		.limit = (uint32_t)ceil(priority_limit(service, index, now_ms)),
 		.in_flight = service_in_flight(service, now_ms),
@@ -263,16 +263,16 @@
 /* Returns true if the limit, and the group's share of it, allow one more
  * flow. */
 static bool below_limit(const struct admission_service *service,
-			const struct jt_director_room *room, size_t index,
+			const struct jt_admission_state *state, size_t index,
 			const struct jt_group *group, uint64_t now_ms)
 {
 	if (service->limit.limit == 0)
 		return true;
-	if (room->in_flight >= room->limit)
+	if (state->in_flight >= state->limit)
 		return false;
 	return group == NULL ||
 	       jt_group_shares_admit(service->priorities[index].shares, group,
-				     room->in_flight, room->limit, now_ms);
+				     state->in_flight, state->limit, now_ms);
 }
 
 /* Uses one flow of the priority's floor credit; returns false if there is
@@ -305,10 +305,10 @@
 	priority = &service->priorities[index];
 	priority->last_flow_ms = now_ms;
 	group = jt_group_shares_ask(priority->shares, route->address, now_ms);
-	verdict.room = room_describe(service, index, now_ms);
-	verdict.room.route = route->name;
+	verdict.state = state_describe(service, index, now_ms);
+	verdict.state.route = route->name;
 	has_capacity =
-		below_limit(service, &verdict.room, index, group, now_ms);
+		below_limit(service, &verdict.state, index, group, now_ms);
 	if (!floor_credit_use(priority) && !has_capacity) {
 		verdict.admitted = false;
 		priority->refused++;
--- a/src/label/admission/jt_admission.h
+++ b/src/label/admission/jt_admission.h
@@ -23,7 +23,7 @@
 /* Result of an admission request for a new flow. */
 struct jt_admission_verdict {
 	bool admitted;
-	struct jt_director_room room;
+	struct jt_admission_state state;
 };
 
 /* State of a service, for metrics and log lines. */
--- a/src/label/admission/jt_group_shares.c
+++ b/src/label/admission/jt_group_shares.c
@@ -59,7 +59,8 @@
 	double admitted = 0;
 
 	for (size_t i = 0; i < shares->count; i++)
-		admitted += jt_work_now(&shares->groups[i].admitted, now_ms);
+		admitted +=
+			jt_recent_load_at(&shares->groups[i].admitted, now_ms);
 	for (size_t i = 0; i < shares->count; i++) {
 		const struct jt_group *entry = &shares->groups[i];
 		double part = 0;
@@ -67,7 +68,8 @@
 		if (!group_is_active(entry, now_ms))
 			continue;
 		if (admitted > 0)
-			part = jt_work_now(&entry->admitted, now_ms) / admitted;
+			part = jt_recent_load_at(&entry->admitted, now_ms) /
+			       admitted;
 		if (entry == group)
 			index = count;
 		uses[count++] = (struct jt_share_use){
@@ -82,5 +84,5 @@
 
 void jt_group_admitted(struct jt_group *group, uint64_t now_ms)
 {
-	jt_work_add(&group->admitted, 1, now_ms);
+	jt_recent_load_add(&group->admitted, 1, now_ms);
 }
--- a/src/label/admission/jt_group_shares.h
+++ b/src/label/admission/jt_group_shares.h
@@ -11,7 +11,7 @@
 #define JT_GROUP_SHARES_H
 
 #include "jaspertrack/types-t.h"
-#include "jt_work.h"
+#include "jt_recent_load.h"
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -20,7 +20,7 @@
 
 struct jt_group {
 	struct jt_address address;
-	struct jt_work admitted; /* recently admitted flows */
+	struct jt_recent_load admitted; /* recently admitted flows */
 	uint64_t asked_ms;
 };
 
--- a/src/label/jt_choose.c
+++ b/src/label/jt_choose.c
@@ -35,10 +35,10 @@
 	chooser->zone_drains = zone_drains;
 	chooser->nodes = 1;
 	chooser->zone_id = opts->zone_id;
-	chooser->lapsed_grace_ms = opts->lapsed_grace_ms;
-	chooser->returned_grace_ms = opts->returned_grace_ms;
+	chooser->expired_grace_ms = opts->expired_grace_ms;
+	chooser->outage_grace_ms = opts->outage_grace_ms;
 	chooser->random.seed = opts->seed;
-	chooser->break_mechanism = opts->break_mechanism;
+	chooser->injected_faults = opts->injected_faults;
 	chooser->without = opts->without;
 	return chooser;
 }
@@ -89,8 +89,8 @@
 					    const struct jt_incarnation *in,
 					    uint64_t now_ms)
 {
-	uint32_t grace_ms = in->away_lapsed ? chooser->returned_grace_ms
-					    : chooser->lapsed_grace_ms;
+	uint32_t grace_ms = in->away_lapsed ? chooser->outage_grace_ms
+					    : chooser->expired_grace_ms;
 
 	if (in->entry.draining || in->entry.unreadable ||
 	    now_ms - in->state_ms >= grace_ms)
@@ -114,7 +114,8 @@
 {
 	if (initial_sync_active(chooser, now_ms))
 		jt_flow_rate_spread(chooser->rate, incarnation,
-				    jt_flow_rate_learning(incarnation), now_ms);
+				    jt_flow_rate_initial_sync(incarnation),
+				    now_ms);
 }
 
 /* Returns the limit of new flows per second to the incarnation from all
@@ -124,14 +125,14 @@
 				 const struct jt_routed_service *service,
 				 uint64_t now_ms)
 {
-	uint32_t per_s = JT_FLOW_RATE_ANY, learning;
+	uint32_t per_s = JT_FLOW_RATE_UNLIMITED, learning;
 
-	if (!(chooser->break_mechanism & JT_DIRECTOR_BREAK_COLD))
+	if (!(chooser->injected_faults & JT_DIRECTOR_FAULT_COLD))
 		per_s = jt_flow_rate_cold(chooser->rate, in,
 					  service->cold_permille, now_ms);
 	if (!initial_sync_active(chooser, now_ms))
 		return per_s;
-	learning = jt_flow_rate_learning(in);
+	learning = jt_flow_rate_initial_sync(in);
 	return learning < per_s ? learning : per_s;
 }
 
@@ -162,10 +163,10 @@
 	switch (in->state) {
 	case JT_INCARNATION_READY:
 		return suspected_or_eligible(in, now_ms);
-	case JT_INCARNATION_LAPSED:
+	case JT_INCARNATION_EXPIRED:
 		return expired_eligibility(chooser, in, now_ms);
 	case JT_INCARNATION_DRAINING:
-		if (chooser->break_mechanism & JT_DIRECTOR_BREAK_DRAINING)
+		if (chooser->injected_faults & JT_DIRECTOR_FAULT_DRAINING)
 			return ELIGIBLE;
 		return INELIGIBLE;
 	default:
@@ -228,7 +229,7 @@
 	struct jt_split *split =
 		route != NULL ? jt_splits_find(chooser->splits, route) : NULL;
 	struct jt_target target = target_of(chooser);
-	struct jt_usual *usual = NULL;
+	struct jt_usual_response_time *usual = NULL;
 
 	if (split != NULL)
 		usual = jt_split_usual(split, incarnation->entry.service_id);
@@ -417,10 +418,10 @@
 					     now_ms);
 		if (chosen != NULL) {
 			jt_split_give(split, (size_t)part);
-			jt_flow_rate_given(chooser->rate, chosen,
-					   incarnation_rate(chooser, chosen,
-							    service, now_ms),
-					   now_ms);
+			jt_flow_rate_consume(chooser->rate, chosen,
+					     incarnation_rate(chooser, chosen,
+							      service, now_ms),
+					     now_ms);
 			return chosen;
 		}
 		tried |= 1u << part;
--- a/src/label/jt_choose.h
+++ b/src/label/jt_choose.h
@@ -20,8 +20,8 @@
 struct jt_chooser {
 	struct jt_splits *splits;
 	uint32_t zone_id;
-	uint32_t lapsed_grace_ms;
-	uint32_t returned_grace_ms;
+	uint32_t expired_grace_ms;
+	uint32_t outage_grace_ms;
 	struct jt_peer_loads *peer_loads;
 	const struct jt_zone_drains *zone_drains;
 	struct jt_flow_rate *rate;
@@ -31,7 +31,7 @@
 	/* Nodes that share the endpoints, including this one. */
 	uint64_t nodes;
 	struct jt_random random;
-	unsigned break_mechanism;
+	unsigned injected_faults;
 	uint32_t without; /* disabled features */
 };
 
--- a/src/label/jt_choose_pool.h
+++ b/src/label/jt_choose_pool.h
@@ -43,7 +43,7 @@
 static inline bool zone_drained(const struct jt_chooser *chooser,
 				const struct jt_incarnation *in)
 {
-	if (chooser->break_mechanism & JT_DIRECTOR_BREAK_ZONE_DRAIN)
+	if (chooser->injected_faults & JT_DIRECTOR_FAULT_ZONE_DRAIN)
 		return false;
 	return jt_zone_drains_has(chooser->zone_drains, in->entry.zone_id);
 }
--- a/src/label/jt_choose_share.c
+++ b/src/label/jt_choose_share.c
@@ -41,7 +41,7 @@
 static double recent_requests(const struct jt_chooser *chooser,
 			      const struct jt_incarnation *in, uint64_t now_ms)
 {
-	return jt_work_now(&in->work, now_ms) +
+	return jt_recent_load_at(&in->recent_load, now_ms) +
 	       jt_peer_loads_work(chooser->peer_loads, in->label, now_ms) *
 		       (double)(chooser->nodes - 1);
 }
--- a/src/label/jt_choose_welcome.c
+++ b/src/label/jt_choose_welcome.c
@@ -16,7 +16,7 @@
 {
 	if (in->state != JT_INCARNATION_READY || zone_drained(chooser, in))
 		return;
-	sum->load += jt_work_now(&in->work, now_ms);
+	sum->load += jt_recent_load_at(&in->recent_load, now_ms);
 	sum->count++;
 }
 
@@ -29,10 +29,10 @@
 static void recent_load_raise(struct jt_incarnation *in, double requests,
 			      uint64_t now_ms)
 {
-	double missing = requests - jt_work_now(&in->work, now_ms);
+	double missing = requests - jt_recent_load_at(&in->recent_load, now_ms);
 
 	if (missing > 0)
-		jt_work_add(&in->work, missing, now_ms);
+		jt_recent_load_add(&in->recent_load, missing, now_ms);
 }
 
 void jt_chooser_welcome(struct jt_chooser *chooser,
--- a/src/label/jt_detector.c
+++ b/src/label/jt_detector.c
@@ -20,7 +20,7 @@
 	*detector = (struct jt_detector){
 		.probe_pause_ms = options->probe_pause_ms,
 		.dead_probe_pause_ms = options->dead_probe_pause_ms,
-		.break_mechanism = options->break_mechanism,
+		.injected_faults = options->injected_faults,
 	};
 }
 
@@ -68,7 +68,7 @@
 			 struct jt_incarnation *incarnation,
 			 enum jt_evidence evidence, uint64_t now_ms)
 {
-	if (detector->break_mechanism & JT_DIRECTOR_BREAK_NO_DETECTOR)
+	if (detector->injected_faults & JT_DIRECTOR_FAULT_NO_DETECTOR)
 		return false;
 	if (incarnation->state == JT_INCARNATION_DEAD)
 		return false;
@@ -91,7 +91,7 @@
 			   const struct jt_incarnation *incarnation,
 			   uint64_t now_ms)
 {
-	if (detector->break_mechanism & JT_DIRECTOR_BREAK_NO_DETECTOR ||
+	if (detector->injected_faults & JT_DIRECTOR_FAULT_NO_DETECTOR ||
 	    incarnation->probing || now_ms < incarnation->probe_next_ms)
 		return false;
 	if (incarnation->state != JT_INCARNATION_DEAD)
@@ -100,7 +100,7 @@
 			incarnation->failed_probes < PROBES_TO_CONFIRM);
 	return incarnation->proof_wanted ||
 	       (incarnation->cause != JT_DEATH_REPLACED &&
-		incarnation->entry.gone_revision == 0);
+		incarnation->entry.removed_revision == 0);
 }
 
 void jt_detector_want_proof(const struct jt_detector *detector,
@@ -146,7 +146,7 @@
 			     const struct jt_incarnation *incarnation,
 			     enum jt_probe_outcome outcome, bool below_limit)
 {
-	if (detector->break_mechanism & JT_DIRECTOR_BREAK_GUESS_DEATH)
+	if (detector->injected_faults & JT_DIRECTOR_FAULT_GUESS_DEATH)
 		return true;
 	if (incarnation->progress_ms >= incarnation->probe_sent_ms)
 		return false;
@@ -190,7 +190,7 @@
 		  struct jt_incarnation *incarnation,
 		  enum jt_probe_outcome outcome, bool below_limit)
 {
-	if (incarnation->entry.born_ms == 0)
+	if (incarnation->entry.start_time_ms == 0)
 		return JT_VERDICT_NONE;
 	if (outcome != JT_PROBE_REFUSED &&
 	    detector->contact_ms < incarnation->probe_sent_ms)
@@ -217,7 +217,7 @@
 	*cause = JT_DEATH_NONE;
 	if (outcome == JT_PROBE_CONNECTED)
 		return probe_connected(detector, incarnation);
-	if (outcome == JT_PROBE_VOID) {
+	if (outcome == JT_PROBE_INCONCLUSIVE) {
 		incarnation->probe_owed = incarnation->suspected_ms != 0;
 		return JT_VERDICT_NONE;
 	}
@@ -251,7 +251,7 @@
 		return JT_VERDICT_NONE;
 	if (found_id != incarnation->entry.id) {
 		incarnation->proven_ms = incarnation->probe_sent_ms;
-		return dead && incarnation->entry.born_ms != 0
+		return dead && incarnation->entry.start_time_ms != 0
 			       ? JT_VERDICT_STILL_DEAD
 			       : JT_VERDICT_DEAD;
 	}
--- a/src/label/jt_detector.h
+++ b/src/label/jt_detector.h
@@ -18,7 +18,7 @@
 	uint64_t contact_ms;
 	uint32_t probe_pause_ms;
 	uint32_t dead_probe_pause_ms;
-	unsigned break_mechanism;
+	unsigned injected_faults;
 };
 
 void jt_detector_init(struct jt_detector *detector,
--- a/src/label/jt_director.c
+++ b/src/label/jt_director.c
@@ -37,9 +37,9 @@
 		.flow_limit = DEFAULT_FLOW_LIMIT,
 		.endpoint_limit = DEFAULT_ENDPOINT_LIMIT,
 		.flow_age_limit_ms = DEFAULT_FLOW_AGE_LIMIT_MS,
-		.lapsed_grace_ms = DEFAULT_EXPIRED_GRACE_MS,
-		.returned_grace_ms = DEFAULT_OUTAGE_GRACE_MS,
-		.store_away_ms = DEFAULT_STORE_OUTAGE_MS,
+		.expired_grace_ms = DEFAULT_EXPIRED_GRACE_MS,
+		.outage_grace_ms = DEFAULT_OUTAGE_GRACE_MS,
+		.store_outage_ms = DEFAULT_STORE_OUTAGE_MS,
 		.probe_pause_ms = DEFAULT_PROBE_INTERVAL_MS,
 		.dead_probe_pause_ms = DEFAULT_DEAD_PROBE_INTERVAL_MS,
 		.cold_overshoot_permille = DEFAULT_COLD_OVERSHOOT_PERMILLE,
@@ -84,16 +84,16 @@
 }
 
 /* Marks the endpoints as known, except for those that arrive within
- * @learning_ms: a node that reads its first full listing can't tell whether a
- * store outage has just ended. */
+ * @initial_sync_ms: a node that reads its first full listing can't tell whether
+ * a store outage has just ended. */
 static void endpoints_mark_known(struct jt_director *director,
-				 uint32_t learning_ms, uint64_t now_ms)
+				 uint32_t initial_sync_ms, uint64_t now_ms)
 {
 	if (director->listed)
 		return;
 	director->listed = true;
 	director->started_ms = now_ms;
-	director->chooser->learning_until_ms = now_ms + learning_ms;
+	director->chooser->learning_until_ms = now_ms + initial_sync_ms;
 }
 
 /* A starting node assigns new flows to the endpoints received so far. */
@@ -107,7 +107,8 @@
 }
 
 /* Adds a peer's listing gap to those of this node. */
-static void peer_gap_add(struct jt_director *director, struct jt_list_gap gap)
+static void peer_gap_add(struct jt_director *director,
+			 struct jt_listing_gap gap)
 {
 	if (gap.from < director->revision)
 		gap.from = director->revision;
@@ -118,15 +119,16 @@
 static void event_peer_snapshot(struct jt_director *director,
 				const struct jt_director_event *event)
 {
-	uint32_t learning_ms = event->u.listed.learning_ms;
+	uint32_t initial_sync_ms = event->u.listed.initial_sync_ms;
 
-	if (learning_ms > INITIAL_SYNC_MS)
-		learning_ms = INITIAL_SYNC_MS;
+	if (initial_sync_ms > INITIAL_SYNC_MS)
+		initial_sync_ms = INITIAL_SYNC_MS;
 	/* A starting node knows no more than the peer. */
 	if (!director->listed)
-		jt_list_gaps_forget(&director->gaps, event->u.listed.forgotten);
-	endpoints_mark_known(director, learning_ms, event->now_ms);
-	if (learning_ms == 0)
+		jt_list_gaps_forget(&director->gaps,
+				    event->u.listed.incomplete_before);
+	endpoints_mark_known(director, initial_sync_ms, event->now_ms);
+	if (initial_sync_ms == 0)
 		director->chooser->learning_until_ms = 0;
 	peer_gap_add(director, event->u.listed.gap);
 	revision_advance(director, event->u.listed.revision);
@@ -153,14 +155,15 @@
 
 	endpoints_mark_known(director, INITIAL_SYNC_MS, now_ms);
 	jt_list_gaps_add(&director->gaps,
-			 (struct jt_list_gap){director->revision, revision});
+			 (struct jt_listing_gap){director->revision, revision});
 	revision_advance(director, revision);
 	for (incarnation = jt_endpoint_table_first(director->endpoints);
 	     incarnation != NULL;
 	     incarnation = jt_endpoint_table_next(incarnation)) {
 		if (!incarnation->told)
-			jt_director_entry_gone(director, incarnation->entry.id,
-					       revision, now_ms, actions);
+			jt_director_entry_removed(director,
+						  incarnation->entry.id,
+						  revision, now_ms, actions);
 	}
 	jt_director_zones_listed(director, revision, now_ms, actions);
 }
@@ -175,13 +178,14 @@
 			director->endpoints->slices[i].members;
 
 		for (; in != NULL; in = in->slice_next) {
-			if (in->entry.gone_revision == 0 &&
+			if (in->entry.removed_revision == 0 &&
 			    bsearch(&in->entry.id, event->u.slices.ids,
 				    event->u.slices.count, sizeof(uint64_t),
 				    jt_endpoint_id_compare) == NULL)
-				jt_director_entry_gone(director, in->entry.id,
-						       event->u.slices.revision,
-						       event->now_ms, actions);
+				jt_director_entry_removed(
+					director, in->entry.id,
+					event->u.slices.revision, event->now_ms,
+					actions);
 		}
 	}
 }
@@ -192,33 +196,33 @@
 				 const struct jt_director_event *event)
 {
 	if (!jt_director_started(director) ||
-	    event->u.news.since > director->revision ||
-	    director->routing->version < event->u.news.routing_version)
+	    event->u.updates.since > director->revision ||
+	    director->routing->version < event->u.updates.routing_version)
 		return;
-	peer_gap_add(director, event->u.news.gap);
-	revision_advance(director, event->u.news.revision);
+	peer_gap_add(director, event->u.updates.gap);
+	revision_advance(director, event->u.updates.revision);
 }
 
 /* Returns the incarnation with this id and start time, or NULL: reports about
  * another incarnation of the endpoint don't apply. */
 static struct jt_incarnation *
 incarnation_find(const struct jt_director *director, uint64_t id,
-		 uint64_t born_ms)
+		 uint64_t start_time_ms)
 {
 	struct jt_incarnation *found =
 		jt_endpoint_table_by_id(director->endpoints, id);
 
-	if (found != NULL && found->entry.born_ms != born_ms)
+	if (found != NULL && found->entry.start_time_ms != start_time_ms)
 		return NULL;
 	return found;
 }
 
 static void event_suspicion(struct jt_director *director, uint64_t id,
-			    uint64_t born_ms, uint64_t now_ms,
+			    uint64_t start_time_ms, uint64_t now_ms,
 			    struct jt_director_actions *actions)
 {
 	struct jt_incarnation *incarnation =
-		incarnation_find(director, id, born_ms);
+		incarnation_find(director, id, start_time_ms);
 
 	if (incarnation == NULL || incarnation->state == JT_INCARNATION_DEAD ||
 	    !jt_mechanism_on(director->options.without,
@@ -233,10 +237,10 @@
 }
 
 static void event_overdue_report(struct jt_director *director, uint64_t id,
-				 uint64_t born_ms, uint64_t now_ms)
+				 uint64_t start_time_ms, uint64_t now_ms)
 {
 	struct jt_incarnation *incarnation =
-		incarnation_find(director, id, born_ms);
+		incarnation_find(director, id, start_time_ms);
 
 	if (incarnation == NULL)
 		return;
@@ -258,8 +262,9 @@
 			director->endpoints, load->label);
 
 		if (incarnation != NULL)
-			jt_speed_take(&incarnation->speed, load->speed,
-				      event->now_ms);
+			jt_response_ratio_merge(&incarnation->response_ratio,
+						load->response_ratio,
+						event->now_ms);
 	}
 }
 
@@ -271,8 +276,8 @@
 {
 	switch (verdict) {
 	case JT_VERDICT_DEAD:
-		jt_director_incarnation_dies(director, incarnation, cause,
-					     now_ms, actions);
+		jt_director_incarnation_declare_dead(director, incarnation,
+						     cause, now_ms, actions);
 		break;
 	case JT_VERDICT_STILL_DEAD:
 		if (cause == JT_DEATH_REPLACED)
@@ -318,17 +323,17 @@
 }
 
 static void event_probed(struct jt_director *director, uint64_t id,
-			 uint64_t born_ms, enum jt_probe_outcome outcome,
+			 uint64_t start_time_ms, enum jt_probe_outcome outcome,
 			 uint64_t now_ms, struct jt_director_actions *actions)
 {
 	struct jt_incarnation *incarnation =
-		incarnation_find(director, id, born_ms);
+		incarnation_find(director, id, start_time_ms);
 	enum jt_death_cause cause;
 	enum jt_detector_verdict verdict;
 
 	if (incarnation == NULL || !incarnation->probing)
 		return;
-	if (outcome == JT_PROBE_VOID)
+	if (outcome == JT_PROBE_INCONCLUSIVE)
 		director->counters.probes_void++;
 	verdict = jt_detector_probed(
 		&director->detector, incarnation, outcome,
@@ -338,11 +343,12 @@
 }
 
 static void event_identified(struct jt_director *director, uint64_t id,
-			     uint64_t born_ms, uint64_t found, uint64_t now_ms,
+			     uint64_t start_time_ms, uint64_t found,
+			     uint64_t now_ms,
 			     struct jt_director_actions *actions)
 {
 	struct jt_incarnation *incarnation =
-		incarnation_find(director, id, born_ms);
+		incarnation_find(director, id, start_time_ms);
 	struct jt_incarnation *occupant;
 	enum jt_detector_verdict verdict;
 
@@ -355,7 +361,8 @@
 	occupant = jt_endpoint_table_by_id(director->endpoints, found);
 	if (occupant != NULL && jt_address_same(occupant->entry.address,
 						incarnation->entry.address))
-		jt_director_address_found(director, occupant, now_ms, actions);
+		jt_director_address_confirm(director, occupant, now_ms,
+					    actions);
 }
 
 static void event_routing(struct jt_director *director,
@@ -364,7 +371,7 @@
 	const struct jt_routing *old = director->routing;
 
 	if (old != NULL && routing->version <= old->version &&
-	    !(director->options.break_mechanism & JT_DIRECTOR_BREAK_VERSION)) {
+	    !(director->options.injected_faults & JT_DIRECTOR_FAULT_VERSION)) {
 		director->counters.routing_refused++;
 		return;
 	}
@@ -389,24 +396,26 @@
 		event_routing(director, event->u.routing);
 		break;
 	case JT_DIRECTOR_ENDPOINT:
-		if (director->options.break_mechanism & JT_DIRECTOR_BREAK_BIRTH)
-			event->u.endpoint.born_ms = 0;
+		if (director->options.injected_faults &
+		    JT_DIRECTOR_FAULT_START_TIME)
+			event->u.endpoint.start_time_ms = 0;
 		jt_director_entry(director, &event->u.endpoint, now_ms,
 				  actions);
 		break;
-	case JT_DIRECTOR_GONE:
-		jt_director_entry_gone(director, event->u.gone.id,
-				       event->u.gone.revision, now_ms, actions);
+	case JT_DIRECTOR_ENTRY_REMOVED:
+		jt_director_entry_removed(director, event->u.removed.id,
+					  event->u.removed.revision, now_ms,
+					  actions);
 		break;
 	case JT_DIRECTOR_UNREADABLE:
-		jt_director_entry_unreadable(director, event->u.gone.id,
-					     event->u.gone.revision, now_ms,
+		jt_director_entry_unreadable(director, event->u.removed.id,
+					     event->u.removed.revision, now_ms,
 					     actions);
 		break;
 	case JT_DIRECTOR_LISTING:
 		event_listing_begin(director);
 		break;
-	case JT_DIRECTOR_PARTLY_TOLD:
+	case JT_DIRECTOR_PARTIAL_STATE:
 		event_partial_state(director, now_ms);
 		break;
 	case JT_DIRECTOR_LISTED:
@@ -416,35 +425,36 @@
 	case JT_DIRECTOR_CAUGHT_UP:
 		revision_advance(director, event->u.listed.revision);
 		break;
-	case JT_DIRECTOR_INFORMED:
+	case JT_DIRECTOR_PEER_SNAPSHOT:
 		event_peer_snapshot(director, event);
 		break;
-	case JT_DIRECTOR_SLICES_TOLD:
+	case JT_DIRECTOR_SLICES_RECEIVED:
 		event_slices_received(director, event, actions);
 		break;
-	case JT_DIRECTOR_NEWS:
+	case JT_DIRECTOR_GOSSIP_UPDATES:
 		event_gossip_updates(director, event);
 		break;
 	case JT_DIRECTOR_SUSPICION:
 		event_suspicion(director, event->u.suspicion.id,
-				event->u.suspicion.born_ms, now_ms, actions);
+				event->u.suspicion.start_time_ms, now_ms,
+				actions);
 		break;
 	case JT_DIRECTOR_OVERDUE:
 		event_overdue_report(director, event->u.suspicion.id,
-				     event->u.suspicion.born_ms, now_ms);
+				     event->u.suspicion.start_time_ms, now_ms);
 		break;
-	case JT_DIRECTOR_FAILURES_TOLD:
+	case JT_DIRECTOR_FAILURE_REPORT:
 		jt_director_failures_told(director, event->u.failures.items,
 					  event->u.failures.count, now_ms);
 		break;
 	case JT_DIRECTOR_PROBED:
 		event_probed(director, event->u.probed.id,
-			     event->u.probed.born_ms, event->u.probed.outcome,
-			     now_ms, actions);
+			     event->u.probed.start_time_ms,
+			     event->u.probed.outcome, now_ms, actions);
 		break;
 	case JT_DIRECTOR_IDENTIFIED:
 		event_identified(director, event->u.identified.id,
-				 event->u.identified.born_ms,
+				 event->u.identified.start_time_ms,
 				 event->u.identified.found, now_ms, actions);
 		break;
 	case JT_DIRECTOR_LOADS:
@@ -453,8 +463,8 @@
 	case JT_DIRECTOR_ZONE_DRAINS:
 		jt_director_zones(director, event, actions);
 		break;
-	case JT_DIRECTOR_FLOW_TOLD:
-		jt_director_flow_told(director, event);
+	case JT_DIRECTOR_FLOW_LOOKUP_RESPONSE:
+		jt_director_flow_lookup_response(director, event);
 		break;
 	case JT_DIRECTOR_TICK:
 		director->peer_count = event->u.tick.peer_count;
@@ -465,11 +475,11 @@
 				   event->u.tick.node_id, event->u.tick.peers,
 				   event->u.tick.peer_count, now_ms);
 		if (event->u.tick.store_age_ms >=
-		    director->options.store_away_ms)
+		    director->options.store_outage_ms)
 			director->store_away_until_ms = now_ms;
 		jt_director_flows_expire(director, now_ms);
-		jt_director_openings(director, now_ms, actions);
-		jt_director_overdue(director, now_ms, actions);
+		jt_director_openings_check(director, now_ms, actions);
+		jt_director_requests_check(director, now_ms, actions);
 		jt_director_answers_look(director, now_ms, actions);
 		jt_director_endpoints_tick(director, now_ms, actions);
 		jt_director_admission_tick(director, now_ms, actions);
--- a/src/label/jt_director_admission.c
+++ b/src/label/jt_director_admission.c
@@ -3,7 +3,7 @@
 bool jt_director_admits(struct jt_director *director,
 			const struct jt_label_packet *packet,
 			const struct jt_route *route, uint64_t now_ms,
-			struct jt_director_room *room)
+			struct jt_admission_state *admission)
 {
 	struct jt_admission_verdict decision;
 
@@ -11,7 +11,7 @@
 	if (packet->acknowledged != 0)
 		return true;
 	decision = jt_admission_ask(director->admission, route, now_ms);
-	*room = decision.room;
+	*admission = decision.state;
 	return decision.admitted;
 }
 
@@ -28,7 +28,7 @@
 	if (action == NULL)
 		return;
 	action->service_id = view->service_id;
-	action->room = (struct jt_director_room){
+	action->admission = (struct jt_admission_state){
 		.limit = view->limit,
 		.in_flight = view->in_flight,
 		.delay_ms = view->delay_ms,
--- a/src/label/jt_director_answers.c
+++ b/src/label/jt_director_answers.c
@@ -84,7 +84,7 @@
 		jt_admission_answered(director->admission,
 				      incarnation->entry.service_id,
 				      flow->waiting_ms, response_bytes(flow),
-				      flow->placing, now_ms);
+				      flow->first_since_assigned, now_ms);
 		jt_flow_cache_answered(director->flows, flow);
 		if (incarnation->waiting > 0)
 			incarnation->waiting--;
@@ -200,7 +200,7 @@
 	struct jt_incarnation *incarnation =
 		jt_endpoint_table_labelled(director->endpoints, failure->label);
 
-	director->counters.failures_heard++;
+	director->counters.failures_received++;
 	if (incarnation == NULL)
 		return;
 	if (failure->failed_permille > 0)
@@ -228,7 +228,7 @@
 		jt_failure_news_take(&director->failure_news, director->nodes,
 				     now_ms, failures, peers);
 
-	director->counters.failures_told += count;
+	director->counters.failures_sent += count;
 	for (size_t i = 0; i < count; i++) {
 		const struct jt_incarnation *incarnation =
 			jt_endpoint_table_by_label(director->endpoints,
@@ -242,9 +242,10 @@
 	return count;
 }
 
-void jt_director_share_look(struct jt_director *director,
-			    struct jt_incarnation *incarnation, uint64_t now_ms,
-			    struct jt_director_actions *actions)
+void jt_director_share_check(struct jt_director *director,
+			     struct jt_incarnation *incarnation,
+			     uint64_t now_ms,
+			     struct jt_director_actions *actions)
 {
 	struct jt_director_action *action;
 	struct jt_outlier_view view;
--- a/src/label/jt_director_answers.h
+++ b/src/label/jt_director_answers.h
@@ -27,8 +27,9 @@
 			       size_t count, uint64_t now_ms);
 /* Compares the endpoint with others of its service and reports when its traffic
  * share was reduced or restored. */
-void jt_director_share_look(struct jt_director *director,
-			    struct jt_incarnation *incarnation, uint64_t now_ms,
-			    struct jt_director_actions *actions);
+void jt_director_share_check(struct jt_director *director,
+			     struct jt_incarnation *incarnation,
+			     uint64_t now_ms,
+			     struct jt_director_actions *actions);
 
 #endif
--- a/src/label/jt_director_entry.c
+++ b/src/label/jt_director_entry.c
@@ -11,9 +11,9 @@
 	OUTAGE_REPORT_MS = 1000,
 };
 
-void jt_director_entry_gone(struct jt_director *director, uint64_t id,
-			    uint64_t revision, uint64_t now_ms,
-			    struct jt_director_actions *actions)
+void jt_director_entry_removed(struct jt_director *director, uint64_t id,
+			       uint64_t revision, uint64_t now_ms,
+			       struct jt_director_actions *actions)
 {
 	struct jt_incarnation *incarnation =
 		jt_endpoint_table_by_id(director->endpoints, id);
@@ -23,11 +23,11 @@
 		return;
 	jt_endpoint_table_gone(director->endpoints, incarnation, revision,
 			       now_ms);
-	if (director->options.break_mechanism & JT_DIRECTOR_BREAK_FORGET_GONE) {
+	if (director->options.injected_faults & JT_DIRECTOR_FAULT_FORGET_GONE) {
 		jt_endpoint_table_remove(director->endpoints, incarnation);
 		return;
 	}
-	jt_director_address_given_back(director, incarnation, now_ms, actions);
+	jt_director_address_release(director, incarnation, now_ms, actions);
 	if (incarnation->state == JT_INCARNATION_DEAD)
 		return;
 	incarnation->away_lapsed =
@@ -35,7 +35,7 @@
 		jt_mechanism_on(director->options.without,
 				JT_MECHANISM_OUTAGE_LAPSES) &&
 		now_ms - director->store_away_until_ms < OUTAGE_REPORT_MS;
-	jt_director_state_enter(incarnation, JT_INCARNATION_LAPSED, now_ms,
+	jt_director_state_enter(incarnation, JT_INCARNATION_EXPIRED, now_ms,
 				actions);
 	/* The endpoint may be dead: probe it for the sake of its idle flows. */
 	if (incarnation->flows > 0 &&
@@ -61,7 +61,7 @@
 	incarnation->entry.unreadable = true;
 	director->counters.unreadable++;
 	if (incarnation->state != JT_INCARNATION_DEAD)
-		jt_director_state_enter(incarnation, JT_INCARNATION_LAPSED,
+		jt_director_state_enter(incarnation, JT_INCARNATION_EXPIRED,
 					now_ms, actions);
 }
 
@@ -90,14 +90,14 @@
 {
 	if (result == JT_ENTRY_RESTARTED) {
 		director->counters.restarted++;
-		jt_director_flows_of_earlier(director, incarnation,
-					     earliest_label);
+		jt_director_flows_supersede(director, incarnation,
+					    earliest_label);
 		incarnation_start(director, incarnation, JT_DIRECTOR_RESTARTED,
 				  now_ms, actions);
 	} else if (incarnation->state == JT_INCARNATION_DEAD) {
 		/* An entry written since its death shows that it lives. */
 		if (incarnation->cause != JT_DEATH_REPLACED &&
-		    incarnation->entry.gone_revision == 0)
+		    incarnation->entry.removed_revision == 0)
 			jt_director_incarnation_revives(director, incarnation,
 							now_ms, actions);
 	} else if (result == JT_ENTRY_NEW) {
@@ -108,15 +108,15 @@
 					jt_director_listed_state(incarnation),
 					now_ms, actions);
 	}
-	jt_director_address_settle(director, incarnation, now_ms, actions);
+	jt_director_address_assign(director, incarnation, now_ms, actions);
 }
 
 void jt_director_entry(struct jt_director *director,
 		       const struct jt_endpoint_entry *entry, uint64_t now_ms,
 		       struct jt_director_actions *actions)
 {
-	bool stale = director->options.break_mechanism &
-		     JT_DIRECTOR_BREAK_STALE_ENTRY;
+	bool stale = director->options.injected_faults &
+		     JT_DIRECTOR_FAULT_STALE_ENTRY;
 	const struct jt_incarnation *known =
 		jt_endpoint_table_by_id(director->endpoints, entry->id);
 	uint32_t earliest_label = known != NULL ? known->earlier_label : 0;
@@ -124,7 +124,8 @@
 	enum jt_entry_result result;
 
 	/* An endpoint that publishes its start time never stops doing so. */
-	if (known != NULL && known->entry.born_ms != 0 && entry->born_ms == 0) {
+	if (known != NULL && known->entry.start_time_ms != 0 &&
+	    entry->start_time_ms == 0) {
 		jt_director_entry_unreadable(director, entry->id,
 					     entry->revision, now_ms, actions);
 		return;
@@ -136,11 +137,12 @@
 			    now_ms, actions);
 	else if (result != JT_ENTRY_OLD)
 		director->counters.entries_refused++;
-	if (entry->gone_revision != 0 && entry->unreadable)
+	if (entry->removed_revision != 0 && entry->unreadable)
 		jt_director_entry_unreadable(director, entry->id,
-					     entry->gone_revision, now_ms,
+					     entry->removed_revision, now_ms,
 					     actions);
-	else if (entry->gone_revision != 0)
-		jt_director_entry_gone(director, entry->id,
-				       entry->gone_revision, now_ms, actions);
+	else if (entry->removed_revision != 0)
+		jt_director_entry_removed(director, entry->id,
+					  entry->removed_revision, now_ms,
+					  actions);
 }
--- a/src/label/jt_director_expiry.c
+++ b/src/label/jt_director_expiry.c
@@ -21,8 +21,8 @@
 {
 	uint64_t idle_ms = jt_director_flow_idle_ms(director);
 
-	while (director->flows->rested != NULL) {
-		struct jt_cached_flow *flow = director->flows->rested;
+	while (director->flows->idle != NULL) {
+		struct jt_cached_flow *flow = director->flows->idle;
 		uint64_t limit_ms = flow->closing && idle_ms > CLOSING_MS
 					    ? CLOSING_MS
 					    : idle_ms;
@@ -37,7 +37,7 @@
 				 const struct jt_incarnation *incarnation,
 				 uint64_t now_ms)
 {
-	return incarnation->entry.gone_revision != 0 &&
+	return incarnation->entry.removed_revision != 0 &&
 	       now_ms - incarnation->learned_ms >
 		       director->options.flow_age_limit_ms;
 }
@@ -54,7 +54,7 @@
  * traffic share is pending. */
 static bool incarnation_pending(const struct jt_incarnation *incarnation)
 {
-	return incarnation->entry.gone_revision != 0 ||
+	return incarnation->entry.removed_revision != 0 ||
 	       jt_detector_pending(incarnation) ||
 	       jt_outlier_pending(incarnation);
 }
@@ -73,8 +73,8 @@
 			jt_director_probe(director, incarnation, now_ms,
 					  actions);
 		if (jt_outlier_pending(incarnation))
-			jt_director_share_look(director, incarnation, now_ms,
-					       actions);
+			jt_director_share_check(director, incarnation, now_ms,
+						actions);
 		if (incarnation_outdated(director, incarnation, now_ms))
 			incarnation_forget(director, incarnation);
 		else if (!incarnation_pending(incarnation))
--- a/src/label/jt_director_flow.c
+++ b/src/label/jt_director_flow.c
@@ -11,7 +11,7 @@
 	struct jt_cached_flow *flow;
 
 	if (jt_flow_cache_full(director->flows))
-		jt_director_flow_forget(director, director->flows->rested);
+		jt_director_flow_forget(director, director->flows->idle);
 	flow = jt_flow_cache_add(director->flows, &packet->key, now_ms);
 	if (flow == NULL)
 		return NULL;
@@ -98,15 +98,15 @@
 bool jt_director_flow_ended(const struct jt_cached_flow *flow,
 			    const struct jt_incarnation *incarnation)
 {
-	return incarnation->entry.born_ms == 0 ||
+	return incarnation->entry.start_time_ms == 0 ||
 	       flow->first_seen_ms < incarnation->proven_ms;
 }
 
-void jt_director_flows_of_earlier(struct jt_director *director,
-				  const struct jt_incarnation *incarnation,
-				  uint32_t earliest_label)
+void jt_director_flows_supersede(struct jt_director *director,
+				 const struct jt_incarnation *incarnation,
+				 uint32_t earliest_label)
 {
-	struct jt_cached_flow *flow = director->flows->rested;
+	struct jt_cached_flow *flow = director->flows->idle;
 
 	for (; flow != NULL; flow = flow->newer) {
 		if (earliest_label != 0 && flow->label == earliest_label)
@@ -117,6 +117,6 @@
 		jt_flow_cache_answer_end(director->flows, flow);
 		flow->resent = 0;
 		flow->expected = false;
-		flow->doubted = true;
+		flow->suspected = true;
 	}
 }
--- a/src/label/jt_director_flow.h
+++ b/src/label/jt_director_flow.h
@@ -6,7 +6,7 @@
 
 /* Time after which a client gives up opening a flow: it retransmits the SYN
  * after 200 and 600 ms. */
-enum { JT_CALLER_ENDS_MS = 1400 };
+enum { JT_CLIENT_OPEN_TIMEOUT_MS = 1400 };
 
 /* Caches a flow that is new to this node. @label is the label of @incarnation
  * or of an earlier incarnation of the same endpoint. Returns NULL when out of
@@ -51,8 +51,8 @@
  * copies of their SYNs go to no other endpoint; so do the flows of the
  * incarnation before it, which had @earliest_label.
  */
-void jt_director_flows_of_earlier(struct jt_director *director,
-				  const struct jt_incarnation *incarnation,
-				  uint32_t earliest_label);
+void jt_director_flows_supersede(struct jt_director *director,
+				 const struct jt_incarnation *incarnation,
+				 uint32_t earliest_label);
 
 #endif
--- a/src/label/jt_director_incarnation.c
+++ b/src/label/jt_director_incarnation.c
@@ -24,8 +24,8 @@
 enum jt_incarnation_state
 jt_director_listed_state(const struct jt_incarnation *incarnation)
 {
-	if (incarnation->entry.gone_revision != 0)
-		return JT_INCARNATION_LAPSED;
+	if (incarnation->entry.removed_revision != 0)
+		return JT_INCARNATION_EXPIRED;
 	if (incarnation->entry.draining)
 		return JT_INCARNATION_DRAINING;
 	return JT_INCARNATION_READY;
@@ -44,7 +44,7 @@
 		return age_ms >= FIRST_COPY_MS + COPY_TOLERANCE_MS;
 	if (flow->copies == 1)
 		return age_ms >= SECOND_COPY_MS + COPY_TOLERANCE_MS;
-	return age_ms >= JT_CALLER_ENDS_MS;
+	return age_ms >= JT_CLIENT_OPEN_TIMEOUT_MS;
 }
 
 void jt_director_flows_reset(struct jt_director *director,
@@ -52,7 +52,7 @@
 			     uint64_t now_ms,
 			     struct jt_director_actions *actions)
 {
-	struct jt_cached_flow *flow = director->flows->rested;
+	struct jt_cached_flow *flow = director->flows->idle;
 
 	/* Flows with its label belong to another incarnation. */
 	if (!jt_endpoint_table_has_label(incarnation))
@@ -71,10 +71,11 @@
 	}
 }
 
-void jt_director_incarnation_dies(struct jt_director *director,
-				  struct jt_incarnation *incarnation,
-				  enum jt_death_cause cause, uint64_t now_ms,
-				  struct jt_director_actions *actions)
+void jt_director_incarnation_declare_dead(struct jt_director *director,
+					  struct jt_incarnation *incarnation,
+					  enum jt_death_cause cause,
+					  uint64_t now_ms,
+					  struct jt_director_actions *actions)
 {
 	struct jt_director_action *action;
 
@@ -88,7 +89,7 @@
 	incarnation->state_ms = now_ms;
 	incarnation->cause = cause;
 	director->counters.deaths[cause]++;
-	action = jt_director_action_about(actions, JT_DIRECTOR_VERDICT, 0,
+	action = jt_director_action_about(actions, JT_DIRECTOR_DEATH_REPORT, 0,
 					  incarnation, now_ms);
 	if (action != NULL)
 		action->peers_know =
@@ -98,7 +99,7 @@
 	 * not whether this endpoint has restarted there since: identify who
 	 * responds. */
 	if (cause == JT_DEATH_REPLACED && incarnation->flows > 0 &&
-	    incarnation->entry.born_ms != 0)
+	    incarnation->entry.start_time_ms != 0)
 		incarnation->proof_wanted = true;
 }
 
@@ -120,12 +121,12 @@
  * no sign of life. */
 static bool address_lost(const struct jt_incarnation *incarnation)
 {
-	return incarnation->entry.born_ms != 0 &&
+	return incarnation->entry.start_time_ms != 0 &&
 	       incarnation->state == JT_INCARNATION_DEAD &&
 	       incarnation->cause == JT_DEATH_REPLACED;
 }
 
-void jt_director_address_settle(struct jt_director *director,
+void jt_director_address_assign(struct jt_director *director,
 				struct jt_incarnation *updated, uint64_t now_ms,
 				struct jt_director_actions *actions)
 {
@@ -142,43 +143,43 @@
 	}
 	for (other = first; other != NULL; other = other->address_next) {
 		if (other != newest)
-			jt_director_incarnation_dies(director, other,
-						     JT_DEATH_REPLACED, now_ms,
-						     actions);
+			jt_director_incarnation_declare_dead(director, other,
+							     JT_DEATH_REPLACED,
+							     now_ms, actions);
 	}
 }
 
-void jt_director_address_found(struct jt_director *director,
-			       struct jt_incarnation *found, uint64_t now_ms,
-			       struct jt_director_actions *actions)
+void jt_director_address_confirm(struct jt_director *director,
+				 struct jt_incarnation *found, uint64_t now_ms,
+				 struct jt_director_actions *actions)
 {
 	struct jt_incarnation *other =
 		jt_endpoint_table_at(director->endpoints, found->entry.address);
 
-	if (!address_lost(found) || found->entry.gone_revision != 0)
+	if (!address_lost(found) || found->entry.removed_revision != 0)
 		return;
 	jt_director_incarnation_revives(director, found, now_ms, actions);
 	for (; other != NULL; other = other->address_next) {
 		if (other != found)
-			jt_director_incarnation_dies(director, other,
-						     JT_DEATH_REPLACED, now_ms,
-						     actions);
+			jt_director_incarnation_declare_dead(director, other,
+							     JT_DEATH_REPLACED,
+							     now_ms, actions);
 	}
 }
 
-void jt_director_address_given_back(struct jt_director *director,
-				    const struct jt_incarnation *removed,
-				    uint64_t now_ms,
-				    struct jt_director_actions *actions)
+void jt_director_address_release(struct jt_director *director,
+				 const struct jt_incarnation *removed,
+				 uint64_t now_ms,
+				 struct jt_director_actions *actions)
 {
 	struct jt_incarnation *newest = NULL, *other;
 
-	if (removed->entry.born_ms == 0 || address_lost(removed))
+	if (removed->entry.start_time_ms == 0 || address_lost(removed))
 		return;
 	other = jt_endpoint_table_at(director->endpoints,
 				     removed->entry.address);
 	for (; other != NULL; other = other->address_next) {
-		if (address_lost(other) && other->entry.gone_revision == 0 &&
+		if (address_lost(other) && other->entry.removed_revision == 0 &&
 		    (newest == NULL ||
 		     other->entry.revision > newest->entry.revision))
 			newest = other;
--- a/src/label/jt_director_lookup.c
+++ b/src/label/jt_director_lookup.c
@@ -10,7 +10,7 @@
 {
 	return packet->acknowledged > 0 && packet->held_ms == 0 &&
 	       director->peer_count > 0 &&
-	       jt_director_learning_ms(director, now_ms) == 0 &&
+	       jt_director_initial_sync_ms(director, now_ms) == 0 &&
 	       jt_mechanism_on(director->options.without,
 			       JT_MECHANISM_FLOW_LOOKUP);
 }
@@ -27,7 +27,7 @@
 	if (!lookup_needed(director, packet, now_ms) ||
 	    !jt_flow_lookup_begin(director->lookups, packet, now_ms))
 		return false;
-	action = jt_director_action_add(actions, JT_DIRECTOR_FLOW_ASK,
+	action = jt_director_action_add(actions, JT_DIRECTOR_FLOW_LOOKUP,
 					JT_DIRECTOR_PEERS_ASKED);
 	if (action == NULL)
 		return false;
@@ -44,10 +44,10 @@
 	jt_flow_lookup_asked(director->lookups, key, peers, now_ms);
 }
 
-void jt_director_flow_told(struct jt_director *director,
-			   const struct jt_director_event *event)
+void jt_director_flow_lookup_response(struct jt_director *director,
+				      const struct jt_director_event *event)
 {
-	uint32_t label = event->u.flow_told.label;
+	uint32_t label = event->u.flow_lookup_response.label;
 	uint64_t now_ms = event->now_ms;
 	struct jt_incarnation *incarnation =
 		label != 0
@@ -56,8 +56,8 @@
 	bool known = incarnation != NULL &&
 		     incarnation->state != JT_INCARNATION_DEAD;
 	const struct jt_label_packet *packet = jt_flow_lookup_answered(
-		director->lookups, &event->u.flow_told.key,
-		event->u.flow_told.sequence, known, now_ms);
+		director->lookups, &event->u.flow_lookup_response.key,
+		event->u.flow_lookup_response.sequence, known, now_ms);
 	struct jt_cached_flow *flow;
 
 	if (packet == NULL || !known ||
--- a/src/label/jt_director_lookup.h
+++ b/src/label/jt_director_lookup.h
@@ -11,8 +11,8 @@
 			      const struct jt_label_packet *packet,
 			      uint64_t now_ms,
 			      struct jt_director_actions *actions);
-/* Handles a peer's response, JT_DIRECTOR_FLOW_TOLD. */
-void jt_director_flow_told(struct jt_director *director,
-			   const struct jt_director_event *event);
+/* Handles a peer's response, JT_DIRECTOR_FLOW_LOOKUP_RESPONSE. */
+void jt_director_flow_lookup_response(struct jt_director *director,
+				      const struct jt_director_event *event);
 
 #endif
--- a/src/label/jt_director_packet.c
+++ b/src/label/jt_director_packet.c
@@ -120,9 +120,9 @@
 	jt_admission_requested(director->admission,
 			       incarnation->entry.service_id, now_ms);
 	incarnation->waiting++;
-	flow->placing = flow->expected;
+	flow->first_since_assigned = flow->expected;
 	if (!flow->expected)
-		jt_work_add(&incarnation->work, 1, now_ms);
+		jt_recent_load_add(&incarnation->recent_load, 1, now_ms);
 	flow->expected = false;
 }
 
@@ -131,7 +131,7 @@
 static bool endpoints_expected(const struct jt_director *director,
 			       uint64_t now_ms)
 {
-	return jt_director_learning_ms(director, now_ms) > 0 &&
+	return jt_director_initial_sync_ms(director, now_ms) > 0 &&
 	       jt_mechanism_on(director->options.without,
 			       JT_MECHANISM_SPREAD_LEARNING);
 }
@@ -143,26 +143,26 @@
 		       struct jt_director_actions *actions)
 {
 	struct jt_director_action *action;
-	struct jt_director_room room;
+	struct jt_admission_state admission;
 
-	if (jt_director_admits(director, packet, route, now_ms, &room))
+	if (jt_director_admits(director, packet, route, now_ms, &admission))
 		return true;
 	action = reset_add(director, &packet->key, JT_DIRECTOR_OVERLOADED,
 			   actions);
 	if (action != NULL)
-		action->room = room;
+		action->admission = admission;
 	return false;
 }
 
 /* Injected fault: asks admission control about assigned flows again. */
-static bool break_rejects_assigned(struct jt_director *director,
+static bool fault_rejects_assigned(struct jt_director *director,
 				   const struct jt_label_packet *packet,
 				   const struct jt_route *route,
 				   uint64_t now_ms,
 				   struct jt_director_actions *actions)
 {
-	return director->options.break_mechanism &
-		       JT_DIRECTOR_BREAK_REFUSE_PLACED &&
+	return director->options.injected_faults &
+		       JT_DIRECTOR_FAULT_REFUSE_PLACED &&
 	       !flow_admit(director, packet, route, now_ms, actions);
 }
 
@@ -184,7 +184,7 @@
 		jt_chooser_choose(director->chooser, director->endpoints,
 				  director->routing, route, now_ms, &refusal);
 	if (endpoint == NULL && endpoints_expected(director, now_ms)) {
-		hold_add(director, packet, JT_DIRECTOR_LEARNING, actions);
+		hold_add(director, packet, JT_DIRECTOR_INITIAL_SYNC, actions);
 		return;
 	}
 	if (endpoint == NULL) {
@@ -198,7 +198,7 @@
 	if (flow != NULL) {
 		jt_flow_cache_opening(director->flows, flow, now_ms);
 		flow->expected = true;
-		jt_work_add(&endpoint->work, 1, now_ms);
+		jt_recent_load_add(&endpoint->recent_load, 1, now_ms);
 		jt_admission_placed(director->admission,
 				    endpoint->entry.service_id, now_ms);
 	}
@@ -218,10 +218,11 @@
 	for (; flow != NULL && checked < OPENING_CHECK_MAX; checked++) {
 		struct jt_cached_flow *next = flow->opening_next;
 
-		if (!flow->doubted && flow->key.source == key->source &&
+		if (!flow->suspected && flow->key.source == key->source &&
 		    flow->key.destination == key->destination &&
 		    flow->key.destination_port == key->destination_port)
-			jt_director_doubt(director, flow, now_ms, actions);
+			jt_director_flow_suspect(director, flow, now_ms,
+						 actions);
 		flow = next;
 	}
 }
@@ -235,7 +236,7 @@
 			  uint64_t now_ms)
 {
 	return flow->opening_ms != 0 &&
-	       now_ms - flow->opening_ms >= JT_CALLER_ENDS_MS &&
+	       now_ms - flow->opening_ms >= JT_CLIENT_OPEN_TIMEOUT_MS &&
 	       jt_zone_drains_has(&director->zone_drains,
 				  incarnation->entry.zone_id);
 }
@@ -284,7 +285,7 @@
 	enum jt_director_reason reason = JT_DIRECTOR_PLACED;
 	struct jt_incarnation *incarnation;
 
-	if (!jt_director_places(director)) {
+	if (!jt_director_accepts_flows(director)) {
 		hold_add(director, packet, JT_DIRECTOR_NOT_STARTED, actions);
 		return;
 	}
@@ -301,8 +302,8 @@
 	if (flow != NULL) {
 		incarnation = jt_endpoint_table_by_label(director->endpoints,
 							 flow->label);
-		if (director->options.break_mechanism &
-		    JT_DIRECTOR_BREAK_PLACE_COPIES)
+		if (director->options.injected_faults &
+		    JT_DIRECTOR_FAULT_PLACE_COPIES)
 			incarnation = NULL;
 		if (incarnation != NULL &&
 		    copy_is_stale(director, flow, incarnation, now_ms)) {
@@ -312,7 +313,7 @@
 		}
 		if (incarnation != NULL &&
 		    incarnation->state != JT_INCARNATION_DEAD) {
-			if (break_rejects_assigned(director, packet, route,
+			if (fault_rejects_assigned(director, packet, route,
 						   now_ms, actions))
 				return;
 			packet_syn_copy(director, packet, flow, incarnation,
@@ -322,8 +323,8 @@
 		/* The flow may be open at the restarted endpoint. */
 		if (incarnation != NULL && !syn_retransmitted(flow, packet) &&
 		    !jt_director_flow_ended(flow, incarnation)) {
-			drop_add(director, packet, JT_DIRECTOR_UNPROVEN,
-				 actions);
+			drop_add(director, packet,
+				 JT_DIRECTOR_DEATH_UNCONFIRMED, actions);
 			return;
 		}
 		jt_director_flow_forget(director, flow);
@@ -419,12 +420,12 @@
 }
 
 /* Injected fault: ends flows at endpoints with a reduced traffic share. */
-static bool break_ends_failing(const struct jt_director *director,
+static bool fault_ends_failing(const struct jt_director *director,
 			       const struct jt_incarnation *incarnation,
 			       uint64_t now_ms)
 {
-	return (director->options.break_mechanism &
-		JT_DIRECTOR_BREAK_END_FAILING) != 0 &&
+	return (director->options.injected_faults &
+		JT_DIRECTOR_FAULT_END_FAILING) != 0 &&
 	       jt_outlier_share_permille(incarnation, now_ms) <
 		       JT_FULL_SHARE_PERMILLE;
 }
@@ -441,7 +442,7 @@
 {
 	bool reset = !(packet->flags & JT_PACKET_RST);
 
-	if (flow == NULL && reset && incarnation->entry.born_ms != 0)
+	if (flow == NULL && reset && incarnation->entry.start_time_ms != 0)
 		flow = jt_director_flow_add(director, packet, incarnation,
 					    label, now_ms);
 	/* The flow was not open when its SYN was seen here. */
@@ -453,7 +454,8 @@
 	    !jt_director_flow_ended(flow, incarnation)) {
 		flow->acknowledged = packet->acknowledged;
 		jt_detector_want_proof(&director->detector, incarnation);
-		drop_add(director, packet, JT_DIRECTOR_UNPROVEN, actions);
+		drop_add(director, packet, JT_DIRECTOR_DEATH_UNCONFIRMED,
+			 actions);
 		return;
 	}
 	if (flow != NULL)
@@ -491,7 +493,8 @@
 	}
 	/* If its endpoint may still renew its entry, holding the packet is
 	 * faster than waiting for the client to retransmit. */
-	if (incarnation == NULL && jt_director_learning_ms(director, now_ms) &&
+	if (incarnation == NULL &&
+	    jt_director_initial_sync_ms(director, now_ms) &&
 	    jt_mechanism_on(director->options.without,
 			    JT_MECHANISM_HOLD_UNKNOWN)) {
 		hold_add(director, packet, JT_DIRECTOR_UNKNOWN_LABEL, actions);
@@ -511,7 +514,7 @@
 				     now_ms, actions);
 		return;
 	}
-	if (flow != NULL && break_ends_failing(director, incarnation, now_ms)) {
+	if (flow != NULL && fault_ends_failing(director, incarnation, now_ms)) {
 		jt_director_flow_reset(director, flow, incarnation, now_ms,
 				       actions);
 		return;
@@ -543,10 +546,11 @@
 {
 	bool first = packet->flags & JT_PACKET_SYN;
 
-	jt_director_openings(director, now_ms, actions);
+	jt_director_openings_check(director, now_ms, actions);
 	jt_director_answers_look(director, now_ms, actions);
-	if (packet->held_ms >= (first ? JT_CALLER_ENDS_MS : HOLD_MAX_MS)) {
-		drop_add(director, packet, JT_DIRECTOR_LEARNING, actions);
+	if (packet->held_ms >=
+	    (first ? JT_CLIENT_OPEN_TIMEOUT_MS : HOLD_MAX_MS)) {
+		drop_add(director, packet, JT_DIRECTOR_INITIAL_SYNC, actions);
 		return;
 	}
 	if (first && packet->flags & JT_PACKET_ACK)
--- a/src/label/jt_director_suspicion.c
+++ b/src/label/jt_director_suspicion.c
@@ -47,14 +47,14 @@
 		jt_director_probe(director, incarnation, now_ms, actions);
 }
 
-void jt_director_doubt(struct jt_director *director,
-		       struct jt_cached_flow *flow, uint64_t now_ms,
-		       struct jt_director_actions *actions)
+void jt_director_flow_suspect(struct jt_director *director,
+			      struct jt_cached_flow *flow, uint64_t now_ms,
+			      struct jt_director_actions *actions)
 {
 	struct jt_incarnation *incarnation =
 		jt_endpoint_table_by_label(director->endpoints, flow->label);
 
-	flow->doubted = true;
+	flow->suspected = true;
 	if (incarnation != NULL)
 		jt_director_suspect(director, incarnation, JT_EVIDENCE_OPENING,
 				    now_ms, actions);
@@ -68,8 +68,8 @@
 	return limit_ms > OPENING_MIN_MS ? limit_ms : OPENING_MIN_MS;
 }
 
-void jt_director_openings(struct jt_director *director, uint64_t now_ms,
-			  struct jt_director_actions *actions)
+void jt_director_openings_check(struct jt_director *director, uint64_t now_ms,
+				struct jt_director_actions *actions)
 {
 	struct jt_cached_flow *flow = director->flows->opening;
 	double limit_ms = opening_limit_ms(director);
@@ -85,8 +85,9 @@
 
 		if (now_ms - flow->opening_ms >= OPENING_END_MS)
 			jt_director_flow_forget(director, flow);
-		else if (!flow->doubted)
-			jt_director_doubt(director, flow, now_ms, actions);
+		else if (!flow->suspected)
+			jt_director_flow_suspect(director, flow, now_ms,
+						 actions);
 		flow = next;
 	}
 }
@@ -106,12 +107,12 @@
 	jt_chooser_compare(director->chooser, incarnation->pool, now_ms);
 	jt_endpoint_table_watch(director->endpoints, incarnation);
 	if (jt_outlier_overdue(incarnation, now_ms))
-		jt_director_action_about(actions, JT_DIRECTOR_FAILING, 0,
+		jt_director_action_about(actions, JT_DIRECTOR_OVERDUE_REPORT, 0,
 					 incarnation, now_ms);
 }
 
-void jt_director_overdue(struct jt_director *director, uint64_t now_ms,
-			 struct jt_director_actions *actions)
+void jt_director_requests_check(struct jt_director *director, uint64_t now_ms,
+				struct jt_director_actions *actions)
 {
 	struct jt_cached_flow *flow = director->flows->waiting;
 
--- a/src/label/jt_director_suspicion.h
+++ b/src/label/jt_director_suspicion.h
@@ -14,14 +14,14 @@
 			 enum jt_evidence evidence, uint64_t now_ms,
 			 struct jt_director_actions *actions);
 /* Suspects the endpoint of a flow whose SYN got no response, once per flow. */
-void jt_director_doubt(struct jt_director *director,
-		       struct jt_cached_flow *flow, uint64_t now_ms,
-		       struct jt_director_actions *actions);
+void jt_director_flow_suspect(struct jt_director *director,
+			      struct jt_cached_flow *flow, uint64_t now_ms,
+			      struct jt_director_actions *actions);
 /* Suspects the endpoints whose responses to SYNs are overdue. */
-void jt_director_openings(struct jt_director *director, uint64_t now_ms,
-			  struct jt_director_actions *actions);
+void jt_director_openings_check(struct jt_director *director, uint64_t now_ms,
+				struct jt_director_actions *actions);
 /* Records the endpoints whose responses to requests are overdue. */
-void jt_director_overdue(struct jt_director *director, uint64_t now_ms,
-			 struct jt_director_actions *actions);
+void jt_director_requests_check(struct jt_director *director, uint64_t now_ms,
+				struct jt_director_actions *actions);
 
 #endif
--- a/src/label/jt_director_view.c
+++ b/src/label/jt_director_view.c
@@ -51,7 +51,7 @@
 	if (action == NULL)
 		return NULL;
 	action->endpoint_id = incarnation->entry.id;
-	action->born_ms = incarnation->entry.born_ms;
+	action->start_time_ms = incarnation->entry.start_time_ms;
 	action->label = incarnation->label;
 	action->address = incarnation->entry.address;
 	action->state = incarnation->state;
@@ -69,14 +69,14 @@
 	return director->routing != NULL && director->listed;
 }
 
-bool jt_director_places(const struct jt_director *director)
+bool jt_director_accepts_flows(const struct jt_director *director)
 {
 	return director->routing != NULL &&
 	       (director->listed || director->partly_told);
 }
 
-uint32_t jt_director_learning_ms(const struct jt_director *director,
-				 uint64_t now_ms)
+uint32_t jt_director_initial_sync_ms(const struct jt_director *director,
+				     uint64_t now_ms)
 {
 	uint64_t until_ms = director->chooser->learning_until_ms;
 
@@ -140,8 +140,8 @@
 	size_t count = 0;
 
 	for (; in != NULL; in = jt_endpoint_table_next(in)) {
-		double ratio =
-			jt_speed_slowness(&in->speed, director->nodes, now_ms);
+		double ratio = jt_response_ratio_get(&in->response_ratio,
+						     director->nodes, now_ms);
 
 		if (in->state == JT_INCARNATION_READY && (ratio - 1) * sign > 0)
 			count++;
@@ -165,16 +165,18 @@
 static bool load_fill(const struct jt_incarnation *in, uint64_t now_ms,
 		      struct jt_endpoint_load *load)
 {
-	double recent = jt_work_now(&in->work, now_ms) * JT_WORK_UNIT;
+	double recent = jt_recent_load_at(&in->recent_load, now_ms) *
+			JT_RECENT_LOAD_UNIT;
 
 	*load = (struct jt_endpoint_load){
 		.label = in->label,
 		.flows = in->flows,
-		.work_permille =
+		.recent_load_permille =
 			recent < UINT32_MAX ? (uint32_t)recent : UINT32_MAX,
-		.speed = jt_speed_told(&in->speed, now_ms),
+		.response_ratio =
+			jt_response_ratio_encode(&in->response_ratio, now_ms),
 	};
-	return load->flows > 0 || load->work_permille > 0;
+	return load->flows > 0 || load->recent_load_permille > 0;
 }
 
 size_t jt_director_loads(struct jt_director *director, uint64_t now_ms,
@@ -245,8 +247,8 @@
 		[JT_DIRECTOR_NOT_STARTED] = "not_started",
 		[JT_DIRECTOR_NO_ZONE] = "no_zone",
 		[JT_DIRECTOR_COLD] = "cold",
-		[JT_DIRECTOR_LEARNING] = "learning",
-		[JT_DIRECTOR_UNPROVEN] = "death_unproven",
+		[JT_DIRECTOR_INITIAL_SYNC] = "learning",
+		[JT_DIRECTOR_DEATH_UNCONFIRMED] = "death_unproven",
 		[JT_DIRECTOR_OVERLOADED] = "overloaded",
 		[JT_DIRECTOR_PEERS_ASKED] = "peers_asked",
 	};
@@ -259,7 +261,7 @@
 	static const char *const names[] = {
 		[JT_INCARNATION_READY] = "ready",
 		[JT_INCARNATION_DRAINING] = "draining",
-		[JT_INCARNATION_LAPSED] = "lapsed",
+		[JT_INCARNATION_EXPIRED] = "lapsed",
 		[JT_INCARNATION_DEAD] = "dead",
 	};
 
--- a/src/label/jt_endpoint_table.c
+++ b/src/label/jt_endpoint_table.c
@@ -8,13 +8,13 @@
 
 enum { POOL_INITIAL_CAPACITY = 16 }; /* members */
 
-uint32_t jt_incarnation_label(uint64_t endpoint_id, uint64_t born_ms)
+uint32_t jt_incarnation_label(uint64_t endpoint_id, uint64_t start_time_ms)
 {
-	const uint64_t input[] = {endpoint_id, born_ms};
+	const uint64_t input[] = {endpoint_id, start_time_ms};
 	uint64_t hash = endpoint_id;
 	uint32_t label;
 
-	if (born_ms != 0)
+	if (start_time_ms != 0)
 		hash = XXH64(input, sizeof(input), 0);
 	label = (uint32_t)(hash >> 32) ^ (uint32_t)hash;
 	return label ? label : 1;
@@ -151,8 +151,10 @@
 static int label_compare(const struct jt_incarnation *a,
 			 const struct jt_incarnation *b)
 {
-	if (a->entry.created != b->entry.created)
-		return a->entry.created < b->entry.created ? -1 : 1;
+	if (a->entry.created_revision != b->entry.created_revision)
+		return a->entry.created_revision < b->entry.created_revision
+			       ? -1
+			       : 1;
 	return a->entry.id < b->entry.id ? -1 : 1;
 }
 
@@ -310,7 +312,7 @@
 		       const struct jt_endpoint_entry *entry, uint64_t now_ms)
 {
 	incarnation->entry = *entry;
-	incarnation->entry.gone_revision = 0;
+	incarnation->entry.removed_revision = 0;
 	incarnation->entry.unreadable = false;
 	incarnation->learned_ms = now_ms;
 	incarnation->cold_until_ms = now_ms + entry->cold_left_ms;
@@ -349,7 +351,7 @@
 	added = talloc_zero(table, struct jt_incarnation);
 	if (added == NULL)
 		return JT_ENTRY_NO_ROOM;
-	added->label = jt_incarnation_label(entry->id, entry->born_ms);
+	added->label = jt_incarnation_label(entry->id, entry->start_time_ms);
 	added->told = true;
 	added->state_ms = now_ms;
 	entry_copy(added, entry, now_ms);
@@ -394,8 +396,8 @@
 	earlier_label_leave(table, incarnation);
 	observations_clear(incarnation);
 	incarnation->state_ms = now_ms;
-	incarnation->label = jt_incarnation_label(incarnation->entry.id,
-						  incarnation->entry.born_ms);
+	incarnation->label = jt_incarnation_label(
+		incarnation->entry.id, incarnation->entry.start_time_ms);
 	label_join(table, incarnation);
 	incarnation->earlier_label = earlier_label;
 	HASH_ADD(by_earlier_label, table->earlier_labels, earlier_label,
@@ -417,10 +419,10 @@
 static void created_update(struct jt_endpoint_table *table,
 			   struct jt_incarnation *incarnation, uint64_t created)
 {
-	if (created == incarnation->entry.created)
+	if (created == incarnation->entry.created_revision)
 		return;
 	label_leave(table, incarnation);
-	incarnation->entry.created = created;
+	incarnation->entry.created_revision = created;
 	label_join(table, incarnation);
 }
 
@@ -431,30 +433,31 @@
 {
 	struct jt_incarnation *known =
 		jt_endpoint_table_by_id(table, entry->id);
-	uint64_t gone_revision, created, previous_created;
+	uint64_t removed_revision, created, previous_created;
 	bool unreadable, restarted;
 
 	if (known == NULL)
 		return entry_add(table, entry, now_ms, incarnation);
 	known->told = true;
-	restarted = entry->born_ms != known->entry.born_ms;
-	previous_created = known->entry.created;
-	created = restarted ? entry->created
-			    : created_earlier(entry->created, previous_created);
+	restarted = entry->start_time_ms != known->entry.start_time_ms;
+	previous_created = known->entry.created_revision;
+	created = restarted ? entry->created_revision
+			    : created_earlier(entry->created_revision,
+					      previous_created);
 	if (!stale && entry->revision <= known->entry.revision) {
 		if (!restarted)
 			created_update(table, known, created);
 		return JT_ENTRY_OLD;
 	}
-	gone_revision = known->entry.gone_revision;
+	removed_revision = known->entry.removed_revision;
 	unreadable = known->entry.unreadable;
 	entry_replace(table, known, entry, now_ms);
-	known->entry.created = previous_created;
+	known->entry.created_revision = previous_created;
 	created_update(table, known, created);
 	/* An update older than the removal is accepted but does not undo the
 	 * removal. */
-	if (!stale && gone_revision > entry->revision) {
-		known->entry.gone_revision = gone_revision;
+	if (!stale && removed_revision > entry->revision) {
+		known->entry.removed_revision = removed_revision;
 		known->entry.unreadable = unreadable;
 	}
 	if (restarted)
@@ -468,7 +471,7 @@
 			    struct jt_incarnation *incarnation,
 			    uint64_t revision, uint64_t now_ms)
 {
-	incarnation->entry.gone_revision = revision;
+	incarnation->entry.removed_revision = revision;
 	incarnation->learned_ms = now_ms;
 	slice_revision_update(table, incarnation);
 	jt_endpoint_table_watch(table, incarnation);
--- a/src/label/jt_endpoint_table.h
+++ b/src/label/jt_endpoint_table.h
@@ -17,8 +17,8 @@
 
 #include "jt_director_proto.h"
 #include "jt_outlier_state.h"
-#include "jt_speed.h"
-#include "jt_work.h"
+#include "jt_response_ratio.h"
+#include "jt_recent_load.h"
 
 #include <uthash.h>
 
@@ -48,9 +48,9 @@
 
 	/* Load of this node's own flows. */
 	uint32_t flows;
-	struct jt_work work;
+	struct jt_recent_load recent_load;
 	uint32_t waiting; /* flows with an unanswered request */
-	struct jt_speed speed;
+	struct jt_response_ratio response_ratio;
 
 	/* State of the failure detector. */
 	uint64_t progress_ms; /* last progress on a flow */
@@ -138,8 +138,8 @@
 /* Returns the latest revision that discovery reported for the incarnation. */
 static inline uint64_t jt_incarnation_revision(const struct jt_incarnation *in)
 {
-	if (in->entry.gone_revision > in->entry.revision)
-		return in->entry.gone_revision;
+	if (in->entry.removed_revision > in->entry.revision)
+		return in->entry.removed_revision;
 	return in->entry.revision;
 }
 
--- a/src/label/jt_flow_cache.c
+++ b/src/label/jt_flow_cache.c
@@ -54,7 +54,7 @@
 	flow->first_seen_ms = now_ms;
 	flow->seen_ms = now_ms;
 	HASH_ADD(hh, cache->flows, key, sizeof(flow->key), flow);
-	DL_APPEND2(cache->rested, flow, older, newer);
+	DL_APPEND2(cache->idle, flow, older, newer);
 	cache->count++;
 	return flow;
 }
@@ -65,8 +65,8 @@
 	flow->seen_ms = now_ms;
 	if (flow->newer == NULL)
 		return;
-	DL_DELETE2(cache->rested, flow, older, newer);
-	DL_APPEND2(cache->rested, flow, older, newer);
+	DL_DELETE2(cache->idle, flow, older, newer);
+	DL_APPEND2(cache->idle, flow, older, newer);
 }
 
 void jt_flow_cache_opening(struct jt_flow_cache *cache,
@@ -134,7 +134,7 @@
 	jt_flow_cache_answered(cache, flow);
 	jt_flow_cache_answer_end(cache, flow);
 	HASH_DEL(cache->flows, flow);
-	DL_DELETE2(cache->rested, flow, older, newer);
+	DL_DELETE2(cache->idle, flow, older, newer);
 	cache->count--;
 	talloc_free(flow);
 }
--- a/src/label/jt_flow_cache.h
+++ b/src/label/jt_flow_cache.h
@@ -34,11 +34,11 @@
 	/* When its first SYN arrived; 0: the flow is open. */
 	uint64_t opening_ms;
 	/* The pending request is the first since the flow was assigned. */
-	bool placing;
+	bool first_since_assigned;
 	bool expected;	 /* the first request is already counted as load */
 	bool answered;	 /* a response arrived after the flow had opened */
 	uint32_t resent; /* retransmissions of the same data */
-	bool doubted;	 /* its endpoint was suspected for a missing SYN-ACK */
+	bool suspected;	 /* its endpoint was suspected for a missing SYN-ACK */
 	bool closing;	 /* the client has sent a FIN */
 	struct jt_cached_flow *newer, *older;
 	struct jt_cached_flow *opening_next, *opening_prev;
@@ -49,7 +49,7 @@
 
 struct jt_flow_cache {
 	struct jt_cached_flow *flows;	  /* hash by key */
-	struct jt_cached_flow *rested;	  /* list, longest idle first */
+	struct jt_cached_flow *idle;	  /* list, longest idle first */
 	struct jt_cached_flow *opening;	  /* list, oldest first */
 	struct jt_cached_flow *waiting;	  /* list, oldest first; not overdue */
 	struct jt_cached_flow *answering; /* list, longest idle first */
--- a/src/label/jt_flow_rate.c
+++ b/src/label/jt_flow_rate.c
@@ -62,14 +62,14 @@
 		PERMILLE / PARTITIONS;
 
 	if (permille == 0 || now_ms >= in->cold_until_ms)
-		return JT_FLOW_RATE_ANY;
+		return JT_FLOW_RATE_UNLIMITED;
 	if (rate->known_since_ms == 0 ||
 	    now_ms - rate->known_since_ms < PEER_DISCOVERY_MS)
 		return 0;
 	return (uint32_t)(accepted < limit ? accepted : limit);
 }
 
-uint32_t jt_flow_rate_learning(const struct jt_incarnation *in)
+uint32_t jt_flow_rate_initial_sync(const struct jt_incarnation *in)
 {
 	return jt_incarnation_slots(in) * SLOT_FLOWS_PER_S;
 }
@@ -110,7 +110,7 @@
 			 struct jt_incarnation *in, uint32_t per_s,
 			 uint64_t now_ms)
 {
-	if (per_s != JT_FLOW_RATE_ANY && per_s > 0)
+	if (per_s != JT_FLOW_RATE_UNLIMITED && per_s > 0)
 		in->next_flow_ms =
 			now_ms + node_rank(rate->own_id, in->entry.id) %
 					 (spacing_ms(rate, per_s) + 1);
@@ -120,16 +120,16 @@
 			 const struct jt_incarnation *in, uint32_t per_s,
 			 uint64_t now_ms)
 {
-	if (per_s == JT_FLOW_RATE_ANY)
+	if (per_s == JT_FLOW_RATE_UNLIMITED)
 		return true;
 	return per_s > 0 && now_ms >= in->next_flow_ms &&
 	       ranked_within(rate, in->entry.id, per_s);
 }
 
-void jt_flow_rate_given(const struct jt_flow_rate *rate,
-			struct jt_incarnation *in, uint32_t per_s,
-			uint64_t now_ms)
+void jt_flow_rate_consume(const struct jt_flow_rate *rate,
+			  struct jt_incarnation *in, uint32_t per_s,
+			  uint64_t now_ms)
 {
-	if (per_s != JT_FLOW_RATE_ANY && per_s > 0)
+	if (per_s != JT_FLOW_RATE_UNLIMITED && per_s > 0)
 		in->next_flow_ms = now_ms + spacing_ms(rate, per_s);
 }
--- a/src/label/jt_flow_rate.h
+++ b/src/label/jt_flow_rate.h
@@ -16,7 +16,7 @@
 #include "jt_endpoint_table.h"
 
 /* Unlimited rate. */
-enum { JT_FLOW_RATE_ANY = UINT32_MAX >> 1 };
+enum { JT_FLOW_RATE_UNLIMITED = UINT32_MAX >> 1 };
 
 struct jt_flow_rate {
 	/* Multiple of a cold endpoint's accepted rate, in thousandths. */
@@ -43,7 +43,7 @@
 			   uint64_t now_ms);
 /* Returns the rate during the initial synchronisation, when other endpoints may
  * be missing: what its slots can handle. */
-uint32_t jt_flow_rate_learning(const struct jt_incarnation *in);
+uint32_t jt_flow_rate_initial_sync(const struct jt_incarnation *in);
 /* Delays the first flow to a new incarnation by a different time at each node,
  * because many nodes learn of it at the same moment. */
 void jt_flow_rate_spread(const struct jt_flow_rate *rate,
@@ -55,8 +55,8 @@
 			 const struct jt_incarnation *in, uint32_t per_s,
 			 uint64_t now_ms);
 /* Records that the incarnation was assigned a new flow. */
-void jt_flow_rate_given(const struct jt_flow_rate *rate,
-			struct jt_incarnation *in, uint32_t per_s,
-			uint64_t now_ms);
+void jt_flow_rate_consume(const struct jt_flow_rate *rate,
+			  struct jt_incarnation *in, uint32_t per_s,
+			  uint64_t now_ms);
 
 #endif
--- a/src/label/jt_knowledge.c
+++ b/src/label/jt_knowledge.c
@@ -107,7 +107,7 @@
 
 	return (jt_wire_entry){
 		.id = entry->id,
-		.born_ms = entry->born_ms,
+		.start_time_ms = entry->start_time_ms,
 		.service_id = entry->service_id,
 		.zone_id = entry->zone_id,
 		.address = entry->address.ip,
@@ -115,8 +115,8 @@
 		.capacity = entry->capacity,
 		.cold_left_ms = cold_left_ms(in, now_ms),
 		.revision = entry->revision,
-		.created = entry->created,
-		.gone_revision = entry->gone_revision,
+		.created_revision = entry->created_revision,
+		.removed_revision = entry->removed_revision,
 		.flags = entry_flags(entry),
 	};
 }
@@ -224,11 +224,12 @@
 			jt_wire_knowledge *knowledge)
 {
 	const struct jt_routing *routing = jt_director_routing(director);
-	struct jt_list_gap gap;
+	struct jt_listing_gap gap;
 
 	memset(knowledge, 0, sizeof(*knowledge));
 	knowledge->revision = jt_director_revision(director);
-	knowledge->learning_ms = jt_director_learning_ms(director, now_ms);
+	knowledge->initial_sync_ms =
+		jt_director_initial_sync_ms(director, now_ms);
 	if (jt_list_gaps_know(&director->gaps, need->since))
 		knowledge->since = need->since;
 	gap = jt_list_gaps_after(&director->gaps, knowledge->since);
@@ -270,7 +271,8 @@
 	for (size_t i = 0; i < count; i++)
 		ids[i] = knowledge->entries.entries_val[i].id;
 	qsort(ids, count, sizeof(*ids), jt_endpoint_id_compare);
-	*event = (struct jt_director_event){.kind = JT_DIRECTOR_SLICES_TOLD};
+	*event =
+		(struct jt_director_event){.kind = JT_DIRECTOR_SLICES_RECEIVED};
 	event->u.slices.first = knowledge->slice;
 	event->u.slices.end = knowledge->slice_next;
 	event->u.slices.revision = knowledge->revision;
@@ -377,7 +379,7 @@
 	*event = (struct jt_director_event){.kind = JT_DIRECTOR_ENDPOINT};
 	event->u.endpoint = (struct jt_endpoint_entry){
 		.id = wire->id,
-		.born_ms = wire->born_ms,
+		.start_time_ms = wire->start_time_ms,
 		.service_id = wire->service_id,
 		.zone_id = wire->zone_id,
 		.address = {wire->address, (uint16_t)wire->port},
@@ -385,8 +387,8 @@
 		.draining = wire->flags & JT_WIRE_ENTRY_DRAINING,
 		.cold_left_ms = wire->cold_left_ms,
 		.revision = wire->revision,
-		.created = wire->created,
-		.gone_revision = wire->gone_revision,
+		.created_revision = wire->created_revision,
+		.removed_revision = wire->removed_revision,
 		.unreadable = wire->flags & JT_WIRE_ENTRY_UNREADABLE,
 	};
 	return true;
--- a/src/label/jt_knowledge_fetch.c
+++ b/src/label/jt_knowledge_fetch.c
@@ -33,10 +33,11 @@
 static void gap_merge(struct jt_knowledge_fetch *fetch,
 		      const jt_wire_knowledge *knowledge)
 {
-	struct jt_list_gap gap = {knowledge->gap_from, knowledge->gap_to};
+	struct jt_listing_gap gap = {knowledge->gap_from, knowledge->gap_to};
 
 	if (knowledge->since < fetch->since)
-		gap = (struct jt_list_gap){fetch->since, knowledge->revision};
+		gap = (struct jt_listing_gap){fetch->since,
+					      knowledge->revision};
 	if (knowledge->forgotten > fetch->forgotten)
 		fetch->forgotten = knowledge->forgotten;
 	if (gap.to == 0)
@@ -62,8 +63,8 @@
 	fetch->slice = knowledge->slice_next;
 	if (knowledge->revision < fetch->revision)
 		fetch->revision = knowledge->revision;
-	if (knowledge->learning_ms > fetch->learning_ms)
-		fetch->learning_ms = knowledge->learning_ms;
+	if (knowledge->initial_sync_ms > fetch->initial_sync_ms)
+		fetch->initial_sync_ms = knowledge->initial_sync_ms;
 	gap_merge(fetch, knowledge);
 	if (as_of_ms < fetch->store_as_of_ms) {
 		fetch->store_as_of_ms = as_of_ms;
--- a/src/label/jt_knowledge_fetch.h
+++ b/src/label/jt_knowledge_fetch.h
@@ -16,11 +16,11 @@
 /* Progress and combined result of a transfer. */
 struct jt_knowledge_fetch {
 	bool begun;
-	uint64_t since;	      /* all changes up to it were known at the start */
-	uint32_t slice;	      /* next slice to request */
-	uint64_t revision;    /* lowest revision of the answers */
-	uint32_t learning_ms; /* longest one of the answers */
-	struct jt_list_gap gap; /* union of the senders' listing gaps */
+	uint64_t since;	   /* all changes up to it were known at the start */
+	uint32_t slice;	   /* next slice to request */
+	uint64_t revision; /* lowest revision of the answers */
+	uint32_t initial_sync_ms;  /* longest one of the answers */
+	struct jt_listing_gap gap; /* union of the senders' listing gaps */
 	uint64_t forgotten; /* before this revision a sender may lack changes */
 	uint64_t store_as_of_ms; /* oldest time of the senders' state */
 	uint64_t store_reader;	 /* id of the node that read it then */
--- a/src/label/jt_list_gaps.c
+++ b/src/label/jt_list_gaps.c
@@ -2,7 +2,7 @@
 
 /* Returns true if an entry can have been created and removed between the two
  * revisions. */
-static bool is_gap(struct jt_list_gap gap)
+static bool is_gap(struct jt_listing_gap gap)
 {
 	return gap.to > gap.from + 1;
 }
@@ -13,7 +13,7 @@
 		gaps->forgotten = revision;
 }
 
-void jt_list_gaps_add(struct jt_list_gaps *gaps, struct jt_list_gap gap)
+void jt_list_gaps_add(struct jt_list_gaps *gaps, struct jt_listing_gap gap)
 {
 	if (!is_gap(gap))
 		return;
@@ -35,13 +35,13 @@
 	return since >= gaps->forgotten && !inside;
 }
 
-struct jt_list_gap jt_list_gaps_after(const struct jt_list_gaps *gaps,
-				      uint64_t since)
+struct jt_listing_gap jt_list_gaps_after(const struct jt_list_gaps *gaps,
+					 uint64_t since)
 {
-	struct jt_list_gap gap = gaps->newest;
+	struct jt_listing_gap gap = gaps->newest;
 
 	if (gap.to <= since)
-		return (struct jt_list_gap){0};
+		return (struct jt_listing_gap){0};
 	if (gap.from < since)
 		gap.from = since;
 	return gap;
--- a/src/label/jt_outlier.c
+++ b/src/label/jt_outlier.c
@@ -7,8 +7,8 @@
  * has little effect. */
 #define PRIOR_REQUESTS 0.3
 /* At the first failure, the endpoint is assumed to have served the requests of
- * this part of the averaging time (jt_work.h). The number of failures that
- * makes it an outlier is then independent of the request rate. */
+ * this part of the averaging time (jt_recent_load.h). The number of failures
+ * that makes it an outlier is then independent of the request rate. */
 #define SERVED_BEFORE_PART 0.2
 /* Weight of an overdue answer in failures: it is detected late, and clients
  * wait long for the next ones. */
@@ -268,8 +268,8 @@
 static double free_slots_part(const struct jt_service_pool *pool,
 			      double requests, double failing, double slots)
 {
-	double busy_slots =
-		requests * (1 - failing) * pool->answer_ms / JT_WORK_MEMORY_MS;
+	double busy_slots = requests * (1 - failing) * pool->answer_ms /
+			    JT_RECENT_LOAD_DECAY_MS;
 
 	return 1 - busy_slots / slots;
 }
--- a/src/label/jt_outlier.h
+++ b/src/label/jt_outlier.h
@@ -55,8 +55,8 @@
 bool jt_outlier_compare_due(const struct jt_service_pool *pool,
 			    uint64_t now_ms);
 /* Compares incarnations of @pool. @requests and @slots are means per
- * incarnation: recent requests from all nodes (jt_work.h), and requests served
- * concurrently. */
+ * incarnation: recent requests from all nodes (jt_recent_load.h), and requests
+ * served concurrently. */
 void jt_outlier_compare(struct jt_service_pool *pool,
 			struct jt_incarnation *const *incarnations,
 			size_t count, double requests, double slots,
--- a/src/label/jt_peer_loads.c
+++ b/src/label/jt_peer_loads.c
@@ -42,7 +42,7 @@
 		HASH_ADD(hh, peers->sums, label, sizeof(sum->label), sum);
 	}
 	sum->flows += load->flows;
-	sum->work_permille += load->work_permille;
+	sum->recent_load_permille += load->recent_load_permille;
 }
 
 static void sum_remove(struct jt_peer_loads *peers,
@@ -53,10 +53,11 @@
 	if (sum == NULL || peers->sums == NULL)
 		return;
 	sum->flows -= load->flows < sum->flows ? load->flows : sum->flows;
-	sum->work_permille -= load->work_permille < sum->work_permille
-				      ? load->work_permille
-				      : sum->work_permille;
-	if (sum->flows > 0 || sum->work_permille > 0)
+	sum->recent_load_permille -=
+		load->recent_load_permille < sum->recent_load_permille
+			? load->recent_load_permille
+			: sum->recent_load_permille;
+	if (sum->flows > 0 || sum->recent_load_permille > 0)
 		return;
 	HASH_DEL(peers->sums, sum);
 	talloc_free(sum);
@@ -161,7 +162,8 @@
 {
 	const struct jt_load_sum *sum = current_sum(peers, label, now_ms);
 
-	return sum != NULL ? (double)sum->work_permille / JT_WORK_UNIT /
+	return sum != NULL ? (double)sum->recent_load_permille /
+				     JT_RECENT_LOAD_UNIT /
 				     (double)peers->report_count
 			   : 0;
 }
--- a/src/label/jt_peer_loads.h
+++ b/src/label/jt_peer_loads.h
@@ -28,7 +28,7 @@
 struct jt_load_sum {
 	uint32_t label;
 	uint64_t flows;
-	uint64_t work_permille;
+	uint64_t recent_load_permille;
 	UT_hash_handle hh;
 };
 
--- a/src/label/jt_speed.c
+++ b/src/label/jt_response_ratio.c
@@ -1,4 +1,4 @@
-#include "jt_speed.h"
+#include "jt_response_ratio.h"
 
 #include <math.h>
 
@@ -7,7 +7,7 @@
 	 * tell an endpoint of half the speed from noise, few enough to follow
 	 * one that slows down within seconds. */
 	WINDOW_RESPONSES = 24,
-	/* Weight of the usual speed as a prior, in responses. */
+	/* Weight of the usual response time as a prior, in responses. */
 	PRIOR_RESPONSES = 1,
 	/* Upper bound of the nodes that contribute to an average. */
 	SHARING_NODES_MAX = 16,
@@ -45,7 +45,8 @@
 	return fmax(-limit, fmin(limit, value));
 }
 
-double jt_usual_took_ms(struct jt_usual *usual, const struct jt_answer *answer)
+double jt_usual_response_time_correct(struct jt_usual_response_time *usual,
+				      const struct jt_answer *answer)
 {
 	bool prompt = answer->took_ms < DELAYED_ACK_MS;
 
@@ -57,7 +58,8 @@
 	return answer->took_ms - DELAYED_ACK_MS;
 }
 
-double jt_usual_answered(struct jt_usual *usual, double took_ms)
+double jt_usual_response_time_update(struct jt_usual_response_time *usual,
+				     double took_ms)
 {
 	double log_ms = log(fmax(took_ms, 0) + RESPONSE_SLACK_MS);
 	double ratio = 0;
@@ -77,47 +79,50 @@
 	return nodes < SHARING_NODES_MAX ? nodes : SHARING_NODES_MAX;
 }
 
-static double decay_factor(const struct jt_speed *speed, uint64_t now_ms)
+static double decay_factor(const struct jt_response_ratio *ratio,
+			   uint64_t now_ms)
 {
-	if (now_ms <= speed->as_of_ms || speed->weight == 0)
+	if (now_ms <= ratio->as_of_ms || ratio->weight == 0)
 		return 1;
-	return exp2(-(double)(now_ms - speed->as_of_ms) / HALF_LIFE_MS);
+	return exp2(-(double)(now_ms - ratio->as_of_ms) / HALF_LIFE_MS);
 }
 
-static void scale(struct jt_speed *speed, double factor)
+static void scale(struct jt_response_ratio *ratio, double factor)
 {
-	speed->log_sum *= factor;
-	speed->weight *= factor;
+	ratio->log_sum *= factor;
+	ratio->weight *= factor;
 }
 
-void jt_speed_answered(struct jt_speed *speed, double log_ratio, uint64_t nodes,
-		       uint64_t now_ms)
+void jt_response_ratio_update(struct jt_response_ratio *ratio, double log_ratio,
+			      uint64_t nodes, uint64_t now_ms)
 {
 	double limit = (double)WINDOW_RESPONSES / (double)sharing_nodes(nodes);
 
-	scale(speed, decay_factor(speed, now_ms));
-	speed->as_of_ms = now_ms;
-	speed->log_sum += log_ratio;
-	speed->weight += 1;
-	if (speed->weight > limit)
-		scale(speed, limit / speed->weight);
+	scale(ratio, decay_factor(ratio, now_ms));
+	ratio->as_of_ms = now_ms;
+	ratio->log_sum += log_ratio;
+	ratio->weight += 1;
+	if (ratio->weight > limit)
+		scale(ratio, limit / ratio->weight);
 }
 
-uint32_t jt_speed_told(const struct jt_speed *speed, uint64_t now_ms)
+uint32_t jt_response_ratio_encode(const struct jt_response_ratio *ratio,
+				  uint64_t now_ms)
 {
-	double weight = speed->weight * decay_factor(speed, now_ms) *
+	double weight = ratio->weight * decay_factor(ratio, now_ms) *
 			ENCODED_WEIGHT_UNIT;
 	int32_t log_permille;
 
 	if (weight < 1)
 		return 0;
-	log_permille = (int32_t)lround(speed->log_sum / speed->weight *
+	log_permille = (int32_t)lround(ratio->log_sum / ratio->weight *
 				       ENCODED_LOG_UNIT);
 	return (uint32_t)fmin(weight, ENCODED_MASK) << ENCODED_LOG_BITS |
 	       ((uint32_t)log_permille & ENCODED_MASK);
 }
 
-void jt_speed_take(struct jt_speed *speed, uint32_t encoded, uint64_t now_ms)
+void jt_response_ratio_merge(struct jt_response_ratio *ratio, uint32_t encoded,
+			     uint64_t now_ms)
 {
 	double weight =
 		(double)(encoded >> ENCODED_LOG_BITS) / ENCODED_WEIGHT_UNIT;
@@ -128,20 +133,20 @@
 	weight = fmin(weight, WINDOW_RESPONSES);
 	if (weight == 0)
 		return;
-	scale(speed, decay_factor(speed, now_ms));
-	speed->as_of_ms = now_ms;
-	speed->log_sum += weight * log_mean;
-	speed->weight += weight;
-	scale(speed, 0.5);
+	scale(ratio, decay_factor(ratio, now_ms));
+	ratio->as_of_ms = now_ms;
+	ratio->log_sum += weight * log_mean;
+	ratio->weight += weight;
+	scale(ratio, 0.5);
 }
 
-double jt_speed_slowness(const struct jt_speed *speed, uint64_t nodes,
-			 uint64_t now_ms)
+double jt_response_ratio_get(const struct jt_response_ratio *ratio,
+			     uint64_t nodes, uint64_t now_ms)
 {
-	double decay = decay_factor(speed, now_ms);
+	double decay = decay_factor(ratio, now_ms);
 	double prior = (double)PRIOR_RESPONSES / (double)sharing_nodes(nodes);
 	double log_mean =
-		speed->log_sum * decay / (speed->weight * decay + prior);
+		ratio->log_sum * decay / (ratio->weight * decay + prior);
 
 	return fabs(log_mean) < LOG_RATIO_MIN ? 1 : exp(log_mean);
 }
--- a/src/label/jt_serve_budget.c
+++ b/src/label/jt_serve_budget.c
@@ -23,8 +23,8 @@
 	       budget->busy_until_ms < now_ms + QUEUE_MAX_MS;
 }
 
-void jt_serve_budget_given(struct jt_serve_budget *budget, size_t bytes,
-			   uint64_t now_ms)
+void jt_serve_budget_consume(struct jt_serve_budget *budget, size_t bytes,
+			     uint64_t now_ms)
 {
 	if (budget->bytes_per_ms == 0)
 		return;
--- a/src/label/jt_serve_budget.h
+++ b/src/label/jt_serve_budget.h
@@ -20,7 +20,7 @@
 bool jt_serve_budget_allows(const struct jt_serve_budget *budget,
 			    uint64_t now_ms);
 /* Records that a snapshot of @bytes was sent. */
-void jt_serve_budget_given(struct jt_serve_budget *budget, size_t bytes,
-			   uint64_t now_ms);
+void jt_serve_budget_consume(struct jt_serve_budget *budget, size_t bytes,
+			     uint64_t now_ms);
 
 #endif
--- a/src/label/jt_split.c
+++ b/src/label/jt_split.c
@@ -70,7 +70,8 @@
 	}
 }
 
-struct jt_usual *jt_split_usual(struct jt_split *split, uint32_t service_id)
+struct jt_usual_response_time *jt_split_usual(struct jt_split *split,
+					      uint32_t service_id)
 {
 	for (size_t i = 0; i < split->route.part_count; i++) {
 		if (split->route.parts[i].service_id == service_id)
--- a/src/label/jt_split.h
+++ b/src/label/jt_split.h
@@ -8,7 +8,7 @@
 
 #include "jaspertrack/director-t.h"
 
-#include "jt_speed.h"
+#include "jt_response_ratio.h"
 
 #include <uthash.h>
 
@@ -17,7 +17,8 @@
 	struct jt_address address; /* address of the route */
 	struct jt_route route;	   /* the route when counting began */
 	uint64_t given[JT_ROUTE_PART_LIMIT];
-	struct jt_usual usual[JT_ROUTE_PART_LIMIT]; /* response times by part */
+	struct jt_usual_response_time
+		usual[JT_ROUTE_PART_LIMIT]; /* response times by part */
 	UT_hash_handle hh;
 };
 
@@ -40,7 +41,8 @@
 		     uint32_t service_id);
 /* Returns the response times of the route's requests at @service_id, or NULL
  * if the service is not a part of the route. */
-struct jt_usual *jt_split_usual(struct jt_split *split, uint32_t service_id);
+struct jt_usual_response_time *jt_split_usual(struct jt_split *split,
+					      uint32_t service_id);
 /* Removes the splits of routes that are not in @routing. */
 void jt_splits_prune(struct jt_splits *splits,
 		     const struct jt_routing *routing);
--- a/src/label/jt_target.c
+++ b/src/label/jt_target.c
@@ -18,7 +18,8 @@
 	double relative = 1;
 
 	if (jt_mechanism_on(target->without, JT_MECHANISM_SLOWNESS))
-		relative = jt_speed_slowness(&in->speed, target->nodes, now_ms);
+		relative = jt_response_ratio_get(&in->response_ratio,
+						 target->nodes, now_ms);
 	if (now_ms < in->cold_until_ms && relative < COLD_RELATIVE_TIME &&
 	    jt_mechanism_on(target->without, JT_MECHANISM_COLD))
 		relative = COLD_RELATIVE_TIME;
@@ -38,7 +39,7 @@
 static double total_load(const struct jt_target *target,
 			 const struct jt_incarnation *in, uint64_t now_ms)
 {
-	return jt_work_now(&in->work, now_ms) +
+	return jt_recent_load_at(&in->recent_load, now_ms) +
 	       peer_load(target, in, now_ms) * (double)(target->nodes - 1);
 }
 
@@ -69,7 +70,7 @@
 	if (target->measured &&
 	    jt_mechanism_on(target->without, JT_MECHANISM_FAST_FIRST))
 		target->level = jt_fill_level(fill, count,
-					      jt_work_per_s(load) *
+					      jt_recent_load_rate(load) *
 						      pool->serve_ms / 1000);
 	for (size_t i = 0; i < count; i++)
 		target->share +=
@@ -97,18 +98,19 @@
 		.slowness = relative_time(target, in, now_ms),
 	};
 
-	return (jt_work_now(&in->work, now_ms) + peer_load(target, in, now_ms) +
-		(double)in->waiting + 1) /
+	return (jt_recent_load_at(&in->recent_load, now_ms) +
+		peer_load(target, in, now_ms) + (double)in->waiting + 1) /
 	       jt_fill_share(&fill, target->level);
 }
 
-void jt_target_answered(const struct jt_target *target, struct jt_usual *kind,
+void jt_target_answered(const struct jt_target *target,
+			struct jt_usual_response_time *kind,
 			struct jt_incarnation *in,
 			const struct jt_answer *answer, uint64_t now_ms)
 {
 	struct jt_service_pool *pool = in->pool;
-	double took_ms = jt_usual_took_ms(kind, answer);
-	double log_ratio = jt_usual_answered(kind, took_ms);
+	double took_ms = jt_usual_response_time_correct(kind, answer);
+	double log_ratio = jt_usual_response_time_update(kind, took_ms);
 	double normalized_ms;
 
 	if (pool == NULL)
@@ -119,5 +121,6 @@
 	else
 		pool->serve_ms +=
 			(normalized_ms - pool->serve_ms) / SERVICE_TIME_ANSWERS;
-	jt_speed_answered(&in->speed, log_ratio, target->nodes, now_ms);
+	jt_response_ratio_update(&in->response_ratio, log_ratio, target->nodes,
+				 now_ms);
 }
--- a/src/label/jt_target.h
+++ b/src/label/jt_target.h
@@ -38,7 +38,8 @@
 double jt_target_part(const struct jt_target *target,
 		      const struct jt_incarnation *in, uint64_t now_ms);
 /* Records the answer to a request of the given kind at the endpoint. */
-void jt_target_answered(const struct jt_target *target, struct jt_usual *kind,
+void jt_target_answered(const struct jt_target *target,
+			struct jt_usual_response_time *kind,
 			struct jt_incarnation *in,
 			const struct jt_answer *answer, uint64_t now_ms);
 
--- a/src/proto/jt_director_proto.h
+++ b/src/proto/jt_director_proto.h
@@ -72,7 +72,7 @@
 struct jt_wire_suspicion {
 	jt_wire_suspicion_kind kind;
 	u_quad_t endpoint_id;
-	u_quad_t born_ms;
+	u_quad_t start_time_ms;
 };
 typedef struct jt_wire_suspicion jt_wire_suspicion;
 
@@ -95,8 +95,8 @@
 struct jt_wire_load {
 	u_int label;
 	u_int flows;
-	u_int work_permille;
-	u_int speed;
+	u_int recent_load_permille;
+	u_int response_ratio;
 };
 typedef struct jt_wire_load jt_wire_load;
 
@@ -153,7 +153,7 @@
 
 struct jt_wire_entry {
 	u_quad_t id;
-	u_quad_t born_ms;
+	u_quad_t start_time_ms;
 	u_int service_id;
 	u_int zone_id;
 	u_int address;
@@ -161,8 +161,8 @@
 	u_int capacity;
 	u_int cold_left_ms;
 	u_quad_t revision;
-	u_quad_t created;
-	u_quad_t gone_revision;
+	u_quad_t created_revision;
+	u_quad_t removed_revision;
 	u_int flags;
 };
 typedef struct jt_wire_entry jt_wire_entry;
@@ -199,7 +199,7 @@
 	u_quad_t gap_to;
 	u_quad_t forgotten;
 	bool_t complete;
-	u_int learning_ms;
+	u_int initial_sync_ms;
 	u_int store_age_ms;
 	u_quad_t store_reader;
 	jt_wire_routing routing;
--- a/src/proto/jt_director_proto.x
+++ b/src/proto/jt_director_proto.x
@@ -68,7 +68,7 @@
 struct jt_wire_suspicion {
 	jt_wire_suspicion_kind kind;
 	unsigned hyper endpoint_id;
-	unsigned hyper born_ms; /* start time of the incarnation concerned */
+	unsigned hyper start_time_ms; /* start time of the incarnation concerned */
 };
 
 /* Request results observed by the sender at an endpoint with failures, since
@@ -89,9 +89,9 @@
 struct jt_wire_load {
 	unsigned int label; /* of the endpoint */
 	unsigned int flows; /* open through the sender */
-	unsigned int work_permille; /* recent load through the sender, in
+	unsigned int recent_load_permille; /* recent load through the sender, in
 			             * thousandths of requests */
-	unsigned int speed; /* hundredths of responses << 16 | signed logarithm
+	unsigned int response_ratio; /* hundredths of responses << 16 | signed logarithm
 			     * of the relative response time in thousandths */
 };
 
@@ -134,11 +134,11 @@
 /* Flags of an entry. */
 const JT_WIRE_ENTRY_DRAINING = 1;
 const JT_WIRE_ENTRY_UNREADABLE = 2; /* unreadable in the store since
-                                     * gone_revision, but not removed */
+                                     * removed_revision, but not removed */
 
 struct jt_wire_entry {
 	unsigned hyper id;
-	unsigned hyper born_ms;       /* start time of the incarnation; 0: unknown */
+	unsigned hyper start_time_ms;      /* start time of the incarnation; 0: unknown */
 	unsigned int service_id;
 	unsigned int zone_id;
 	unsigned int address;
@@ -146,8 +146,8 @@
 	unsigned int capacity;
 	unsigned int cold_left_ms;
 	unsigned hyper revision;
-	unsigned hyper created;       /* revision that added it to discovery */
-	unsigned hyper gone_revision; /* that removed it; 0: still in discovery */
+	unsigned hyper created_revision; /* revision that added it to discovery */
+	unsigned hyper removed_revision; /* that removed it; 0: still in discovery */
 	unsigned int flags;
 };
 
@@ -192,7 +192,7 @@
 	unsigned hyper gap_to;
 	unsigned hyper forgotten;    /* changes before it may be missing */
 	bool complete;               /* the sender dropped no entry or drain */
-	unsigned int learning_ms;    /* left of the initial synchronisation;
+	unsigned int initial_sync_ms;    /* left of the initial synchronisation;
 	                              * entries may be missing until then */
 	unsigned int store_age_ms;   /* age of the store state contained */
 	unsigned hyper store_reader; /* node that read that state */
--- a/src/proto/jt_director_proto_xdr.c
+++ b/src/proto/jt_director_proto_xdr.c
@@ -262,7 +262,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->endpoint_id))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->born_ms))
+	 if (!xdr_u_quad_t (xdrs, &objp->start_time_ms))
 		 return FALSE;
 	return TRUE;
 }
@@ -346,15 +346,15 @@
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->flows))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->work_permille))
+			 if (!xdr_u_int (xdrs, &objp->recent_load_permille))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->speed))
+			 if (!xdr_u_int (xdrs, &objp->response_ratio))
 				 return FALSE;
 		} else {
 			IXDR_PUT_U_LONG(buf, objp->label);
 			IXDR_PUT_U_LONG(buf, objp->flows);
-			IXDR_PUT_U_LONG(buf, objp->work_permille);
-			IXDR_PUT_U_LONG(buf, objp->speed);
+			IXDR_PUT_U_LONG(buf, objp->recent_load_permille);
+			IXDR_PUT_U_LONG(buf, objp->response_ratio);
 		}
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
@@ -364,15 +364,15 @@
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->flows))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->work_permille))
+			 if (!xdr_u_int (xdrs, &objp->recent_load_permille))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->speed))
+			 if (!xdr_u_int (xdrs, &objp->response_ratio))
 				 return FALSE;
 		} else {
 			objp->label = IXDR_GET_U_LONG(buf);
 			objp->flows = IXDR_GET_U_LONG(buf);
-			objp->work_permille = IXDR_GET_U_LONG(buf);
-			objp->speed = IXDR_GET_U_LONG(buf);
+			objp->recent_load_permille = IXDR_GET_U_LONG(buf);
+			objp->response_ratio = IXDR_GET_U_LONG(buf);
 		}
 	 return TRUE;
 	}
@@ -381,9 +381,9 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->flows))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->work_permille))
+	 if (!xdr_u_int (xdrs, &objp->recent_load_permille))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->speed))
+	 if (!xdr_u_int (xdrs, &objp->response_ratio))
 		 return FALSE;
 	return TRUE;
 }
@@ -526,7 +526,7 @@
 	if (xdrs->x_op == XDR_ENCODE) {
 		 if (!xdr_u_quad_t (xdrs, &objp->id))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->born_ms))
+		 if (!xdr_u_quad_t (xdrs, &objp->start_time_ms))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 6 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -553,9 +553,9 @@
 		}
 		 if (!xdr_u_quad_t (xdrs, &objp->revision))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->created))
+		 if (!xdr_u_quad_t (xdrs, &objp->created_revision))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->gone_revision))
+		 if (!xdr_u_quad_t (xdrs, &objp->removed_revision))
 			 return FALSE;
 		 if (!xdr_u_int (xdrs, &objp->flags))
 			 return FALSE;
@@ -563,7 +563,7 @@
 	} else if (xdrs->x_op == XDR_DECODE) {
 		 if (!xdr_u_quad_t (xdrs, &objp->id))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->born_ms))
+		 if (!xdr_u_quad_t (xdrs, &objp->start_time_ms))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 6 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -590,9 +590,9 @@
 		}
 		 if (!xdr_u_quad_t (xdrs, &objp->revision))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->created))
+		 if (!xdr_u_quad_t (xdrs, &objp->created_revision))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->gone_revision))
+		 if (!xdr_u_quad_t (xdrs, &objp->removed_revision))
 			 return FALSE;
 		 if (!xdr_u_int (xdrs, &objp->flags))
 			 return FALSE;
@@ -601,7 +601,7 @@
 
 	 if (!xdr_u_quad_t (xdrs, &objp->id))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->born_ms))
+	 if (!xdr_u_quad_t (xdrs, &objp->start_time_ms))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->service_id))
 		 return FALSE;
@@ -617,9 +617,9 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->revision))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->created))
+	 if (!xdr_u_quad_t (xdrs, &objp->created_revision))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->gone_revision))
+	 if (!xdr_u_quad_t (xdrs, &objp->removed_revision))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->flags))
 		 return FALSE;
@@ -687,14 +687,14 @@
 		if (buf == NULL) {
 			 if (!xdr_bool (xdrs, &objp->complete))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->learning_ms))
+			 if (!xdr_u_int (xdrs, &objp->initial_sync_ms))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->store_age_ms))
 				 return FALSE;
 
 		} else {
 		IXDR_PUT_BOOL(buf, objp->complete);
-		IXDR_PUT_U_LONG(buf, objp->learning_ms);
+		IXDR_PUT_U_LONG(buf, objp->initial_sync_ms);
 		IXDR_PUT_U_LONG(buf, objp->store_age_ms);
 		}
 		 if (!xdr_u_quad_t (xdrs, &objp->store_reader))
@@ -727,14 +727,14 @@
 		if (buf == NULL) {
 			 if (!xdr_bool (xdrs, &objp->complete))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->learning_ms))
+			 if (!xdr_u_int (xdrs, &objp->initial_sync_ms))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->store_age_ms))
 				 return FALSE;
 
 		} else {
 		objp->complete = IXDR_GET_BOOL(buf);
-		objp->learning_ms = IXDR_GET_U_LONG(buf);
+		objp->initial_sync_ms = IXDR_GET_U_LONG(buf);
 		objp->store_age_ms = IXDR_GET_U_LONG(buf);
 		}
 		 if (!xdr_u_quad_t (xdrs, &objp->store_reader))
@@ -766,7 +766,7 @@
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->complete))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->learning_ms))
+	 if (!xdr_u_int (xdrs, &objp->initial_sync_ms))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->store_age_ms))
 		 return FALSE;
--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -150,7 +150,7 @@
 {
 	model->endpoints[index].removed = true;
 	jt_endpoint_table_by_id(model->table, 0x100 + index)->state =
-		JT_INCARNATION_LAPSED;
+		JT_INCARNATION_EXPIRED;
 }
 
 /* Returns the less loaded of two random endpoints. */
--- a/tests/director_fixture.h
+++ b/tests/director_fixture.h
@@ -40,7 +40,7 @@
 
 	jt_director_options_init(&options);
 	options.zone_id = ZONE_A;
-	options.break_mechanism = injected_fault;
+	options.injected_faults = injected_fault;
 	options.without = disabled_features;
 	fixture->director = jt_director_create(fixture, &options);
 	fixture->actions = jt_director_actions_create(fixture);
@@ -148,10 +148,10 @@
 static inline void fixture_remove_entry(struct fixture *fixture, uint64_t id,
 					uint64_t revision)
 {
-	struct jt_director_event event = {.kind = JT_DIRECTOR_GONE};
+	struct jt_director_event event = {.kind = JT_DIRECTOR_ENTRY_REMOVED};
 
-	event.u.gone.id = id;
-	event.u.gone.revision = revision;
+	event.u.removed.id = id;
+	event.u.removed.revision = revision;
 	fixture_handle(fixture, &event);
 }
 
--- a/tests/proofs.cmake
+++ b/tests/proofs.cmake
@@ -21,7 +21,7 @@
 jt_replay_proof(sticky 8 pause-and-cut)
 jt_replay_proof(handover 64 zone-loss-and-return)
 # Checks that at least one of 400 director fuzz runs fails when a feature is
-# switched off. Arguments: feature, flag of enum jt_director_break.
+# switched off. Arguments: feature, flag of enum jt_director_fault.
 function(jt_director_proof feature flags)
   add_test(NAME proof_director_needs_${feature}
     COMMAND fuzz_director --break ${flags} --seeds 1 400 2000)
--- a/tests/test_choice.c
+++ b/tests/test_choice.c
@@ -82,7 +82,8 @@
 		const struct jt_incarnation *in = jt_endpoint_table_by_id(
 			sim->nodes[n]->director->endpoints, e + 1);
 
-		total += jt_speed_slowness(&in->speed, SIM_NODES, sim->now_ms);
+		total += jt_response_ratio_get(&in->response_ratio, SIM_NODES,
+					       sim->now_ms);
 	}
 	return total / SIM_NODES;
 }
@@ -171,78 +172,82 @@
 /* A single answer of seven times the usual time has little effect. */
 static void test_single_slow_answer_has_little_effect(void **state)
 {
-	struct jt_speed speed = {0};
-	struct jt_usual usual = {0};
+	struct jt_response_ratio ratio = {0};
+	struct jt_usual_response_time usual = {0};
 
 	(void)state;
 	for (int i = 0; i < 30; i++)
-		jt_speed_answered(&speed, jt_usual_answered(&usual, 40), NODES,
-				  1000);
-	jt_speed_answered(&speed, jt_usual_answered(&usual, 280), 1, 1000);
-	assert_true(jt_speed_slowness(&speed, 1, 1000) < 1.8);
-	assert_true(jt_usual_answered(&usual, 1e9) < 2.1);
-	assert_true(jt_usual_answered(&usual, 0) > -2.1);
+		jt_response_ratio_update(
+			&ratio, jt_usual_response_time_update(&usual, 40),
+			NODES, 1000);
+	jt_response_ratio_update(
+		&ratio, jt_usual_response_time_update(&usual, 280), 1, 1000);
+	assert_true(jt_response_ratio_get(&ratio, 1, 1000) < 1.8);
+	assert_true(jt_usual_response_time_update(&usual, 1e9) < 2.1);
+	assert_true(jt_usual_response_time_update(&usual, 0) > -2.1);
 }
 
 /* A slow kind of request does not make the endpoint look slow. */
 static void test_response_times_are_kept_per_kind(void **state)
 {
-	struct jt_speed speed = {0};
-	struct jt_usual fast_kind = {0}, slow_kind = {0};
+	struct jt_response_ratio ratio = {0};
+	struct jt_usual_response_time fast_kind = {0}, slow_kind = {0};
 
 	(void)state;
 	for (int i = 0; i < 100; i++) {
-		jt_usual_answered(&fast_kind, 30);
-		jt_usual_answered(&slow_kind, 120);
+		jt_usual_response_time_update(&fast_kind, 30);
+		jt_usual_response_time_update(&slow_kind, 120);
 	}
 	for (int i = 0; i < 100; i++)
-		jt_speed_answered(&speed, jt_usual_answered(&slow_kind, 120), 1,
-				  1000);
-	assert_true(jt_speed_slowness(&speed, 1, 1000) == 1);
+		jt_response_ratio_update(
+			&ratio, jt_usual_response_time_update(&slow_kind, 120),
+			1, 1000);
+	assert_true(jt_response_ratio_get(&ratio, 1, 1000) == 1);
 }
 
-/* A reported speed has the same meaning at the peer; an unknown speed is
+/* A reported ratio has the same meaning at the peer; an unknown ratio is
  * reported as 0, and invalid values are bounded. */
-static void test_speed_report_round_trip(void **state)
+static void test_response_ratio_report_round_trip(void **state)
 {
-	struct jt_speed own = {0}, peer = {0};
+	struct jt_response_ratio own = {0}, peer = {0};
 
 	(void)state;
-	assert_int_equal(jt_speed_told(&own, 1000), 0);
-	jt_speed_take(&peer, 0, 1000);
-	assert_true(jt_speed_slowness(&peer, NODES, 1000) == 1);
+	assert_int_equal(jt_response_ratio_encode(&own, 1000), 0);
+	jt_response_ratio_merge(&peer, 0, 1000);
+	assert_true(jt_response_ratio_get(&peer, NODES, 1000) == 1);
 	for (int i = 0; i < 20; i++)
-		jt_speed_answered(&own, -0.6, NODES, 1000);
+		jt_response_ratio_update(&own, -0.6, NODES, 1000);
 	for (int i = 0; i < 20; i++)
-		jt_speed_take(&peer, jt_speed_told(&own, 1000), 1000);
-	assert_true(fabs(jt_speed_slowness(&peer, NODES, 1000) -
-			 jt_speed_slowness(&own, NODES, 1000)) < 0.01);
-	jt_speed_take(&peer, UINT32_MAX, 1000);
-	jt_speed_take(&peer, 0xffff7fff, 1000);
-	assert_true(jt_speed_slowness(&peer, NODES, 1000) <= 8.1);
+		jt_response_ratio_merge(
+			&peer, jt_response_ratio_encode(&own, 1000), 1000);
+	assert_true(fabs(jt_response_ratio_get(&peer, NODES, 1000) -
+			 jt_response_ratio_get(&own, NODES, 1000)) < 0.01);
+	jt_response_ratio_merge(&peer, UINT32_MAX, 1000);
+	jt_response_ratio_merge(&peer, 0xffff7fff, 1000);
+	assert_true(jt_response_ratio_get(&peer, NODES, 1000) <= 8.1);
 }
 
 /* Old measurements expire. */
-static void test_speed_expires(void **state)
+static void test_response_ratio_expires(void **state)
 {
-	struct jt_speed speed = {0};
+	struct jt_response_ratio ratio = {0};
 
 	(void)state;
 	for (int i = 0; i < 20; i++)
-		jt_speed_answered(&speed, 1, NODES, 1000);
-	assert_true(jt_speed_slowness(&speed, NODES, 1000) > 2);
-	assert_true(jt_speed_slowness(&speed, NODES, 301000) == 1);
+		jt_response_ratio_update(&ratio, 1, NODES, 1000);
+	assert_true(jt_response_ratio_get(&ratio, NODES, 1000) > 2);
+	assert_true(jt_response_ratio_get(&ratio, NODES, 301000) == 1);
 }
 
-/* Guards against using the measured speed of a previous incarnation. */
-static void test_speed_is_reset_at_restart(void **state)
+/* Guards against using the response ratio of a previous incarnation. */
+static void test_response_ratio_is_reset_at_restart(void **state)
 {
 	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_endpoint_entry restarted =
 		make_entry(0x101, SERVICE_BOARD, ZONE_A, 9);
 	struct jt_endpoint_load load = {
 		.label = jt_flow_label(0x101),
-		.speed = 2000u << 16 | 1000,
+		.response_ratio = 2000u << 16 | 1000,
 	};
 	struct jt_director_event event = {.kind = JT_DIRECTOR_LOADS};
 
@@ -253,7 +258,7 @@
 	fixture_handle(fixture, &event);
 	assert_int_equal(
 		jt_director_slow_count(fixture->director, fixture->now_ms), 1);
-	restarted.born_ms = fixture->now_ms;
+	restarted.start_time_ms = fixture->now_ms;
 	fixture_set_entry(fixture, restarted);
 	assert_int_equal(
 		jt_director_slow_count(fixture->director, fixture->now_ms), 0);
@@ -264,18 +269,19 @@
  * time; without such delay nothing is subtracted. */
 static void test_delayed_acknowledgements(void **state)
 {
-	struct jt_usual delaying = {0}, prompt = {0};
+	struct jt_usual_response_time delaying = {0}, prompt = {0};
 	const struct jt_answer delayed = {70, true}, full = {70, false},
 			       prompt_answer = {25, true};
 
 	(void)state;
 	for (int i = 0; i < 50; i++) {
-		jt_usual_took_ms(&delaying, &delayed);
-		jt_usual_took_ms(&prompt, i % 2 ? &delayed : &prompt_answer);
+		jt_usual_response_time_correct(&delaying, &delayed);
+		jt_usual_response_time_correct(&prompt, i % 2 ? &delayed
+							      : &prompt_answer);
 	}
-	assert_true(jt_usual_took_ms(&delaying, &delayed) == 30);
-	assert_true(jt_usual_took_ms(&delaying, &full) == 70);
-	assert_true(jt_usual_took_ms(&prompt, &delayed) == 70);
+	assert_true(jt_usual_response_time_correct(&delaying, &delayed) == 30);
+	assert_true(jt_usual_response_time_correct(&delaying, &full) == 70);
+	assert_true(jt_usual_response_time_correct(&prompt, &delayed) == 70);
 }
 
 /* Slow endpoints get load only when fast ones are loaded; at the end all are
@@ -337,11 +343,11 @@
 		endpoints[i].entry.capacity = 2;
 		endpoints[i].pool = &pool;
 		known[i] = &endpoints[i];
-		jt_work_add(&endpoints[i].work, 10, 1000);
+		jt_recent_load_add(&endpoints[i].recent_load, 10, 1000);
 		for (int k = 0; k < 24; k++)
-			jt_speed_answered(&endpoints[i].speed,
-					  i == SLOW ? log(SLOW_FACTOR) : 0, 1,
-					  1000);
+			jt_response_ratio_update(
+				&endpoints[i].response_ratio,
+				i == SLOW ? log(SLOW_FACTOR) : 0, 1, 1000);
 	}
 	jt_target_aim(&target, known, SLOW, 1000);
 	assert_true(jt_target_part(&target, &endpoints[0], 1000) > 0.99);
@@ -361,9 +367,9 @@
 		cmocka_unit_test(test_zone_spill_does_not_oscillate),
 		cmocka_unit_test(test_single_slow_answer_has_little_effect),
 		cmocka_unit_test(test_response_times_are_kept_per_kind),
-		cmocka_unit_test(test_speed_report_round_trip),
-		cmocka_unit_test(test_speed_expires),
-		cmocka_unit_test(test_speed_is_reset_at_restart),
+		cmocka_unit_test(test_response_ratio_report_round_trip),
+		cmocka_unit_test(test_response_ratio_expires),
+		cmocka_unit_test(test_response_ratio_is_reset_at_restart),
 		cmocka_unit_test(test_delayed_acknowledgements),
 		cmocka_unit_test(test_optimal_load),
 		cmocka_unit_test(test_zone_spill),
--- a/tests/test_detector.c
+++ b/tests/test_detector.c
@@ -41,7 +41,7 @@
 {
 	(void)state;
 	assert_true(dead_endpoint_is_detected(0));
-	assert_false(dead_endpoint_is_detected(JT_DIRECTOR_BREAK_NO_DETECTOR));
+	assert_false(dead_endpoint_is_detected(JT_DIRECTOR_FAULT_NO_DETECTOR));
 }
 
 /* Guards against taking an answer to a packet from before the probe as evidence
@@ -76,7 +76,7 @@
 	send_and_retransmit(fixture, &dead);
 	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
 	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_RESET), 1);
-	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_VERDICT));
+	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_DEATH_REPORT));
 	talloc_free(fixture);
 }
 
@@ -111,7 +111,7 @@
 {
 	(void)state;
 	assert_true(live_endpoint_keeps_flows(0));
-	assert_false(live_endpoint_keeps_flows(JT_DIRECTOR_BREAK_GUESS_DEATH));
+	assert_false(live_endpoint_keeps_flows(JT_DIRECTOR_FAULT_GUESS_DEATH));
 }
 
 static void test_isolated_node_declares_no_endpoint_dead(void **state)
@@ -234,9 +234,9 @@
 	(void)state;
 	assert_true(full_endpoint_keeps_flows(0, JT_PROBE_SILENT, 20));
 	assert_true(full_endpoint_keeps_flows(0, JT_PROBE_REFUSED, 20));
-	assert_false(full_endpoint_keeps_flows(JT_DIRECTOR_BREAK_GUESS_DEATH,
+	assert_false(full_endpoint_keeps_flows(JT_DIRECTOR_FAULT_GUESS_DEATH,
 					       JT_PROBE_SILENT, 20));
-	assert_false(full_endpoint_keeps_flows(JT_DIRECTOR_BREAK_GUESS_DEATH,
+	assert_false(full_endpoint_keeps_flows(JT_DIRECTOR_FAULT_GUESS_DEATH,
 					       JT_PROBE_REFUSED, 20));
 }
 
@@ -261,7 +261,7 @@
 		flow_request(fixture, &other, 250);
 		fixture_deliver_probe_result(fixture, 0x101, outcomes[i]);
 		assert_int_equal(endpoint_state(fixture, 0x101),
-				 JT_INCARNATION_LAPSED);
+				 JT_INCARNATION_EXPIRED);
 		assert_int_equal(
 			fixture_count_actions(fixture, JT_DIRECTOR_RESET), 0);
 		/* It is probed again; the second failure confirms the death. */
@@ -287,7 +287,7 @@
 	open_flow_at_each(fixture, &flow, &other);
 	send_and_retransmit(fixture, &flow);
 	flow_request(fixture, &other, 100);
-	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_VOID);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_INCONCLUSIVE);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
 	talloc_free(fixture);
 }
@@ -301,7 +301,7 @@
 	(void)state;
 	open_flow_at_each(fixture, &flow, &other);
 	send_and_retransmit(fixture, &flow);
-	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_VOID);
+	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_INCONCLUSIVE);
 	assert_int_equal(jt_director_counters(fixture->director)->probes_void,
 			 1);
 	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 0);
@@ -493,7 +493,8 @@
 		else
 			send_and_retransmit(fixture, &dead);
 		fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
-		verdict = fixture_find_action(fixture, JT_DIRECTOR_VERDICT);
+		verdict =
+			fixture_find_action(fixture, JT_DIRECTOR_DEATH_REPORT);
 		assert_non_null(verdict);
 		assert_int_equal(verdict->peers_know, known_to_peers);
 		talloc_free(fixture);
--- a/tests/test_director.c
+++ b/tests/test_director.c
@@ -94,7 +94,7 @@
 	(void)state;
 	assert_true(retransmissions_reach_same_endpoint(0));
 	assert_false(retransmissions_reach_same_endpoint(
-		JT_DIRECTOR_BREAK_PLACE_COPIES));
+		JT_DIRECTOR_FAULT_PLACE_COPIES));
 }
 
 /* Guards against placing a late duplicate of the first packet anew when the
@@ -214,7 +214,7 @@
 {
 	(void)state;
 	assert_true(draining_gets_no_new_flows(0));
-	assert_false(draining_gets_no_new_flows(JT_DIRECTOR_BREAK_DRAINING));
+	assert_false(draining_gets_no_new_flows(JT_DIRECTOR_FAULT_DRAINING));
 }
 
 /* Returns true if a flow is still forwarded after its endpoint's entry expired.
@@ -236,7 +236,7 @@
 {
 	(void)state;
 	assert_true(flow_survives_entry_expiry(0));
-	assert_false(flow_survives_entry_expiry(JT_DIRECTOR_BREAK_FORGET_GONE));
+	assert_false(flow_survives_entry_expiry(JT_DIRECTOR_FAULT_FORGET_GONE));
 }
 
 static void test_expired_endpoints_are_a_last_resort(void **state)
@@ -435,7 +435,7 @@
 	assert_int_equal(snapshot_entries_since(fixture, 0, &snapshot), 2);
 	assert_int_equal(snapshot_entries_since(fixture, 20, &snapshot), 1);
 	assert_int_equal(snapshot.since, 20);
-	assert_int_equal(snapshot.entries.entries_val[0].gone_revision, 30);
+	assert_int_equal(snapshot.entries.entries_val[0].removed_revision, 30);
 	assert_int_equal(snapshot_entries_since(fixture, 30, &snapshot), 0);
 	/* The routing is sent only to a node that lacks its version. */
 	assert_int_equal(snapshot.routing.number, version);
@@ -451,11 +451,11 @@
 static bool update_is_accepted(struct fixture *fixture, uint64_t since,
 			       uint64_t version)
 {
-	struct jt_director_event event = {.kind = JT_DIRECTOR_NEWS};
+	struct jt_director_event event = {.kind = JT_DIRECTOR_GOSSIP_UPDATES};
 
-	event.u.news.since = since;
-	event.u.news.revision = 40;
-	event.u.news.routing_version = version;
+	event.u.updates.since = since;
+	event.u.updates.revision = 40;
+	event.u.updates.routing_version = version;
 	fixture_handle(fixture, &event);
 	return jt_director_revision(fixture->director) == 40;
 }
@@ -510,7 +510,7 @@
 	entry.revision = 7;
 	fixture_set_entry(fixture, entry);
 	refused = refused &&
-		  endpoint_state(fixture, 0x101) == JT_INCARNATION_LAPSED;
+		  endpoint_state(fixture, 0x101) == JT_INCARNATION_EXPIRED;
 	talloc_free(fixture);
 	return refused;
 }
@@ -519,7 +519,7 @@
 {
 	(void)state;
 	assert_true(stale_entry_is_refused(0));
-	assert_false(stale_entry_is_refused(JT_DIRECTOR_BREAK_STALE_ENTRY));
+	assert_false(stale_entry_is_refused(JT_DIRECTOR_FAULT_STALE_ENTRY));
 }
 
 /* Guards against choosing a draining endpoint as last resort when its draining
@@ -536,7 +536,8 @@
 	fixture_remove_entry(fixture, 0x101, 9);
 	entry.draining = true;
 	fixture_set_entry(fixture, entry);
-	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_LAPSED);
+	assert_int_equal(endpoint_state(fixture, 0x101),
+			 JT_INCARNATION_EXPIRED);
 	/* The last resort is the endpoint that was not draining. */
 	assert_int_equal(flow_send_syn(fixture, &flow), 0x102);
 	talloc_free(fixture);
@@ -558,7 +559,7 @@
 {
 	(void)state;
 	assert_true(older_routing_is_refused(0));
-	assert_false(older_routing_is_refused(JT_DIRECTOR_BREAK_VERSION));
+	assert_false(older_routing_is_refused(JT_DIRECTOR_FAULT_VERSION));
 }
 
 static void test_full_listing_removes_missing_entries(void **state)
@@ -570,7 +571,8 @@
 	fixture_handle(fixture, &event);
 	fixture_add_endpoint(fixture, 0x102, SERVICE_BOARD, ZONE_A, 3);
 	fixture_end_listing(fixture, 20);
-	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_LAPSED);
+	assert_int_equal(endpoint_state(fixture, 0x101),
+			 JT_INCARNATION_EXPIRED);
 	assert_int_equal(endpoint_state(fixture, 0x102), JT_INCARNATION_READY);
 	talloc_free(fixture);
 }
@@ -733,8 +735,8 @@
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_LOADS};
 	struct jt_endpoint_load loads[2] = {
-		{jt_flow_label(0x102), second, second * JT_WORK_UNIT, 0},
-		{jt_flow_label(0x101), first, first * JT_WORK_UNIT, 0},
+		{jt_flow_label(0x102), second, second * JT_RECENT_LOAD_UNIT, 0},
+		{jt_flow_label(0x101), first, first * JT_RECENT_LOAD_UNIT, 0},
 	};
 
 	event.u.loads.peer = peer;
--- a/tests/test_endpoint_health.c
+++ b/tests/test_endpoint_health.c
@@ -122,13 +122,13 @@
 {
 	struct fixture *fixture = cluster->nodes[node];
 	struct jt_endpoint_failure failures[JT_FAILURE_LIMIT];
-	struct jt_director_event event = {.kind = JT_DIRECTOR_FAILURES_TOLD};
+	struct jt_director_event event = {.kind = JT_DIRECTOR_FAILURE_REPORT};
 	const struct jt_director_action *action;
 	size_t peers = (size_t)cluster->node_count - 1;
 
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
-	assert_null(fixture_find_action(fixture, JT_DIRECTOR_VERDICT));
-	action = fixture_find_action(fixture, JT_DIRECTOR_FAILING);
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_DEATH_REPORT));
+	action = fixture_find_action(fixture, JT_DIRECTOR_OVERDUE_REPORT);
 	if (action != NULL) {
 		struct jt_director_event overdue = {
 			.kind = JT_DIRECTOR_OVERDUE};
@@ -342,7 +342,7 @@
 	struct cluster *cluster = cluster_create(20, 50, 600);
 	const struct jt_endpoint_failure failure = {jt_flow_label(FIRST_ID),
 						    5000, 0, 1000};
-	struct jt_director_event event = {.kind = JT_DIRECTOR_FAILURES_TOLD};
+	struct jt_director_event event = {.kind = JT_DIRECTOR_FAILURE_REPORT};
 
 	(void)state;
 	cluster_run(cluster, WARMUP_MS);
--- a/tests/test_flow_lookup.c
+++ b/tests/test_flow_lookup.c
@@ -70,11 +70,12 @@
 				  const struct client_flow *flow,
 				  uint32_t label)
 {
-	struct jt_director_event event = {.kind = JT_DIRECTOR_FLOW_TOLD};
+	struct jt_director_event event = {
+		.kind = JT_DIRECTOR_FLOW_LOOKUP_RESPONSE};
 
-	event.u.flow_told.key = flow->key;
-	event.u.flow_told.sequence = flow->sequence;
-	event.u.flow_told.label = label;
+	event.u.flow_lookup_response.key = flow->key;
+	event.u.flow_lookup_response.sequence = flow->sequence;
+	event.u.flow_lookup_response.label = label;
 	fixture_handle(fixture, &event);
 }
 
@@ -103,7 +104,7 @@
 		advance_nodes(nodes, RETRANSMIT_MS);
 		assert_false(send_retransmitted_syn(nodes[1], &flow));
 		assert_non_null(
-			fixture_find_action(nodes[1], JT_DIRECTOR_FLOW_ASK));
+			fixture_find_action(nodes[1], JT_DIRECTOR_FLOW_LOOKUP));
 		assert_non_null(
 			fixture_find_action(nodes[1], JT_DIRECTOR_HOLD));
 		lookup_sent(nodes[1], &flow, PEERS);
@@ -134,7 +135,7 @@
 	lookup_sent(nodes[1], &flow, PEERS);
 	/* A duplicate made by the network. */
 	assert_false(send_retransmitted_syn(nodes[1], &flow));
-	assert_null(fixture_find_action(nodes[1], JT_DIRECTOR_FLOW_ASK));
+	assert_null(fixture_find_action(nodes[1], JT_DIRECTOR_FLOW_LOOKUP));
 	nodes_free(nodes);
 }
 
@@ -201,7 +202,7 @@
 	create_two_nodes(nodes, 0);
 	flow = flow_new(nodes[1], CLIENT_IP, BOARD_PORT);
 	assert_int_not_equal(flow_send_syn(nodes[1], &flow), 0);
-	assert_null(fixture_find_action(nodes[1], JT_DIRECTOR_FLOW_ASK));
+	assert_null(fixture_find_action(nodes[1], JT_DIRECTOR_FLOW_LOOKUP));
 	nodes_free(nodes);
 }
 
@@ -258,7 +259,8 @@
 		if (i % 10 == 0)
 			advance_nodes(nodes, 1);
 		placed += send_retransmitted_syn(nodes[1], &flow);
-		if (fixture_find_action(nodes[1], JT_DIRECTOR_FLOW_ASK) == NULL)
+		if (fixture_find_action(nodes[1], JT_DIRECTOR_FLOW_LOOKUP) ==
+		    NULL)
 			continue;
 		lookup_sent(nodes[1], &flow, PEERS);
 		messages += PEERS;
--- a/tests/test_flow_rate.c
+++ b/tests/test_flow_rate.c
@@ -79,8 +79,8 @@
 	uint32_t per_s = jt_flow_rate_cold(
 		cluster->rates[node], &cluster->views[node], permille, now_ms);
 
-	jt_flow_rate_given(cluster->rates[node], &cluster->views[node], per_s,
-			   now_ms);
+	jt_flow_rate_consume(cluster->rates[node], &cluster->views[node], per_s,
+			     now_ms);
 	assert_true(cluster->assigned < ASSIGNED_MAX);
 	cluster->assigned_ms[cluster->assigned++] = now_ms;
 }
@@ -223,7 +223,7 @@
 {
 	(void)state;
 	assert_true(count_flows_to_cold(0) <= 1);
-	assert_true(count_flows_to_cold(JT_DIRECTOR_BREAK_COLD) > 2);
+	assert_true(count_flows_to_cold(JT_DIRECTOR_FAULT_COLD) > 2);
 }
 
 static void test_only_cold_endpoints_reset_new_flows(void **state)
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -22,15 +22,15 @@
 static void test_pause_after_changes(void **state)
 {
 	struct jt_follower follower = follower_listed(10, 0);
-	uint64_t normal_ms, learning_ms;
+	uint64_t normal_ms, initial_sync_ms;
 
 	(void)state;
 	jt_follower_watched(&follower, JT_KV_OK, 11, true, 0);
 	normal_ms = follower.due_ms;
 	jt_follower_learning(&follower, true);
 	jt_follower_watched(&follower, JT_KV_OK, 12, true, 0);
-	learning_ms = follower.due_ms;
-	assert_true(learning_ms > 0 && learning_ms * 4 <= normal_ms);
+	initial_sync_ms = follower.due_ms;
+	assert_true(initial_sync_ms > 0 && initial_sync_ms * 4 <= normal_ms);
 	jt_follower_learning(&follower, false);
 	jt_follower_watched(&follower, JT_KV_OK, 13, true, 0);
 	assert_int_equal(follower.due_ms, normal_ms);
--- a/tests/test_incarnations.c
+++ b/tests/test_incarnations.c
@@ -21,7 +21,7 @@
 	struct jt_endpoint_entry entry =
 		make_entry(id, SERVICE_BOARD, ZONE_A, revision);
 
-	entry.born_ms = start_ms;
+	entry.start_time_ms = start_ms;
 	return entry;
 }
 
@@ -54,7 +54,7 @@
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PROBED};
 
 	event.u.probed.id = id;
-	event.u.probed.born_ms = start_ms;
+	event.u.probed.start_time_ms = start_ms;
 	event.u.probed.outcome = outcome;
 	fixture_handle(fixture, &event);
 }
@@ -65,7 +65,7 @@
 	struct jt_director_event event = {.kind = JT_DIRECTOR_IDENTIFIED};
 
 	event.u.identified.id = id;
-	event.u.identified.born_ms = start_ms;
+	event.u.identified.start_time_ms = start_ms;
 	event.u.identified.found = found;
 	fixture_handle(fixture, &event);
 }
@@ -77,7 +77,7 @@
 	struct jt_director_event event = {.kind = kind};
 
 	event.u.suspicion.id = id;
-	event.u.suspicion.born_ms = start_ms;
+	event.u.suspicion.start_time_ms = start_ms;
 	fixture_handle(fixture, &event);
 }
 
@@ -86,8 +86,8 @@
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_UNREADABLE};
 
-	event.u.gone.id = id;
-	event.u.gone.revision = revision;
+	event.u.removed.id = id;
+	event.u.removed.revision = revision;
 	fixture_handle(fixture, &event);
 }
 
@@ -172,11 +172,11 @@
 	restart(fixture, 10);
 	action = fixture_find_action(fixture, JT_DIRECTOR_RESTARTED);
 	assert_non_null(action);
-	assert_int_equal(action->born_ms, SECOND_START_MS);
+	assert_int_equal(action->start_time_ms, SECOND_START_MS);
 	assert_int_equal(incarnation->state, JT_INCARNATION_READY);
 	assert_int_equal(incarnation->flows, 0);
 	assert_int_equal(incarnation->waiting, 0);
-	assert_true(incarnation->speed.weight == 0);
+	assert_true(incarnation->response_ratio.weight == 0);
 	assert_int_equal(incarnation->outlier.failed_ms, 0);
 	assert_int_equal(
 		jt_outlier_share_permille(incarnation, fixture->now_ms),
@@ -224,8 +224,9 @@
 	fixture_set_entry(fixture,
 			  make_started_entry(RESTARTED, SECOND_START_MS, 9));
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESTARTED));
-	assert_int_equal(incarnation_of(fixture, RESTARTED)->entry.born_ms,
-			 FIRST_START_MS - 500000);
+	assert_int_equal(
+		incarnation_of(fixture, RESTARTED)->entry.start_time_ms,
+		FIRST_START_MS - 500000);
 	/* The first start time again is a later incarnation all the same. */
 	fixture_set_entry(fixture,
 			  make_started_entry(RESTARTED, FIRST_START_MS, 11));
@@ -522,7 +523,7 @@
 	flow_send(fixture, &placed_on_first, JT_PACKET_ACK, 100);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
 	assert_int_equal(fixture_find_action(fixture, JT_DIRECTOR_DROP)->reason,
-			 JT_DIRECTOR_UNPROVEN);
+			 JT_DIRECTOR_DEATH_UNCONFIRMED);
 	restart(fixture, 10);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_RESET));
 	assert_non_null(
@@ -582,7 +583,7 @@
 	struct jt_endpoint_load load = {
 		.label = jt_incarnation_label(RESTARTED, FIRST_START_MS),
 		.flows = 500,
-		.work_permille = 90000,
+		.recent_load_permille = 90000,
 	};
 	struct jt_director_event event = {.kind = JT_DIRECTOR_LOADS};
 
@@ -597,21 +598,23 @@
 	talloc_free(fixture);
 }
 
-/* Guards against applying peers' speed and failure reports of the previous
- * incarnation to the new one. */
+/* Guards against applying peers' response ratios and failure reports of the
+ * previous incarnation to the new one. */
 static void test_peer_reports_are_per_incarnation(void **state)
 {
 	struct fixture *fixture = fixture_with_started_endpoints();
 	uint32_t earlier = jt_incarnation_label(RESTARTED, FIRST_START_MS);
-	struct jt_endpoint_load load = {
-		.label = earlier, .flows = 1, .speed = 200u << 16 | 900};
+	struct jt_endpoint_load load = {.label = earlier,
+					.flows = 1,
+					.response_ratio = 200u << 16 | 900};
 	struct jt_endpoint_failure failure = {
 		.label = earlier,
 		.failed_permille = 9000,
 		.share_permille = 1000,
 	};
 	struct jt_director_event loads = {.kind = JT_DIRECTOR_LOADS};
-	struct jt_director_event failures = {.kind = JT_DIRECTOR_FAILURES_TOLD};
+	struct jt_director_event failures = {
+		.kind = JT_DIRECTOR_FAILURE_REPORT};
 	struct jt_incarnation *incarnation = incarnation_of(fixture, RESTARTED);
 	struct jt_incarnation before;
 
@@ -625,16 +628,18 @@
 	before = *incarnation;
 	fixture_handle(fixture, &loads);
 	fixture_handle(fixture, &failures);
-	assert_memory_equal(&incarnation->speed, &before.speed,
-			    sizeof(before.speed));
+	assert_memory_equal(&incarnation->response_ratio,
+			    &before.response_ratio,
+			    sizeof(before.response_ratio));
 	assert_memory_equal(&incarnation->outlier, &before.outlier,
 			    sizeof(before.outlier));
 	/* Reports on the new incarnation are applied. */
 	load.label = failure.label = incarnation->label;
 	fixture_handle(fixture, &loads);
 	fixture_handle(fixture, &failures);
-	assert_memory_not_equal(&incarnation->speed, &before.speed,
-				sizeof(before.speed));
+	assert_memory_not_equal(&incarnation->response_ratio,
+				&before.response_ratio,
+				sizeof(before.response_ratio));
 	assert_memory_not_equal(&incarnation->outlier, &before.outlier,
 				sizeof(before.outlier));
 	talloc_free(fixture);
@@ -665,7 +670,7 @@
 	fixture_end_listing(fixture, 15);
 	assert_true(incarnation_of(fixture, RESTARTED)->entry.unreadable);
 	assert_int_equal(
-		incarnation_of(fixture, RESTARTED)->entry.gone_revision, 10);
+		incarnation_of(fixture, RESTARTED)->entry.removed_revision, 10);
 	/* A readable entry makes it eligible again; older updates change
 	 * nothing. */
 	fixture_set_entry(fixture,
@@ -697,7 +702,7 @@
 					       &event));
 		fixture_handle(peer, &event);
 	}
-	assert_int_equal(incarnation_of(peer, RESTARTED)->entry.born_ms,
+	assert_int_equal(incarnation_of(peer, RESTARTED)->entry.start_time_ms,
 			 SECOND_START_MS);
 	assert_int_equal(incarnation_of(peer, RESTARTED)->label,
 			 jt_incarnation_label(RESTARTED, SECOND_START_MS));
--- a/tests/test_knowledge_fetch.c
+++ b/tests/test_knowledge_fetch.c
@@ -34,13 +34,13 @@
 	part = make_part(300, 700, 30);
 	part.store_age_ms = 500;
 	part.store_reader = 6;
-	part.learning_ms = 70;
+	part.initial_sync_ms = 70;
 	assert_false(jt_knowledge_fetch_took(&fetch, &part, NOW_MS));
 	part = make_part(700, JT_DIRECTOR_SLICES, 50);
 	assert_true(jt_knowledge_fetch_took(&fetch, &part, NOW_MS));
 	/* The result has the revision and age of the least current peer. */
 	assert_int_equal(fetch.revision, 30);
-	assert_int_equal(fetch.learning_ms, 70);
+	assert_int_equal(fetch.initial_sync_ms, 70);
 	assert_int_equal(fetch.store_as_of_ms, NOW_MS - 500);
 	assert_int_equal(fetch.store_reader, 6);
 	/* The next fetch starts at the first slice. */
@@ -110,7 +110,7 @@
 	jt_serve_budget_init(&budget, 20);
 	for (; now_ms < NOW_MS + 1000; now_ms++) {
 		while (jt_serve_budget_allows(&budget, now_ms)) {
-			jt_serve_budget_given(&budget, ANSWER_BYTES, now_ms);
+			jt_serve_budget_consume(&budget, ANSWER_BYTES, now_ms);
 			sent++;
 		}
 		/* Bounds the queueing delay of an answer. */
--- a/tests/test_learning.c
+++ b/tests/test_learning.c
@@ -10,12 +10,12 @@
 };
 
 static void fixture_end_snapshot(struct fixture *fixture, uint64_t revision,
-				 uint32_t learning_ms)
+				 uint32_t initial_sync_ms)
 {
-	struct jt_director_event event = {.kind = JT_DIRECTOR_INFORMED};
+	struct jt_director_event event = {.kind = JT_DIRECTOR_PEER_SNAPSHOT};
 
 	event.u.listed.revision = revision;
-	event.u.listed.learning_ms = learning_ms;
+	event.u.listed.initial_sync_ms = initial_sync_ms;
 	fixture_handle(fixture, &event);
 }
 
@@ -89,11 +89,12 @@
 
 	(void)state;
 	assert_int_equal(
-		jt_director_learning_ms(fixture->director, fixture->now_ms),
+		jt_director_initial_sync_ms(fixture->director, fixture->now_ms),
 		INITIAL_SYNC_MS);
 	fixture_tick(fixture, INITIAL_SYNC_MS);
 	assert_int_equal(
-		jt_director_learning_ms(fixture->director, fixture->now_ms), 0);
+		jt_director_initial_sync_ms(fixture->director, fixture->now_ms),
+		0);
 	assert_null(flow_send(fixture, &flow, JT_PACKET_ACK, 100));
 	assert_true(action_has_reason(fixture, JT_DIRECTOR_DROP,
 				      JT_DIRECTOR_UNKNOWN_LABEL));
@@ -127,19 +128,20 @@
 	assert_true(jt_knowledge_write(from, from->director,
 				       &(struct jt_knowledge_need){0},
 				       from->now_ms, &snapshot));
-	assert_int_equal(snapshot.learning_ms, INITIAL_SYNC_MS - 500);
+	assert_int_equal(snapshot.initial_sync_ms, INITIAL_SYNC_MS - 500);
 	fixture_set_routing(to, 1, 50, 50);
-	fixture_end_snapshot(to, 2, snapshot.learning_ms);
-	assert_int_equal(jt_director_learning_ms(to->director, to->now_ms),
+	fixture_end_snapshot(to, 2, snapshot.initial_sync_ms);
+	assert_int_equal(jt_director_initial_sync_ms(to->director, to->now_ms),
 			 INITIAL_SYNC_MS - 500);
 	/* Later snapshots do not extend it; one of a synchronised peer ends it.
 	 */
 	to->now_ms += 100;
 	fixture_end_snapshot(to, 3, INITIAL_SYNC_MS);
-	assert_int_equal(jt_director_learning_ms(to->director, to->now_ms),
+	assert_int_equal(jt_director_initial_sync_ms(to->director, to->now_ms),
 			 INITIAL_SYNC_MS - 600);
 	fixture_end_snapshot(to, 4, 0);
-	assert_int_equal(jt_director_learning_ms(to->director, to->now_ms), 0);
+	assert_int_equal(jt_director_initial_sync_ms(to->director, to->now_ms),
+			 0);
 	talloc_free(from);
 	talloc_free(to);
 }
@@ -158,8 +160,9 @@
 		if (flow_send_syn(fixture, &flow) != 0)
 			placed++;
 		else
-			assert_true(action_has_reason(fixture, JT_DIRECTOR_HOLD,
-						      JT_DIRECTOR_LEARNING));
+			assert_true(
+				action_has_reason(fixture, JT_DIRECTOR_HOLD,
+						  JT_DIRECTOR_INITIAL_SYNC));
 	}
 	talloc_free(fixture);
 	return placed;
@@ -201,10 +204,10 @@
 	(void)state;
 	flow_send_held(fixture, &first, JT_PACKET_SYN, 0, ATTEMPT_MS);
 	assert_true(action_has_reason(fixture, JT_DIRECTOR_DROP,
-				      JT_DIRECTOR_LEARNING));
+				      JT_DIRECTOR_INITIAL_SYNC));
 	flow_send_held(fixture, &open, JT_PACKET_ACK, 0, HELD_MAX_MS);
 	assert_true(action_has_reason(fixture, JT_DIRECTOR_DROP,
-				      JT_DIRECTOR_LEARNING));
+				      JT_DIRECTOR_INITIAL_SYNC));
 	flow_send_held(fixture, &open, JT_PACKET_ACK, 0, HELD_MAX_MS - 1);
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_FORWARD));
 	talloc_free(fixture);
@@ -231,7 +234,7 @@
  * zone drains. */
 static void fixture_end_partial_snapshot(struct fixture *fixture)
 {
-	struct jt_director_event event = {.kind = JT_DIRECTOR_PARTLY_TOLD};
+	struct jt_director_event event = {.kind = JT_DIRECTOR_PARTIAL_STATE};
 
 	fixture_handle(fixture, &event);
 }
@@ -297,7 +300,7 @@
 	fixture_end_partial_snapshot(fixture);
 	assert_int_equal(flow_send_syn(fixture, &flow), 0);
 	assert_true(action_has_reason(fixture, JT_DIRECTOR_HOLD,
-				      JT_DIRECTOR_LEARNING));
+				      JT_DIRECTOR_INITIAL_SYNC));
 	talloc_free(fixture);
 }
 
--- a/tests/test_list_gaps.c
+++ b/tests/test_list_gaps.c
@@ -13,22 +13,22 @@
 
 	(void)state;
 	assert_true(jt_list_gaps_know(&gaps, 0));
-	jt_list_gaps_add(&gaps, (struct jt_list_gap){10, 20});
+	jt_list_gaps_add(&gaps, (struct jt_listing_gap){10, 20});
 	assert_true(jt_list_gaps_know(&gaps, 0));
 	assert_true(jt_list_gaps_know(&gaps, 10));
 	assert_false(jt_list_gaps_know(&gaps, 11));
 	assert_false(jt_list_gaps_know(&gaps, 19));
 	assert_true(jt_list_gaps_know(&gaps, 20));
 	/* There is no gap between adjacent revisions. */
-	jt_list_gaps_add(&gaps, (struct jt_list_gap){20, 21});
+	jt_list_gaps_add(&gaps, (struct jt_listing_gap){20, 21});
 	assert_int_equal(gaps.newest.to, 20);
 	/* Only the newest of several gaps is kept exactly. */
-	jt_list_gaps_add(&gaps, (struct jt_list_gap){25, 30});
+	jt_list_gaps_add(&gaps, (struct jt_listing_gap){25, 30});
 	assert_false(jt_list_gaps_know(&gaps, 10));
 	assert_true(jt_list_gaps_know(&gaps, 20));
 	assert_false(jt_list_gaps_know(&gaps, 29));
 	/* An earlier gap reported by a peer. */
-	jt_list_gaps_add(&gaps, (struct jt_list_gap){21, 24});
+	jt_list_gaps_add(&gaps, (struct jt_listing_gap){21, 24});
 	assert_false(jt_list_gaps_know(&gaps, 22));
 	assert_true(jt_list_gaps_know(&gaps, 24));
 	jt_list_gaps_forget(&gaps, 50);
@@ -100,10 +100,10 @@
 	if (jt_knowledge_slices(fixture, snapshot, &event))
 		fixture_handle(fixture, &event);
 	assert_true(jt_knowledge_fetch_took(&fetch, snapshot, fixture->now_ms));
-	event = (struct jt_director_event){.kind = JT_DIRECTOR_INFORMED};
+	event = (struct jt_director_event){.kind = JT_DIRECTOR_PEER_SNAPSHOT};
 	event.u.listed.revision = fetch.revision;
 	event.u.listed.gap = fetch.gap;
-	event.u.listed.forgotten = fetch.forgotten;
+	event.u.listed.incomplete_before = fetch.forgotten;
 	fixture_handle(fixture, &event);
 }
 
@@ -121,7 +121,7 @@
 	apply_snapshot(watching, &snapshot, 18);
 	assert_int_equal(jt_director_revision(watching->director), LISTED_AT);
 	assert_int_equal(endpoint_state(watching, REMOVED),
-			 JT_INCARNATION_LAPSED);
+			 JT_INCARNATION_EXPIRED);
 	assert_int_equal(endpoint_state(watching, KEPT), JT_INCARNATION_READY);
 	assert_int_equal(count_flows_to(watching, 20, KEPT), 20);
 	talloc_free(watching);
@@ -142,7 +142,8 @@
 	write_snapshot(watching, 18, &snapshot);
 	assert_int_equal(snapshot.since, 18);
 	apply_snapshot(other, &snapshot, 18);
-	assert_int_equal(endpoint_state(other, REMOVED), JT_INCARNATION_LAPSED);
+	assert_int_equal(endpoint_state(other, REMOVED),
+			 JT_INCARNATION_EXPIRED);
 	talloc_free(watching);
 	talloc_free(listing);
 	talloc_free(other);
@@ -169,7 +170,7 @@
 	write_snapshot(watching, 20, &snapshot);
 	assert_int_equal(snapshot.since, 0);
 	apply_snapshot(other, &snapshot, 20);
-	assert_int_equal(endpoint_state(other, ADDED), JT_INCARNATION_LAPSED);
+	assert_int_equal(endpoint_state(other, ADDED), JT_INCARNATION_EXPIRED);
 	talloc_free(watching);
 	talloc_free(relisted);
 	talloc_free(other);
@@ -229,7 +230,7 @@
 	fixture_handle(watching, &event);
 	assert_int_equal(endpoint_state(watching, ADDED), JT_INCARNATION_READY);
 	assert_int_equal(endpoint_state(watching, REMOVED),
-			 JT_INCARNATION_LAPSED);
+			 JT_INCARNATION_EXPIRED);
 	talloc_free(watching);
 	talloc_free(listing);
 }
--- a/tests/test_many_endpoints.c
+++ b/tests/test_many_endpoints.c
@@ -213,7 +213,7 @@
 	struct jt_endpoint_entry entry =
 		make_entry(id, SERVICE_BOARD, ZONE_A, 10 + (uint32_t)id % 16);
 
-	entry.created = id == OLDER_ID ? 3 : 8;
+	entry.created_revision = id == OLDER_ID ? 3 : 8;
 	fixture_set_entry(fixture, entry);
 }
 
@@ -259,7 +259,7 @@
 	struct jt_endpoint_entry entry =
 		make_entry(id, SERVICE_BOARD, ZONE_A, revision);
 
-	entry.created = revision;
+	entry.created_revision = revision;
 	fixture_set_entry(fixture, entry);
 }
 
--- a/tests/test_mechanisms.c
+++ b/tests/test_mechanisms.c
@@ -39,7 +39,7 @@
 		struct fixture *fixture =
 			fixture_with_feature(JT_MECHANISM_PEER_WORK, off);
 		struct jt_endpoint_load load = {jt_flow_label(0x101), 0,
-						50 * JT_WORK_UNIT, 0};
+						50 * JT_RECENT_LOAD_UNIT, 0};
 		struct jt_director_event event = {.kind = JT_DIRECTOR_LOADS};
 
 		event.u.loads.peer = 7;
@@ -471,9 +471,9 @@
 		} else {
 			assert_non_null(reset);
 			assert_int_equal(reset->reason, JT_DIRECTOR_OVERLOADED);
-			assert_int_equal(reset->room.priority, 1);
-			assert_in_range(reset->room.delay_ms,
-					reset->room.allowed_ms, 150);
+			assert_int_equal(reset->admission.priority, 1);
+			assert_in_range(reset->admission.delay_ms,
+					reset->admission.allowed_ms, 150);
 		}
 		talloc_free(fixture);
 	}
--- a/tests/test_outlier.c
+++ b/tests/test_outlier.c
@@ -57,8 +57,8 @@
 
 	(void)state;
 	leave_request_unanswered(fixture, &flow, 350);
-	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_FAILING),
-			 1);
+	assert_int_equal(
+		fixture_count_actions(fixture, JT_DIRECTOR_OVERDUE_REPORT), 1);
 	assert_int_equal(count_flows_to(fixture, FLOWS, 0x101), 0);
 	/* It does not confirm a death: no probe is sent and no flow is reset.
 	 */
@@ -99,9 +99,10 @@
 	for (int i = 0; i < 60; i++)
 		flow_request(fixture, &flow, 200);
 	leave_request_unanswered(fixture, &flow, 900);
-	assert_null(fixture_find_action(fixture, JT_DIRECTOR_FAILING));
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_OVERDUE_REPORT));
 	fixture_tick(fixture, 1000);
-	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_FAILING));
+	assert_non_null(
+		fixture_find_action(fixture, JT_DIRECTOR_OVERDUE_REPORT));
 	talloc_free(fixture);
 }
 
@@ -132,11 +133,11 @@
 	fixture_deliver_overdue_report(fixture, 0x101);
 	assert_int_equal(count_flows_to(fixture, FLOWS, 0x101), 0);
 	leave_request_unanswered(fixture, &first, 350);
-	assert_null(fixture_find_action(fixture, JT_DIRECTOR_FAILING));
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_OVERDUE_REPORT));
 	fixture_tick(fixture, 1000);
 	leave_request_unanswered(fixture, &second, 350);
-	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_FAILING),
-			 1);
+	assert_int_equal(
+		fixture_count_actions(fixture, JT_DIRECTOR_OVERDUE_REPORT), 1);
 	talloc_free(fixture);
 }
 
@@ -152,7 +153,7 @@
 	fixture->now_ms += 200;
 	flow_send(fixture, &flow, JT_PACKET_ACK, 100);
 	fixture_tick(fixture, 200);
-	assert_null(fixture_find_action(fixture, JT_DIRECTOR_FAILING));
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_OVERDUE_REPORT));
 	talloc_free(fixture);
 }
 
@@ -168,7 +169,7 @@
 	flow_send(fixture, &aborted, JT_PACKET_ACK, 100);
 	flow_send(fixture, &aborted, JT_PACKET_RST, 0);
 	fixture_tick(fixture, 1000);
-	assert_null(fixture_find_action(fixture, JT_DIRECTOR_FAILING));
+	assert_null(fixture_find_action(fixture, JT_DIRECTOR_OVERDUE_REPORT));
 	assert_int_equal(jt_director_counters(fixture->director)->overdue, 0);
 	talloc_free(fixture);
 }
--- a/tests/test_peer_loads.c
+++ b/tests/test_peer_loads.c
@@ -44,7 +44,8 @@
 		reports[peer].flows[label] = flows;
 		if (flows > 0)
 			loads[count++] = (struct jt_endpoint_load){
-				label + 1, flows, flows * 2 * JT_WORK_UNIT, 0};
+				label + 1, flows,
+				flows * 2 * JT_RECENT_LOAD_UNIT, 0};
 	}
 	jt_peer_loads_take(peers, peer + 1, loads, count, now_ms);
 }
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -115,7 +115,7 @@
 	assert_int_equal(change.endpoint.capacity, 2);
 	assert_int_equal(change.endpoint.cold_left_ms, 70);
 	assert_int_equal(change.endpoint.revision, 412);
-	assert_int_equal(change.endpoint.created, 410);
+	assert_int_equal(change.endpoint.created_revision, 410);
 	assert_true(change.endpoint.draining);
 }
 
@@ -222,12 +222,12 @@
 	(void)state;
 	assert_int_equal(read_change("servers/i-7f3a91c2", text, &change),
 			 JT_CHANGE_ENDPOINT);
-	assert_int_equal(change.endpoint.born_ms, 1764740000000);
+	assert_int_equal(change.endpoint.start_time_ms, 1764740000000);
 	talloc_free(text);
 	text = make_entry("born", NULL);
 	assert_int_equal(read_change("servers/i-7f3a91c2", text, &change),
 			 JT_CHANGE_ENDPOINT);
-	assert_int_equal(change.endpoint.born_ms, 0);
+	assert_int_equal(change.endpoint.start_time_ms, 0);
 	talloc_free(text);
 }
 
--- a/tests/test_zone_drains.c
+++ b/tests/test_zone_drains.c
@@ -93,7 +93,7 @@
 {
 	(void)state;
 	assert_true(drained_gets_no_flows(0));
-	assert_false(drained_gets_no_flows(JT_DIRECTOR_BREAK_ZONE_DRAIN));
+	assert_false(drained_gets_no_flows(JT_DIRECTOR_FAULT_ZONE_DRAIN));
 }
 
 static void test_change_is_reported_once(void **state)
