--- a/src/label/admission/jt_admission.c
+++ b/src/label/admission/jt_admission.c
@@ -285,11 +285,11 @@
 	return true;
 }
 
-struct jt_admission_verdict jt_admission_ask(struct jt_admission *admission,
-					     const struct jt_route *route,
-					     uint64_t now_ms)
+struct jt_admission_decision jt_admission_ask(struct jt_admission *admission,
+					      const struct jt_route *route,
+					      uint64_t now_ms)
 {
-	struct jt_admission_verdict verdict = {.admitted = true};
+	struct jt_admission_decision decision = {.admitted = true};
 	struct admission_service *service =
 		service_watched(admission, route_service(route));
 	struct admission_priority *priority;
@@ -298,27 +298,27 @@
 	bool has_capacity;
 
 	if (service == NULL || route->target_ms == 0)
-		return verdict;
+		return decision;
 	index = priority_index(service, route->priority);
 	if (index == service->priority_count)
 		index--;
 	priority = &service->priorities[index];
 	priority->last_flow_ms = now_ms;
 	group = jt_group_shares_ask(priority->shares, route->address, now_ms);
-	verdict.state = state_describe(service, index, now_ms);
-	verdict.state.route = route->name;
+	decision.state = state_describe(service, index, now_ms);
+	decision.state.route = route->name;
 	has_capacity =
-		below_limit(service, &verdict.state, index, group, now_ms);
+		below_limit(service, &decision.state, index, group, now_ms);
 	if (!floor_credit_use(priority) && !has_capacity) {
-		verdict.admitted = false;
+		decision.admitted = false;
 		priority->refused++;
 		jt_concurrency_limit_refused(&service->limit, now_ms);
-		return verdict;
+		return decision;
 	}
 	priority->admitted++;
 	if (group != NULL)
 		jt_group_admitted(group, now_ms);
-	return verdict;
+	return decision;
 }
 
 /* Flow and request events */
@@ -366,7 +366,7 @@
 		return;
 	jt_in_flight_end(&service->requests, requested_ms, now_ms);
 	if (!placed) {
-		jt_concurrency_limit_bound(&service->limit);
+		jt_concurrency_limit_open_flow_answered(&service->limit);
 		return;
 	}
 	if (!jt_concurrency_limit_answered(&service->limit,
@@ -380,8 +380,8 @@
 	}
 }
 
-void jt_admission_given_up(struct jt_admission *admission, uint32_t service_id,
-			   uint64_t requested_ms, uint64_t now_ms)
+void jt_admission_abandoned(struct jt_admission *admission, uint32_t service_id,
+			    uint64_t requested_ms, uint64_t now_ms)
 {
 	struct admission_service *service =
 		service_watched(admission, service_id);
--- a/src/label/admission/jt_admission.h
+++ b/src/label/admission/jt_admission.h
@@ -21,7 +21,7 @@
 struct jt_admission;
 
 /* Result of an admission request for a new flow. */
-struct jt_admission_verdict {
+struct jt_admission_decision {
 	bool admitted;
 	struct jt_admission_state state;
 };
@@ -52,9 +52,9 @@
 			  const struct jt_routing *routing);
 
 /* Decides if a new flow of the route is admitted. */
-struct jt_admission_verdict jt_admission_ask(struct jt_admission *admission,
-					     const struct jt_route *route,
-					     uint64_t now_ms);
+struct jt_admission_decision jt_admission_ask(struct jt_admission *admission,
+					      const struct jt_route *route,
+					      uint64_t now_ms);
 /* Records that a first packet was assigned to an endpoint of the service. */
 void jt_admission_placed(struct jt_admission *admission, uint32_t service_id,
 			 uint64_t now_ms);
@@ -72,8 +72,8 @@
 			   uint64_t requested_ms, uint32_t bytes, bool placed,
 			   uint64_t now_ms);
 /* Records that no answer to the request is expected any more. */
-void jt_admission_given_up(struct jt_admission *admission, uint32_t service_id,
-			   uint64_t requested_ms, uint64_t now_ms);
+void jt_admission_abandoned(struct jt_admission *admission, uint32_t service_id,
+			    uint64_t requested_ms, uint64_t now_ms);
 
 /* Called when the concurrency limit of a service begins or ends. */
 typedef void (*jt_admission_changed)(const struct jt_admission_view *view,
--- a/src/label/admission/jt_concurrency_limit.c
+++ b/src/label/admission/jt_concurrency_limit.c
@@ -100,7 +100,7 @@
 				   uint64_t took_ms, uint32_t bytes)
 {
 	struct jt_limit_samples *samples = &limit->samples;
-	bool rejected = (double)took_ms < limit->work_least_ms ||
+	bool rejected = (double)took_ms < limit->rejection_delay_ms ||
 			bytes < limit->usual_bytes * REJECTION_LENGTH_PART;
 
 	usual_bytes_update(limit, bytes, rejected);
@@ -116,9 +116,9 @@
 	return true;
 }
 
-void jt_concurrency_limit_bound(struct jt_concurrency_limit *limit)
+void jt_concurrency_limit_open_flow_answered(struct jt_concurrency_limit *limit)
 {
-	limit->samples.bound++;
+	limit->samples.open_flow_answers++;
 }
 
 void jt_concurrency_limit_begun(struct jt_concurrency_limit *limit)
@@ -147,15 +147,16 @@
 {
 	double difference_ms;
 
-	if (limit->quick_ms == 0)
-		limit->quick_ms = fmin(quick_ms, target_ms * DELAY_PART /
-							 ALLOWED_TO_FAST_DELAY);
-	difference_ms = quick_ms - limit->quick_ms;
+	if (limit->fast_delay_ms == 0)
+		limit->fast_delay_ms =
+			fmin(quick_ms,
+			     target_ms * DELAY_PART / ALLOWED_TO_FAST_DELAY);
+	difference_ms = quick_ms - limit->fast_delay_ms;
 	/* Under a limit even the fastest answers include queueing. */
 	if (difference_ms < 0)
-		limit->quick_ms += difference_ms * FAST_DELAY_FALL_FACTOR;
+		limit->fast_delay_ms += difference_ms * FAST_DELAY_FALL_FACTOR;
 	else if (limit->limit == 0)
-		limit->quick_ms += difference_ms * FAST_DELAY_RISE_FACTOR;
+		limit->fast_delay_ms += difference_ms * FAST_DELAY_RISE_FACTOR;
 }
 
 static double sample_at(const struct jt_limit_samples *samples, size_t index)
@@ -194,8 +195,9 @@
 		 * faster now. */
 		fast_delay_update(limit, 0, target_ms);
 	}
-	limit->work_least_ms = fmax(limit->quick_ms * REJECTION_DELAY_PART,
-				    target_ms * REJECTION_TARGET_PART);
+	limit->rejection_delay_ms =
+		fmax(limit->fast_delay_ms * REJECTION_DELAY_PART,
+		     target_ms * REJECTION_TARGET_PART);
 }
 
 static void rate_update(double *rate, uint32_t count, uint64_t elapsed_ms)
@@ -225,7 +227,7 @@
 			 uint32_t target_ms)
 {
 	double relaxed_ms = target_ms * DELAY_PART_RELAXED;
-	double pressed_ms = limit->quick_ms * ALLOWED_TO_FAST_DELAY;
+	double pressed_ms = limit->fast_delay_ms * ALLOWED_TO_FAST_DELAY;
 
 	pressed_ms = fmin(fmax(pressed_ms, target_ms * DELAY_PART),
 			  target_ms * DELAY_PART_MAX);
@@ -238,7 +240,7 @@
 				const struct jt_limit_service *service)
 {
 	double service_time_s =
-		limit->quick_ms * SERVICE_TO_FAST_DELAY / MS_PER_S;
+		limit->fast_delay_ms * SERVICE_TO_FAST_DELAY / MS_PER_S;
 
 	return limit->begun_per_s * (double)service->nodes * service_time_s /
 	       fmax((double)service->slots, 1);
@@ -337,8 +339,8 @@
 		return JT_LIMIT_SAME;
 	answers_process(limit, service->target_ms);
 	rate_update(&limit->begun_per_s, samples->begun, elapsed_ms);
-	rate_update(&limit->answers_per_s, samples->answers + samples->bound,
-		    elapsed_ms);
+	rate_update(&limit->answers_per_s,
+		    samples->answers + samples->open_flow_answers, elapsed_ms);
 	rate_update(&limit->offered_per_s, samples->begun + samples->refused,
 		    elapsed_ms);
 	pressure_update(limit);
--- a/src/label/admission/jt_concurrency_limit.h
+++ b/src/label/admission/jt_concurrency_limit.h
@@ -28,19 +28,19 @@
 	uint32_t answers;  /* answers to requests that were served */
 	uint32_t rejected; /* answers classified as rejections */
 	/* Answers to requests on open flows, which are bound to an endpoint. */
-	uint32_t bound;
+	uint32_t open_flow_answers;
 	uint32_t begun;	  /* requests forwarded */
 	uint32_t refused; /* first packets refused */
 };
 
 struct jt_concurrency_limit {
 	struct jt_limit_samples samples;
-	double limit;	      /* requests in flight; 0: no limit */
-	double delay_ms;      /* smoothed lower quartile */
-	double allowed_ms;    /* target of the control loop */
-	double quick_ms;      /* smoothed lowest decile at low queueing */
-	double work_least_ms; /* faster answers count as rejections */
-	double rejected_part; /* smoothed part of the requests */
+	double limit;		   /* requests in flight; 0: no limit */
+	double delay_ms;	   /* smoothed lower quartile */
+	double allowed_ms;	   /* target of the control loop */
+	double fast_delay_ms;	   /* smoothed lowest decile at low queueing */
+	double rejection_delay_ms; /* faster answers count as rejections */
+	double rejected_part;	   /* smoothed part of the requests */
 	/* 0: endpoints reject few requests, 1: their queues are full. */
 	double pressure;
 	/* Smoothed length that a quarter of the answers exceed. */
@@ -68,7 +68,8 @@
 				   uint64_t took_ms, uint32_t bytes);
 /* Records the answer to a request on an open flow, which is bound to its
  * endpoint. */
-void jt_concurrency_limit_bound(struct jt_concurrency_limit *limit);
+void jt_concurrency_limit_open_flow_answered(
+	struct jt_concurrency_limit *limit);
 void jt_concurrency_limit_begun(struct jt_concurrency_limit *limit);
 void jt_concurrency_limit_refused(struct jt_concurrency_limit *limit,
 				  uint64_t now_ms);
--- a/src/label/jt_choose.c
+++ b/src/label/jt_choose.c
@@ -76,7 +76,7 @@
 					      uint64_t now_ms)
 {
 	if (in->suspected_ms != 0 || now_ms < in->avoid_until_ms ||
-	    jt_detector_peer_found_dead(in, now_ms))
+	    jt_detector_peer_reported_dead(in, now_ms))
 		return SUSPECTED;
 	return ELIGIBLE;
 }
@@ -89,13 +89,13 @@
 					    const struct jt_incarnation *in,
 					    uint64_t now_ms)
 {
-	uint32_t grace_ms = in->away_lapsed ? chooser->outage_grace_ms
-					    : chooser->expired_grace_ms;
+	uint32_t grace_ms = in->expired_in_outage ? chooser->outage_grace_ms
+						  : chooser->expired_grace_ms;
 
 	if (in->entry.draining || in->entry.unreadable ||
 	    now_ms - in->state_ms >= grace_ms)
 		return INELIGIBLE;
-	if (!jt_incarnation_outlives(in, now_ms))
+	if (!jt_incarnation_alive_after_outage(in, now_ms))
 		return LAST_RESORT;
 	return suspected_or_eligible(in, now_ms);
 }
@@ -105,12 +105,13 @@
 static bool initial_sync_active(const struct jt_chooser *chooser,
 				uint64_t now_ms)
 {
-	return now_ms < chooser->learning_until_ms &&
+	return now_ms < chooser->initial_sync_until_ms &&
 	       jt_mechanism_on(chooser->without, JT_MECHANISM_SPREAD_LEARNING);
 }
 
-void jt_chooser_spread(const struct jt_chooser *chooser,
-		       struct jt_incarnation *incarnation, uint64_t now_ms)
+void jt_chooser_stagger_start(const struct jt_chooser *chooser,
+			      struct jt_incarnation *incarnation,
+			      uint64_t now_ms)
 {
 	if (initial_sync_active(chooser, now_ms))
 		jt_flow_rate_spread(chooser->rate, incarnation,
@@ -125,15 +126,15 @@
 				 const struct jt_routed_service *service,
 				 uint64_t now_ms)
 {
-	uint32_t per_s = JT_FLOW_RATE_UNLIMITED, learning;
+	uint32_t per_s = JT_FLOW_RATE_UNLIMITED, sync_limit;
 
 	if (!(chooser->injected_faults & JT_DIRECTOR_FAULT_COLD))
 		per_s = jt_flow_rate_cold(chooser->rate, in,
 					  service->cold_permille, now_ms);
 	if (!initial_sync_active(chooser, now_ms))
 		return per_s;
-	learning = jt_flow_rate_initial_sync(in);
-	return learning < per_s ? learning : per_s;
+	sync_limit = jt_flow_rate_initial_sync(in);
+	return sync_limit < per_s ? sync_limit : per_s;
 }
 
 /* Returns true if this node must not assign a new flow to the incarnation
@@ -152,7 +153,8 @@
 	const struct jt_chooser *chooser, const struct jt_incarnation *in,
 	const struct jt_routed_service *service, uint64_t now_ms)
 {
-	if (!jt_endpoint_table_has_label(in) || zone_drained(chooser, in) ||
+	if (!jt_incarnation_owns_label(in) ||
+	    jt_choose_zone_drained(chooser, in) ||
 	    rate_exceeded(chooser, in, service, now_ms))
 		return INELIGIBLE;
 	if (incarnation_at_limit(chooser, in, service, now_ms))
@@ -217,7 +219,7 @@
 {
 	struct jt_target target = target_of(chooser);
 
-	jt_target_aim(&target, endpoints->items, endpoints->count, now_ms);
+	jt_target_compute(&target, endpoints->items, endpoints->count, now_ms);
 	return target;
 }
 
@@ -232,7 +234,8 @@
 	struct jt_usual_response_time *usual = NULL;
 
 	if (split != NULL)
-		usual = jt_split_usual(split, incarnation->entry.service_id);
+		usual = jt_split_response_time(split,
+					       incarnation->entry.service_id);
 	if (usual != NULL)
 		jt_target_answered(&target, usual, incarnation, answer, now_ms);
 }
@@ -250,11 +253,12 @@
 			  const struct jt_target *target,
 			  const struct jt_incarnation *in, uint64_t now_ms)
 {
-	return random_chance(chooser, jt_target_part(target, in, now_ms));
+	return random_chance(chooser,
+			     jt_target_relative_load(target, in, now_ms));
 }
 
 static struct pool_view pool_view_collect(struct jt_chooser *chooser,
-					  struct incarnations candidates,
+					  struct jt_incarnation_set candidates,
 					  uint64_t now_ms)
 {
 	struct pool_view view = {0};
@@ -267,7 +271,7 @@
 		bool is_local = in_own_zone(chooser, in);
 
 		if (in->state != JT_INCARNATION_READY ||
-		    zone_drained(chooser, in))
+		    jt_choose_zone_drained(chooser, in))
 			continue;
 		if (is_local && trial_count < JT_COMPARE_MOST)
 			trial_candidates[trial_count++] = in;
@@ -279,7 +283,7 @@
 	view.local = target_compute(chooser, &local, now_ms);
 	view.remote = target_compute(chooser, &remote, now_ms);
 	if (reduced > 0 && trial_count > 0)
-		view.trial = jt_choose_draw_tried(chooser, trial_candidates,
+		view.trial = jt_choose_draw_trial(chooser, trial_candidates,
 						  trial_count, now_ms);
 	if (view.trial != NULL &&
 	    !trial_allowed(chooser, &view.local, view.trial, now_ms))
@@ -316,12 +320,12 @@
 	if (!view->local.measured ||
 	    !jt_mechanism_on(chooser->without, JT_MECHANISM_ZONE_ROOM))
 		return remote->load * REMOTE_LOAD_PERMILLE / 1000 < local->load;
-	return random_chance(chooser,
-			     jt_zone_spill(&view->local, &view->remote));
+	return random_chance(
+		chooser, jt_zone_remote_fraction(&view->local, &view->remote));
 }
 
 static struct jt_incarnation *
-best_candidate(struct jt_chooser *chooser, struct incarnations candidates,
+best_candidate(struct jt_chooser *chooser, struct jt_incarnation_set candidates,
 	       const struct jt_routed_service *service, enum eligibility worst,
 	       uint64_t now_ms)
 {
@@ -347,9 +351,10 @@
 			memset(&remote, 0, sizeof(remote));
 			best_rank = rank;
 		}
-		load = jt_target_load(in_own_zone(chooser, in) ? &view.local
-							       : &view.remote,
-				      in, now_ms) *
+		load = jt_target_load_ratio(in_own_zone(chooser, in)
+						    ? &view.local
+						    : &view.remote,
+					    in, now_ms) *
 		       JT_FULL_SHARE_PERMILLE /
 		       jt_choose_share_permille(chooser, in, now_ms);
 		candidate_offer(chooser,
@@ -372,15 +377,17 @@
 	    const struct jt_routed_service *service, enum eligibility worst,
 	    uint64_t now_ms)
 {
-	struct jt_incarnation *buffer[SAMPLE_MOST];
-	struct incarnations sample = pool_sample(chooser, pool, buffer);
+	struct jt_incarnation *buffer[JT_CHOOSE_SAMPLE_MAX];
+	struct jt_incarnation_set sample =
+		jt_choose_pool_sample(chooser, pool, buffer);
 	struct jt_incarnation *chosen =
 		best_candidate(chooser, sample, service, ELIGIBLE, now_ms);
 
 	if (chosen != NULL ||
 	    (worst == ELIGIBLE && sample.count == pool->count))
 		return chosen;
-	return best_candidate(chooser, pool_all(pool), service, worst, now_ms);
+	return best_candidate(chooser, jt_choose_pool_all(pool), service, worst,
+			      now_ms);
 }
 
 /* Returns the limits of the service; no limits if the routing has none for
@@ -417,7 +424,7 @@
 			chosen = pool_choose(chooser, pool, service, worst,
 					     now_ms);
 		if (chosen != NULL) {
-			jt_split_give(split, (size_t)part);
+			jt_split_assign(split, (size_t)part);
 			jt_flow_rate_consume(chooser->rate, chosen,
 					     incarnation_rate(chooser, chosen,
 							      service, now_ms),
@@ -435,7 +442,7 @@
 		    const struct jt_incarnation *in,
 		    const struct jt_routed_service *service, uint64_t now_ms)
 {
-	if (zone_drained(chooser, in))
+	if (jt_choose_zone_drained(chooser, in))
 		return in->state == JT_INCARNATION_READY
 			       ? JT_DIRECTOR_NO_ZONE
 			       : JT_DIRECTOR_NO_ENDPOINT;
--- a/src/label/jt_choose.h
+++ b/src/label/jt_choose.h
@@ -27,7 +27,7 @@
 	struct jt_flow_rate *rate;
 	/* End of the initial synchronisation; until then endpoints may be
 	 * unknown. */
-	uint64_t learning_until_ms;
+	uint64_t initial_sync_until_ms;
 	/* Nodes that share the endpoints, including this one. */
 	uint64_t nodes;
 	struct jt_random random;
@@ -62,20 +62,22 @@
 /* Raises the recent load of a new incarnation, or of one whose traffic share
  * has been restored, to the mean of its service, so that it gets its share of
  * new flows and not all of them. */
-void jt_chooser_welcome(struct jt_chooser *chooser,
-			const struct jt_service_pool *pool,
-			struct jt_incarnation *incarnation, uint64_t now_ms);
+void jt_chooser_equalise_load(struct jt_chooser *chooser,
+			      const struct jt_service_pool *pool,
+			      struct jt_incarnation *incarnation,
+			      uint64_t now_ms);
 /* Staggers the first new flows of all nodes to a new incarnation during the
  * initial synchronisation. */
-void jt_chooser_spread(const struct jt_chooser *chooser,
-		       struct jt_incarnation *incarnation, uint64_t now_ms);
+void jt_chooser_stagger_start(const struct jt_chooser *chooser,
+			      struct jt_incarnation *incarnation,
+			      uint64_t now_ms);
 /* Compares the failure rates of the pool's incarnations if a comparison is
  * due. */
 void jt_chooser_compare(struct jt_chooser *chooser,
 			struct jt_service_pool *pool, uint64_t now_ms);
 /* Raises the recent load of the zone's endpoints, whose drain has ended, to
  * the mean of the endpoints in other zones. */
-void jt_chooser_welcome_zone(const struct jt_chooser *chooser,
-			     const struct jt_endpoint_table *table,
-			     uint32_t zone_id, uint64_t now_ms);
+void jt_chooser_equalise_zone_load(const struct jt_chooser *chooser,
+				   const struct jt_endpoint_table *table,
+				   uint32_t zone_id, uint64_t now_ms);
 #endif
--- a/src/label/jt_choose_welcome.c
+++ b/src/label/jt_choose_equalise.c
@@ -14,7 +14,8 @@
 static void load_sum_add(struct load_sum *sum, const struct jt_chooser *chooser,
 			 const struct jt_incarnation *in, uint64_t now_ms)
 {
-	if (in->state != JT_INCARNATION_READY || zone_drained(chooser, in))
+	if (in->state != JT_INCARNATION_READY ||
+	    jt_choose_zone_drained(chooser, in))
 		return;
 	sum->load += jt_recent_load_at(&in->recent_load, now_ms);
 	sum->count++;
@@ -35,17 +36,18 @@
 		jt_recent_load_add(&in->recent_load, missing, now_ms);
 }
 
-void jt_chooser_welcome(struct jt_chooser *chooser,
-			const struct jt_service_pool *pool,
-			struct jt_incarnation *incarnation, uint64_t now_ms)
+void jt_chooser_equalise_load(struct jt_chooser *chooser,
+			      const struct jt_service_pool *pool,
+			      struct jt_incarnation *incarnation,
+			      uint64_t now_ms)
 {
-	struct jt_incarnation *buffer[SAMPLE_MOST];
-	struct incarnations sample;
+	struct jt_incarnation *buffer[JT_CHOOSE_SAMPLE_MAX];
+	struct jt_incarnation_set sample;
 	struct load_sum others = {0};
 
 	if (!jt_mechanism_on(chooser->without, JT_MECHANISM_NEWCOMER_SHARE))
 		return;
-	sample = pool_sample(chooser, pool, buffer);
+	sample = jt_choose_pool_sample(chooser, pool, buffer);
 	for (size_t i = 0; i < sample.count; i++) {
 		if (sample.items[i] != incarnation)
 			load_sum_add(&others, chooser, sample.items[i], now_ms);
@@ -72,9 +74,9 @@
 	}
 }
 
-void jt_chooser_welcome_zone(const struct jt_chooser *chooser,
-			     const struct jt_endpoint_table *table,
-			     uint32_t zone_id, uint64_t now_ms)
+void jt_chooser_equalise_zone_load(const struct jt_chooser *chooser,
+				   const struct jt_endpoint_table *table,
+				   uint32_t zone_id, uint64_t now_ms)
 {
 	const struct jt_service_pool *pool;
 
--- a/src/label/jt_choose_share.c
+++ b/src/label/jt_choose_share.c
@@ -23,7 +23,7 @@
  * the share: a node that sends each endpoint less than one recent request
  * would find the unused endpoints least loaded. */
 struct jt_incarnation *
-jt_choose_draw_tried(struct jt_chooser *chooser,
+jt_choose_draw_trial(struct jt_chooser *chooser,
 		     struct jt_incarnation *const *candidates, size_t count,
 		     uint64_t now_ms)
 {
@@ -64,7 +64,8 @@
 			pool->members[(start + i) % pool->count];
 
 		if (in->state != JT_INCARNATION_READY ||
-		    jt_zone_drains_has(chooser->zone_drains, in->entry.zone_id))
+		    jt_zone_drains_is_drained(chooser->zone_drains,
+					      in->entry.zone_id))
 			continue;
 		requests += recent_requests(chooser, in, now_ms);
 		slots += jt_incarnation_slots(in);
--- a/src/label/jt_choose_share.h
+++ b/src/label/jt_choose_share.h
@@ -18,7 +18,7 @@
 /* Draws one of @count candidates at random. Returns it if its share is reduced
  * and it is selected with a probability equal to that share, NULL otherwise. */
 struct jt_incarnation *
-jt_choose_draw_tried(struct jt_chooser *chooser,
+jt_choose_draw_trial(struct jt_chooser *chooser,
 		     struct jt_incarnation *const *candidates, size_t count,
 		     uint64_t now_ms);
 
--- a/src/label/jt_detector.c
+++ b/src/label/jt_detector.c
@@ -31,24 +31,24 @@
 	if (sent_ms > detector->contact_ms)
 		detector->contact_ms = sent_ms;
 	incarnation->progress_ms = now_ms;
-	incarnation->vain_connects = 0;
+	incarnation->probe_connects = 0;
 	incarnation->failed_probes = 0;
 	incarnation->suspected_ms = 0;
-	incarnation->flow_dead = false;
-	incarnation->peer_verdict_ms = 0;
+	incarnation->flow_unacknowledged = false;
+	incarnation->peer_report_ms = 0;
 }
 
-void jt_detector_peer_verdict(struct jt_incarnation *incarnation,
-			      uint64_t now_ms)
+void jt_detector_peer_report(struct jt_incarnation *incarnation,
+			     uint64_t now_ms)
 {
-	incarnation->peer_verdict_ms = now_ms;
+	incarnation->peer_report_ms = now_ms;
 }
 
-bool jt_detector_peer_found_dead(const struct jt_incarnation *incarnation,
-				 uint64_t now_ms)
+bool jt_detector_peer_reported_dead(const struct jt_incarnation *incarnation,
+				    uint64_t now_ms)
 {
-	return incarnation->peer_verdict_ms != 0 &&
-	       now_ms - incarnation->peer_verdict_ms < PEER_REPORT_MS;
+	return incarnation->peer_report_ms != 0 &&
+	       now_ms - incarnation->peer_report_ms < PEER_REPORT_MS;
 }
 
 /* Avoids the incarnation, twice as long after each consecutive unanswered
@@ -72,12 +72,12 @@
 		return false;
 	if (incarnation->state == JT_INCARNATION_DEAD)
 		return false;
-	if (evidence == JT_EVIDENCE_OPENING)
+	if (evidence == JT_EVIDENCE_NO_ANSWER)
 		avoid(incarnation, now_ms);
 	else if (incarnation->suspected_ms == 0)
 		incarnation->suspected_ms = now_ms;
-	if (evidence == JT_EVIDENCE_FLOW)
-		incarnation->flow_dead = true;
+	if (evidence == JT_EVIDENCE_UNACKNOWLEDGED)
+		incarnation->flow_unacknowledged = true;
 	return !incarnation->probing && now_ms >= incarnation->probe_next_ms;
 }
 
@@ -95,21 +95,21 @@
 	    incarnation->probing || now_ms < incarnation->probe_next_ms)
 		return false;
 	if (incarnation->state != JT_INCARNATION_DEAD)
-		return incarnation->probe_owed ||
+		return incarnation->probe_pending ||
 		       (incarnation->failed_probes > 0 &&
 			incarnation->failed_probes < PROBES_TO_CONFIRM);
-	return incarnation->proof_wanted ||
+	return incarnation->confirmation_wanted ||
 	       (incarnation->cause != JT_DEATH_REPLACED &&
 		incarnation->entry.removed_revision == 0);
 }
 
-void jt_detector_want_proof(const struct jt_detector *detector,
-			    struct jt_incarnation *incarnation)
+void jt_detector_request_confirmation(const struct jt_detector *detector,
+				      struct jt_incarnation *incarnation)
 {
 	uint64_t earliest_ms =
 		incarnation->probe_sent_ms + detector->probe_pause_ms;
 
-	incarnation->proof_wanted = true;
+	incarnation->confirmation_wanted = true;
 	if (incarnation->probe_next_ms > earliest_ms)
 		incarnation->probe_next_ms = earliest_ms;
 }
@@ -117,15 +117,15 @@
 bool jt_detector_pending(const struct jt_incarnation *incarnation)
 {
 	return incarnation->state == JT_INCARNATION_DEAD ||
-	       incarnation->probing || incarnation->probe_owed ||
+	       incarnation->probing || incarnation->probe_pending ||
 	       incarnation->failed_probes > 0;
 }
 
 void jt_detector_probe_sent(struct jt_incarnation *incarnation, uint64_t now_ms)
 {
 	incarnation->probing = true;
-	incarnation->probe_owed = false;
-	incarnation->proof_wanted = false;
+	incarnation->probe_pending = false;
+	incarnation->confirmation_wanted = false;
 	incarnation->probe_sent_ms = now_ms;
 }
 
@@ -150,9 +150,9 @@
 		return true;
 	if (incarnation->progress_ms >= incarnation->probe_sent_ms)
 		return false;
-	if (!incarnation->flow_dead && !below_limit)
+	if (!incarnation->flow_unacknowledged && !below_limit)
 		return false;
-	if (!incarnation->flow_dead &&
+	if (!incarnation->flow_unacknowledged &&
 	    !single_failure_confirms(incarnation, outcome) &&
 	    incarnation->failed_probes < PROBES_TO_CONFIRM)
 		return false;
@@ -172,13 +172,13 @@
 		detector->contact_ms = incarnation->probe_sent_ms;
 	incarnation->failed_probes = 0;
 	if (incarnation->state == JT_INCARNATION_DEAD ||
-	    incarnation->vain_connects > 0) {
+	    incarnation->probe_connects > 0) {
 		incarnation->probing = true;
 		return JT_VERDICT_IDENTIFY;
 	}
-	incarnation->vain_connects++;
+	incarnation->probe_connects++;
 	incarnation->suspected_ms = 0;
-	incarnation->flow_dead = false;
+	incarnation->flow_unacknowledged = false;
 	return JT_VERDICT_NONE;
 }
 
@@ -198,7 +198,7 @@
 	incarnation->failed_probes++;
 	if (!below_limit && incarnation->failed_probes < PROBES_TO_CONFIRM)
 		return JT_VERDICT_NONE;
-	incarnation->proven_ms = incarnation->probe_sent_ms;
+	incarnation->death_confirmed_ms = incarnation->probe_sent_ms;
 	return JT_VERDICT_STILL_DEAD;
 }
 
@@ -218,7 +218,7 @@
 	if (outcome == JT_PROBE_CONNECTED)
 		return probe_connected(detector, incarnation);
 	if (outcome == JT_PROBE_INCONCLUSIVE) {
-		incarnation->probe_owed = incarnation->suspected_ms != 0;
+		incarnation->probe_pending = incarnation->suspected_ms != 0;
 		return JT_VERDICT_NONE;
 	}
 	if (dead)
@@ -226,7 +226,7 @@
 					 below_limit);
 	incarnation->failed_probes++;
 	if (failure_confirms(detector, incarnation, outcome, below_limit)) {
-		incarnation->proven_ms = incarnation->probe_sent_ms;
+		incarnation->death_confirmed_ms = incarnation->probe_sent_ms;
 		*cause = outcome == JT_PROBE_REFUSED ? JT_DEATH_REFUSED
 						     : JT_DEATH_SILENT;
 		return JT_VERDICT_DEAD;
@@ -250,7 +250,7 @@
 	if (found_id == 0)
 		return JT_VERDICT_NONE;
 	if (found_id != incarnation->entry.id) {
-		incarnation->proven_ms = incarnation->probe_sent_ms;
+		incarnation->death_confirmed_ms = incarnation->probe_sent_ms;
 		return dead && incarnation->entry.start_time_ms != 0
 			       ? JT_VERDICT_STILL_DEAD
 			       : JT_VERDICT_DEAD;
@@ -258,8 +258,8 @@
 	/* The detector does not decide which incarnation owns an address. */
 	if (dead && incarnation->cause == JT_DEATH_REPLACED)
 		return JT_VERDICT_NONE;
-	incarnation->vain_connects = 0;
+	incarnation->probe_connects = 0;
 	incarnation->suspected_ms = 0;
-	incarnation->flow_dead = false;
+	incarnation->flow_unacknowledged = false;
 	return dead ? JT_VERDICT_ALIVE : JT_VERDICT_NONE;
 }
--- a/src/label/jt_detector.h
+++ b/src/label/jt_detector.h
@@ -33,13 +33,13 @@
 	/* A first packet got no answer, or the discovery entry was removed:
 	 * the endpoint may be full, shutting down or dead. It is avoided and
 	 * probed. */
-	JT_EVIDENCE_OPENING,
+	JT_EVIDENCE_NO_ANSWER,
 	/* A client has retransmitted on an open flow: the packet may be lost,
 	 * or be queued unacknowledged. */
-	JT_EVIDENCE_RESENT,
+	JT_EVIDENCE_RETRANSMISSION,
 	/* A further retransmission was not acknowledged either, or a peer has
 	 * reported the endpoint dead. */
-	JT_EVIDENCE_FLOW,
+	JT_EVIDENCE_UNACKNOWLEDGED,
 };
 
 /* Records evidence against the incarnation. Returns true if it must be probed
@@ -48,12 +48,12 @@
 			 struct jt_incarnation *incarnation,
 			 enum jt_evidence evidence, uint64_t now_ms);
 /* Records a peer's death report for the incarnation. */
-void jt_detector_peer_verdict(struct jt_incarnation *incarnation,
-			      uint64_t now_ms);
+void jt_detector_peer_report(struct jt_incarnation *incarnation,
+			     uint64_t now_ms);
 /* Returns true if a peer has recently reported the incarnation dead and there
  * has been no progress since. */
-bool jt_detector_peer_found_dead(const struct jt_incarnation *incarnation,
-				 uint64_t now_ms);
+bool jt_detector_peer_reported_dead(const struct jt_incarnation *incarnation,
+				    uint64_t now_ms);
 /* Records that a new flow has opened at the incarnation, so that it is not
  * full. */
 void jt_detector_opened(struct jt_incarnation *incarnation);
@@ -78,8 +78,8 @@
 
 /* Requests an early probe of a dead incarnation, because flows have arrived
  * that may belong to its successor. */
-void jt_detector_want_proof(const struct jt_detector *detector,
-			    struct jt_incarnation *incarnation);
+void jt_detector_request_confirmation(const struct jt_detector *detector,
+				      struct jt_incarnation *incarnation);
 
 /* Evaluates the outcome of the current probe. @below_limit: the endpoint is
  * below its connection limit. */
--- a/src/label/jt_director.c
+++ b/src/label/jt_director.c
@@ -93,7 +93,7 @@
 		return;
 	director->listed = true;
 	director->started_ms = now_ms;
-	director->chooser->learning_until_ms = now_ms + initial_sync_ms;
+	director->chooser->initial_sync_until_ms = now_ms + initial_sync_ms;
 }
 
 /* A starting node assigns new flows to the endpoints received so far. */
@@ -103,7 +103,7 @@
 						 JT_MECHANISM_PARTLY_KNOWN))
 		return;
 	director->partly_told = true;
-	director->chooser->learning_until_ms = now_ms + INITIAL_SYNC_MS;
+	director->chooser->initial_sync_until_ms = now_ms + INITIAL_SYNC_MS;
 }
 
 /* Adds a peer's listing gap to those of this node. */
@@ -129,7 +129,7 @@
 				    event->u.listed.incomplete_before);
 	endpoints_mark_known(director, initial_sync_ms, event->now_ms);
 	if (initial_sync_ms == 0)
-		director->chooser->learning_until_ms = 0;
+		director->chooser->initial_sync_until_ms = 0;
 	peer_gap_add(director, event->u.listed.gap);
 	revision_advance(director, event->u.listed.revision);
 }
@@ -142,7 +142,7 @@
 	for (incarnation = jt_endpoint_table_first(director->endpoints);
 	     incarnation != NULL;
 	     incarnation = jt_endpoint_table_next(incarnation)) {
-		incarnation->told = false;
+		incarnation->listed = false;
 	}
 }
 
@@ -160,7 +160,7 @@
 	for (incarnation = jt_endpoint_table_first(director->endpoints);
 	     incarnation != NULL;
 	     incarnation = jt_endpoint_table_next(incarnation)) {
-		if (!incarnation->told)
+		if (!incarnation->listed)
 			jt_director_entry_removed(director,
 						  incarnation->entry.id,
 						  revision, now_ms, actions);
@@ -228,12 +228,13 @@
 	    !jt_mechanism_on(director->options.without,
 			     JT_MECHANISM_PEER_SUSPICION))
 		return;
-	jt_detector_peer_verdict(incarnation, now_ms);
+	jt_detector_peer_report(incarnation, now_ms);
 	/* Without flows there, a confirmation by this node is not needed;
 	 * skipping it saves one probe per node. */
 	if (incarnation->flows > 0)
-		jt_director_suspect(director, incarnation, JT_EVIDENCE_FLOW,
-				    now_ms, actions);
+		jt_director_suspect(director, incarnation,
+				    JT_EVIDENCE_UNACKNOWLEDGED, now_ms,
+				    actions);
 }
 
 static void event_overdue_report(struct jt_director *director, uint64_t id,
@@ -245,7 +246,7 @@
 	if (incarnation == NULL)
 		return;
 	jt_chooser_compare(director->chooser, incarnation->pool, now_ms);
-	jt_outlier_told(incarnation, now_ms);
+	jt_outlier_peer_overdue(incarnation, now_ms);
 	jt_endpoint_table_watch(director->endpoints, incarnation);
 }
 
@@ -258,8 +259,9 @@
 			   event->now_ms);
 	for (size_t i = 0; i < event->u.loads.count; i++) {
 		const struct jt_endpoint_load *load = &event->u.loads.loads[i];
-		struct jt_incarnation *incarnation = jt_endpoint_table_labelled(
-			director->endpoints, load->label);
+		struct jt_incarnation *incarnation =
+			jt_endpoint_table_label_owner(director->endpoints,
+						      load->label);
 
 		if (incarnation != NULL)
 			jt_response_ratio_merge(&incarnation->response_ratio,
--- a/src/label/jt_director_admission.c
+++ b/src/label/jt_director_admission.c
@@ -5,7 +5,7 @@
 			const struct jt_route *route, uint64_t now_ms,
 			struct jt_admission_state *admission)
 {
-	struct jt_admission_verdict decision;
+	struct jt_admission_decision decision;
 
 	/* In a SYN this field holds the client's copy number. */
 	if (packet->acknowledged != 0)
--- a/src/label/jt_director_answers.c
+++ b/src/label/jt_director_answers.c
@@ -197,8 +197,8 @@
 			    const struct jt_endpoint_failure *failure,
 			    uint64_t now_ms)
 {
-	struct jt_incarnation *incarnation =
-		jt_endpoint_table_labelled(director->endpoints, failure->label);
+	struct jt_incarnation *incarnation = jt_endpoint_table_label_owner(
+		director->endpoints, failure->label);
 
 	director->counters.failures_received++;
 	if (incarnation == NULL)
@@ -251,12 +251,12 @@
 	struct jt_outlier_view view;
 
 	jt_chooser_compare(director->chooser, incarnation->pool, now_ms);
-	if (!jt_outlier_turned(incarnation, now_ms))
+	if (!jt_outlier_state_changed(incarnation, now_ms))
 		return;
 	director->counters.shares_reduced += incarnation->outlier.reduced;
 	if (!incarnation->outlier.reduced && incarnation->pool != NULL)
-		jt_chooser_welcome(director->chooser, incarnation->pool,
-				   incarnation, now_ms);
+		jt_chooser_equalise_load(director->chooser, incarnation->pool,
+					 incarnation, now_ms);
 	action = jt_director_action_about(actions,
 					  incarnation->outlier.reduced
 						  ? JT_DIRECTOR_SHARE_REDUCED
--- a/src/label/jt_director_entry.c
+++ b/src/label/jt_director_entry.c
@@ -21,8 +21,8 @@
 	if (incarnation == NULL ||
 	    revision <= jt_incarnation_revision(incarnation))
 		return;
-	jt_endpoint_table_gone(director->endpoints, incarnation, revision,
-			       now_ms);
+	jt_endpoint_table_record_removal(director->endpoints, incarnation,
+					 revision, now_ms);
 	if (director->options.injected_faults & JT_DIRECTOR_FAULT_FORGET_GONE) {
 		jt_endpoint_table_remove(director->endpoints, incarnation);
 		return;
@@ -30,7 +30,7 @@
 	jt_director_address_release(director, incarnation, now_ms, actions);
 	if (incarnation->state == JT_INCARNATION_DEAD)
 		return;
-	incarnation->away_lapsed =
+	incarnation->expired_in_outage =
 		director->store_away_until_ms != 0 &&
 		jt_mechanism_on(director->options.without,
 				JT_MECHANISM_OUTAGE_LAPSES) &&
@@ -39,9 +39,9 @@
 				actions);
 	/* The endpoint may be dead: probe it for the sake of its idle flows. */
 	if (incarnation->flows > 0 &&
-	    !jt_incarnation_outlives(incarnation, now_ms))
-		jt_director_suspect(director, incarnation, JT_EVIDENCE_OPENING,
-				    now_ms, actions);
+	    !jt_incarnation_alive_after_outage(incarnation, now_ms))
+		jt_director_suspect(director, incarnation,
+				    JT_EVIDENCE_NO_ANSWER, now_ms, actions);
 }
 
 void jt_director_entry_unreadable(struct jt_director *director, uint64_t id,
@@ -53,11 +53,11 @@
 
 	if (incarnation == NULL)
 		return;
-	incarnation->told = true;
+	incarnation->listed = true;
 	if (revision <= jt_incarnation_revision(incarnation))
 		return;
-	jt_endpoint_table_gone(director->endpoints, incarnation, revision,
-			       now_ms);
+	jt_endpoint_table_record_removal(director->endpoints, incarnation,
+					 revision, now_ms);
 	incarnation->entry.unreadable = true;
 	director->counters.unreadable++;
 	if (incarnation->state != JT_INCARNATION_DEAD)
@@ -75,9 +75,9 @@
 	incarnation->state = jt_director_listed_state(incarnation);
 	/* Before this node has started no endpoint has any load. */
 	if (incarnation->pool != NULL && jt_director_started(director))
-		jt_chooser_welcome(director->chooser, incarnation->pool,
-				   incarnation, now_ms);
-	jt_chooser_spread(director->chooser, incarnation, now_ms);
+		jt_chooser_equalise_load(director->chooser, incarnation->pool,
+					 incarnation, now_ms);
+	jt_chooser_stagger_start(director->chooser, incarnation, now_ms);
 	jt_director_action_about(actions, action_kind, 0, incarnation, now_ms);
 }
 
@@ -130,8 +130,8 @@
 					     entry->revision, now_ms, actions);
 		return;
 	}
-	result = jt_endpoint_table_take(director->endpoints, entry, stale,
-					now_ms, &incarnation);
+	result = jt_endpoint_table_update(director->endpoints, entry, stale,
+					  now_ms, &incarnation);
 	if (incarnation != NULL)
 		entry_apply(director, incarnation, result, earliest_label,
 			    now_ms, actions);
--- a/src/label/jt_director_flow.c
+++ b/src/label/jt_director_flow.c
@@ -55,9 +55,9 @@
 					    incarnation->entry.service_id,
 					    flow->opening_ms, flow->seen_ms);
 		if (flow->waiting_ms != 0)
-			jt_admission_given_up(director->admission,
-					      incarnation->entry.service_id,
-					      flow->waiting_ms, flow->seen_ms);
+			jt_admission_abandoned(director->admission,
+					       incarnation->entry.service_id,
+					       flow->waiting_ms, flow->seen_ms);
 	}
 	jt_flow_cache_remove(director->flows, flow);
 }
@@ -99,7 +99,7 @@
 			    const struct jt_incarnation *incarnation)
 {
 	return incarnation->entry.start_time_ms == 0 ||
-	       flow->first_seen_ms < incarnation->proven_ms;
+	       flow->first_seen_ms < incarnation->death_confirmed_ms;
 }
 
 void jt_director_flows_supersede(struct jt_director *director,
--- a/src/label/jt_director_incarnation.c
+++ b/src/label/jt_director_incarnation.c
@@ -55,7 +55,7 @@
 	struct jt_cached_flow *flow = director->flows->idle;
 
 	/* Flows with its label belong to another incarnation. */
-	if (!jt_endpoint_table_has_label(incarnation))
+	if (!jt_incarnation_owns_label(incarnation))
 		return;
 	while (flow != NULL) {
 		struct jt_cached_flow *newer = flow->newer;
@@ -93,14 +93,14 @@
 					  incarnation, now_ms);
 	if (action != NULL)
 		action->peers_know =
-			jt_detector_peer_found_dead(incarnation, now_ms);
+			jt_detector_peer_reported_dead(incarnation, now_ms);
 	jt_director_flows_reset(director, incarnation, now_ms, actions);
 	/* Another endpoint's entry shows that the address was reassigned, but
 	 * not whether this endpoint has restarted there since: identify who
 	 * responds. */
 	if (cause == JT_DEATH_REPLACED && incarnation->flows > 0 &&
 	    incarnation->entry.start_time_ms != 0)
-		incarnation->proof_wanted = true;
+		incarnation->confirmation_wanted = true;
 }
 
 void jt_director_incarnation_revives(struct jt_director *director,
--- a/src/label/jt_director_packet.c
+++ b/src/label/jt_director_packet.c
@@ -237,8 +237,8 @@
 {
 	return flow->opening_ms != 0 &&
 	       now_ms - flow->opening_ms >= JT_CLIENT_OPEN_TIMEOUT_MS &&
-	       jt_zone_drains_has(&director->zone_drains,
-				  incarnation->entry.zone_id);
+	       jt_zone_drains_is_drained(&director->zone_drains,
+					 incarnation->entry.zone_id);
 }
 
 /* Returns true if the client retransmitted the SYN: clients number their
@@ -266,8 +266,8 @@
 		director->counters.resent++;
 	}
 	if (retransmitted && jt_incarnation_placed(incarnation, flow->label)) {
-		jt_director_suspect(director, incarnation, JT_EVIDENCE_OPENING,
-				    now_ms, actions);
+		jt_director_suspect(director, incarnation,
+				    JT_EVIDENCE_NO_ANSWER, now_ms, actions);
 	}
 	forward_add(director, packet, incarnation, JT_DIRECTOR_REMEMBERED,
 		    now_ms, actions);
@@ -344,8 +344,8 @@
 static enum jt_evidence flow_evidence(const struct jt_cached_flow *flow)
 {
 	if (flow->answered && flow->resent > 1)
-		return JT_EVIDENCE_FLOW;
-	return JT_EVIDENCE_RESENT;
+		return JT_EVIDENCE_UNACKNOWLEDGED;
+	return JT_EVIDENCE_RETRANSMISSION;
 }
 
 /* Updates the state of a flow and its endpoint from a client packet. */
@@ -453,7 +453,8 @@
 	if (reset && flow != NULL &&
 	    !jt_director_flow_ended(flow, incarnation)) {
 		flow->acknowledged = packet->acknowledged;
-		jt_detector_want_proof(&director->detector, incarnation);
+		jt_detector_request_confirmation(&director->detector,
+						 incarnation);
 		drop_add(director, packet, JT_DIRECTOR_DEATH_UNCONFIRMED,
 			 actions);
 		return;
@@ -524,9 +525,10 @@
 			flow = jt_director_flow_add(director, packet,
 						    incarnation, label, now_ms);
 		/* The peer's death report affects a flow of this node now. */
-		if (jt_detector_peer_found_dead(incarnation, now_ms))
+		if (jt_detector_peer_reported_dead(incarnation, now_ms))
 			jt_director_suspect(director, incarnation,
-					    JT_EVIDENCE_FLOW, now_ms, actions);
+					    JT_EVIDENCE_UNACKNOWLEDGED, now_ms,
+					    actions);
 	} else {
 		jt_flow_cache_touch(director->flows, flow, now_ms);
 		/* A flow assigned to an earlier incarnation gives no evidence
--- a/src/label/jt_director_suspicion.c
+++ b/src/label/jt_director_suspicion.c
@@ -29,7 +29,7 @@
 			     enum jt_evidence evidence)
 {
 	return jt_mechanism_on(director->options.without,
-			       evidence == JT_EVIDENCE_OPENING
+			       evidence == JT_EVIDENCE_NO_ANSWER
 				       ? JT_MECHANISM_DOUBT_OPENING
 				       : JT_MECHANISM_DOUBT_RESENT);
 }
@@ -56,8 +56,8 @@
 
 	flow->suspected = true;
 	if (incarnation != NULL)
-		jt_director_suspect(director, incarnation, JT_EVIDENCE_OPENING,
-				    now_ms, actions);
+		jt_director_suspect(director, incarnation,
+				    JT_EVIDENCE_NO_ANSWER, now_ms, actions);
 }
 
 /* Returns the time after which the response to a SYN is overdue. */
--- a/src/label/jt_director_view.c
+++ b/src/label/jt_director_view.c
@@ -78,7 +78,7 @@
 uint32_t jt_director_initial_sync_ms(const struct jt_director *director,
 				     uint64_t now_ms)
 {
-	uint64_t until_ms = director->chooser->learning_until_ms;
+	uint64_t until_ms = director->chooser->initial_sync_until_ms;
 
 	return now_ms < until_ms ? (uint32_t)(until_ms - now_ms) : 0;
 }
--- a/src/label/jt_director_zones.c
+++ b/src/label/jt_director_zones.c
@@ -11,16 +11,17 @@
 	struct jt_director_action *action;
 	enum jt_zone_result result;
 
-	result = jt_zone_drains_take(&director->zone_drains, drain, now_ms,
-				     &state);
+	result = jt_zone_drains_update(&director->zone_drains, drain, now_ms,
+				       &state);
 	if (result == JT_ZONE_NO_ROOM)
 		director->counters.entries_refused++;
 	if (result != JT_ZONE_BEGAN && result != JT_ZONE_ENDED)
 		return;
 	if (result == JT_ZONE_ENDED) {
 		kind = JT_DIRECTOR_ZONE_RESTORED;
-		jt_chooser_welcome_zone(director->chooser, director->endpoints,
-					state->zone_id, now_ms);
+		jt_chooser_equalise_zone_load(director->chooser,
+					      director->endpoints,
+					      state->zone_id, now_ms);
 	}
 	action = jt_director_action_add(actions, kind, 0);
 	if (action == NULL)
@@ -80,7 +81,7 @@
 		const struct jt_zone_state *state =
 			&director->zone_drains.zones[i];
 
-		if (!state->told)
+		if (!state->listed)
 			zone_drain_end(director, state, revision, now_ms,
 				       actions);
 	}
--- a/src/label/jt_endpoint_table.c
+++ b/src/label/jt_endpoint_table.c
@@ -66,8 +66,8 @@
 }
 
 struct jt_incarnation *
-jt_endpoint_table_labelled(const struct jt_endpoint_table *table,
-			   uint32_t label)
+jt_endpoint_table_label_owner(const struct jt_endpoint_table *table,
+			      uint32_t label)
 {
 	struct jt_incarnation *found;
 
@@ -79,7 +79,8 @@
 jt_endpoint_table_by_label(const struct jt_endpoint_table *table,
 			   uint32_t label)
 {
-	struct jt_incarnation *found = jt_endpoint_table_labelled(table, label);
+	struct jt_incarnation *found =
+		jt_endpoint_table_label_owner(table, label);
 
 	if (found == NULL)
 		HASH_FIND(by_earlier_label, table->earlier_labels, &label,
@@ -158,7 +159,7 @@
 	return a->entry.id < b->entry.id ? -1 : 1;
 }
 
-bool jt_endpoint_table_has_label(const struct jt_incarnation *incarnation)
+bool jt_incarnation_owns_label(const struct jt_incarnation *incarnation)
 {
 	/* In utlist, the head's prev is the tail, whose next is NULL. */
 	return incarnation->label_prev->label_next == NULL;
@@ -168,7 +169,7 @@
 		       struct jt_incarnation *incarnation)
 {
 	struct jt_incarnation *first =
-		jt_endpoint_table_labelled(table, incarnation->label);
+		jt_endpoint_table_label_owner(table, incarnation->label);
 	struct jt_incarnation *oldest = first;
 
 	DL_INSERT_INORDER2(oldest, incarnation, label_compare, label_prev,
@@ -184,7 +185,7 @@
 			struct jt_incarnation *incarnation)
 {
 	struct jt_incarnation *first =
-		jt_endpoint_table_labelled(table, incarnation->label);
+		jt_endpoint_table_label_owner(table, incarnation->label);
 	struct jt_incarnation *oldest = first;
 
 	DL_DELETE2(oldest, incarnation, label_prev, label_next);
@@ -352,7 +353,7 @@
 	if (added == NULL)
 		return JT_ENTRY_NO_ROOM;
 	added->label = jt_incarnation_label(entry->id, entry->start_time_ms);
-	added->told = true;
+	added->listed = true;
 	added->state_ms = now_ms;
 	entry_copy(added, entry, now_ms);
 	HASH_ADD(by_id, table->ids, entry.id, sizeof(entry->id), added);
@@ -427,9 +428,9 @@
 }
 
 enum jt_entry_result
-jt_endpoint_table_take(struct jt_endpoint_table *table,
-		       const struct jt_endpoint_entry *entry, bool stale,
-		       uint64_t now_ms, struct jt_incarnation **incarnation)
+jt_endpoint_table_update(struct jt_endpoint_table *table,
+			 const struct jt_endpoint_entry *entry, bool stale,
+			 uint64_t now_ms, struct jt_incarnation **incarnation)
 {
 	struct jt_incarnation *known =
 		jt_endpoint_table_by_id(table, entry->id);
@@ -438,7 +439,7 @@
 
 	if (known == NULL)
 		return entry_add(table, entry, now_ms, incarnation);
-	known->told = true;
+	known->listed = true;
 	restarted = entry->start_time_ms != known->entry.start_time_ms;
 	previous_created = known->entry.created_revision;
 	created = restarted ? entry->created_revision
@@ -467,9 +468,9 @@
 	return restarted ? JT_ENTRY_RESTARTED : JT_ENTRY_CHANGED;
 }
 
-void jt_endpoint_table_gone(struct jt_endpoint_table *table,
-			    struct jt_incarnation *incarnation,
-			    uint64_t revision, uint64_t now_ms)
+void jt_endpoint_table_record_removal(struct jt_endpoint_table *table,
+				      struct jt_incarnation *incarnation,
+				      uint64_t revision, uint64_t now_ms)
 {
 	incarnation->entry.removed_revision = revision;
 	incarnation->learned_ms = now_ms;
--- a/src/label/jt_endpoint_table.h
+++ b/src/label/jt_endpoint_table.h
@@ -32,7 +32,7 @@
 	uint64_t learned_ms;	/* when the entry was last updated */
 	uint64_t cold_until_ms;
 	/* Reported since the last full listing began. */
-	bool told;
+	bool listed;
 
 	/* Observations of this node and its peers, from here to `pool`. All
 	 * of them are cleared when the endpoint restarts
@@ -44,7 +44,7 @@
 	 * limited. */
 	uint64_t next_flow_ms;
 	/* The entry expired during an outage of the store. */
-	bool away_lapsed;
+	bool expired_in_outage;
 
 	/* Load of this node's own flows. */
 	uint32_t flows;
@@ -58,27 +58,27 @@
 	uint64_t suspected_ms;
 	/* Retransmissions on an open flow were not acknowledged, or a peer
 	 * has reported the endpoint dead. */
-	bool flow_dead;
+	bool flow_unacknowledged;
 	/* Consecutive first packets without an answer. */
 	uint32_t unanswered;
 	/* No new flows until then because of unanswered first packets. */
 	uint64_t avoid_until_ms;
 	/* When a peer reported the endpoint dead; 0: not reported. */
-	uint64_t peer_verdict_ms;
+	uint64_t peer_report_ms;
 	uint64_t probe_sent_ms; /* when the last probe was sent */
 	uint64_t probe_next_ms; /* earliest time of the next probe */
 	/* Successful probes since the last progress on a flow. */
-	uint32_t vain_connects;
+	uint32_t probe_connects;
 	/* Consecutive failures since the last progress. */
 	uint32_t failed_probes;
 	bool probing;
 	/* Repeat the last probe, which was inconclusive. */
-	bool probe_owed;
+	bool probe_pending;
 	/* When the probe was sent that confirmed the death. */
-	uint64_t proven_ms;
+	uint64_t death_confirmed_ms;
 	/* Flows have arrived that may belong to the next incarnation; confirm
 	 * again whether the endpoint is dead. */
-	bool proof_wanted;
+	bool confirmation_wanted;
 
 	struct jt_outlier outlier; /* failed requests (jt_outlier.h) */
 
@@ -107,11 +107,11 @@
 	struct jt_incarnation **members; /* unordered */
 	size_t count;
 	size_t room;
-	double answer_ms; /* smoothed response time; 0: unknown */
+	double response_time_ms; /* smoothed response time; 0: unknown */
 	/* Smoothed service time: without the network path, averaged over more
 	 * answers. */
-	double serve_ms;
-	struct jt_outlier_peers outliers;
+	double service_time_ms;
+	struct jt_outlier_service outliers;
 	UT_hash_handle hh;
 };
 
@@ -151,14 +151,16 @@
 }
 
 /* Progress on a flow within this time shows that the endpoint is alive. */
-enum { JT_LIVES_MS = 1000 };
+enum { JT_PROGRESS_RECENT_MS = 1000 };
 
 /* Returns true if the entry expired during an outage of the store and the
  * endpoint is known to be alive. */
-static inline bool jt_incarnation_outlives(const struct jt_incarnation *in,
-					   uint64_t now_ms)
+static inline bool
+jt_incarnation_alive_after_outage(const struct jt_incarnation *in,
+				  uint64_t now_ms)
 {
-	return in->away_lapsed && now_ms - in->progress_ms < JT_LIVES_MS;
+	return in->expired_in_outage &&
+	       now_ms - in->progress_ms < JT_PROGRESS_RECENT_MS;
 }
 
 enum jt_entry_result {
@@ -180,13 +182,13 @@
  * removal. @stale accepts older revisions too (for tests). Sets @incarnation
  * if the entry was accepted. The caller must handle state changes. */
 enum jt_entry_result
-jt_endpoint_table_take(struct jt_endpoint_table *table,
-		       const struct jt_endpoint_entry *entry, bool stale,
-		       uint64_t now_ms, struct jt_incarnation **incarnation);
+jt_endpoint_table_update(struct jt_endpoint_table *table,
+			 const struct jt_endpoint_entry *entry, bool stale,
+			 uint64_t now_ms, struct jt_incarnation **incarnation);
 /* Records that the entry was removed at @revision, learned at @now_ms. */
-void jt_endpoint_table_gone(struct jt_endpoint_table *table,
-			    struct jt_incarnation *incarnation,
-			    uint64_t revision, uint64_t now_ms);
+void jt_endpoint_table_record_removal(struct jt_endpoint_table *table,
+				      struct jt_incarnation *incarnation,
+				      uint64_t revision, uint64_t now_ms);
 /* Adds the incarnation to the list of those that need timed work, such as a
  * probe or their removal. Call jt_endpoint_table_unwatch() when there is none
  * left. */
@@ -207,8 +209,8 @@
 /* Returns the current owner of @label, or NULL. Ignores the labels of earlier
  * incarnations, so that a report about one is not applied to its successor. */
 struct jt_incarnation *
-jt_endpoint_table_labelled(const struct jt_endpoint_table *table,
-			   uint32_t label);
+jt_endpoint_table_label_owner(const struct jt_endpoint_table *table,
+			      uint32_t label);
 /* Returns true if the flow was assigned to this incarnation and not to an
  * earlier one. */
 static inline bool jt_incarnation_placed(const struct jt_incarnation *in,
@@ -219,7 +221,7 @@
 
 /* Returns true if the incarnation owns its label, so that its flows can be
  * identified by it. */
-bool jt_endpoint_table_has_label(const struct jt_incarnation *incarnation);
+bool jt_incarnation_owns_label(const struct jt_incarnation *incarnation);
 /* Returns the first incarnation with @address, or NULL; the others follow by
  * address_next. */
 struct jt_incarnation *
--- a/src/label/jt_fill.c
+++ b/src/label/jt_load_distribution.c
@@ -1,4 +1,4 @@
-#include "jt_fill.h"
+#include "jt_load_distribution.h"
 
 #include <math.h>
 
@@ -30,33 +30,36 @@
 		    UTILISATION_MAX);
 }
 
-double jt_fill_share(const struct jt_fill_endpoint *endpoint, double level)
+double jt_load_optimal(const struct jt_load_endpoint *endpoint,
+		       double marginal_time)
 {
-	double planned = isinf(level) ? UTILISATION_MAX
-				      : utilisation(level / endpoint->slowness,
-						    endpoint->slots);
+	double planned =
+		isinf(marginal_time)
+			? UTILISATION_MAX
+			: utilisation(marginal_time / endpoint->relative_time,
+				      endpoint->slots);
 
-	return planned * endpoint->slots / endpoint->slowness;
+	return planned * endpoint->slots / endpoint->relative_time;
 }
 
-static double loads_sum(const struct jt_fill_endpoint *endpoints, size_t count,
-			double level)
+static double loads_sum(const struct jt_load_endpoint *endpoints, size_t count,
+			double marginal_time)
 {
 	double sum = 0;
 
 	for (size_t i = 0; i < count; i++)
-		sum += jt_fill_share(&endpoints[i], level);
+		sum += jt_load_optimal(&endpoints[i], marginal_time);
 	return sum;
 }
 
-double jt_fill_level(const struct jt_fill_endpoint *endpoints, size_t count,
-		     double load_slots)
+double jt_load_marginal_time(const struct jt_load_endpoint *endpoints,
+			     size_t count, double load_slots)
 {
 	double low = 0, high = log(LEVEL_MAX), capacity = 0;
 
 	for (size_t i = 0; i < count; i++) {
-		low = fmin(low, log(endpoints[i].slowness));
-		capacity += endpoints[i].slots / endpoints[i].slowness;
+		low = fmin(low, log(endpoints[i].relative_time));
+		capacity += endpoints[i].slots / endpoints[i].relative_time;
 	}
 	load_slots = fmax(load_slots, capacity * TOTAL_UTILISATION_MIN);
 	if (loads_sum(endpoints, count, LEVEL_MAX) <= load_slots)
--- a/src/label/jt_fill.h
+++ b/src/label/jt_load_distribution.h
@@ -10,24 +10,25 @@
  * (Tantawi and Towsley 1985; for the threshold at which a slow server is used,
  * Lin and Kumar 1984).
  */
-#ifndef JT_FILL_H
-#define JT_FILL_H
+#ifndef JT_LOAD_DISTRIBUTION_H
+#define JT_LOAD_DISTRIBUTION_H
 
 #include <stddef.h>
 
-struct jt_fill_endpoint {
-	double slots;	 /* requests served concurrently */
-	double slowness; /* relative response time; 1: usual */
+struct jt_load_endpoint {
+	double slots;	      /* requests served concurrently */
+	double relative_time; /* relative response time; 1: usual */
 };
 
 /* Returns the marginal response time, in units of the usual service time, at
  * which the endpoints together carry a load of @load_slots slots of usual
  * speed. Returns INFINITY if that load is close to their total capacity or
  * above it. */
-double jt_fill_level(const struct jt_fill_endpoint *endpoints, size_t count,
-		     double load_slots);
+double jt_load_marginal_time(const struct jt_load_endpoint *endpoints,
+			     size_t count, double load_slots);
 /* Returns the endpoint's optimal load at that marginal response time, in slots
  * of usual speed; always above 0. */
-double jt_fill_share(const struct jt_fill_endpoint *endpoint, double level);
+double jt_load_optimal(const struct jt_load_endpoint *endpoint,
+		       double marginal_time);
 
 #endif
--- a/src/label/jt_outlier.c
+++ b/src/label/jt_outlier.c
@@ -67,11 +67,12 @@
 
 	if (pool == NULL)
 		return;
-	if (pool->answer_ms == 0)
-		pool->answer_ms = (double)took_ms;
+	if (pool->response_time_ms == 0)
+		pool->response_time_ms = (double)took_ms;
 	else
-		pool->answer_ms += ((double)took_ms - pool->answer_ms) /
-				   RESPONSE_TIME_DIVISOR;
+		pool->response_time_ms +=
+			((double)took_ms - pool->response_time_ms) /
+			RESPONSE_TIME_DIVISOR;
 }
 
 uint64_t jt_outlier_limit_ms(const struct jt_incarnation *incarnation)
@@ -80,7 +81,7 @@
 	uint64_t limit_ms = 0;
 
 	if (pool != NULL)
-		limit_ms = (uint64_t)(pool->answer_ms * OVERDUE_FACTOR);
+		limit_ms = (uint64_t)(pool->response_time_ms * OVERDUE_FACTOR);
 	return limit_ms > JT_OVERDUE_LEAST_MS ? limit_ms : JT_OVERDUE_LEAST_MS;
 }
 
@@ -127,7 +128,7 @@
 	if (!jt_outlier_pending(incarnation) || incarnation->pool == NULL)
 		return JT_FULL_SHARE_PERMILLE;
 	served = 1 - failure_rate_lower_bound(counts_now(incarnation, now_ms));
-	reference_served = 1 - incarnation->pool->outliers.usual;
+	reference_served = 1 - incarnation->pool->outliers.reference_rate;
 	if (served >= reference_served)
 		return JT_FULL_SHARE_PERMILLE;
 	share = JT_FULL_SHARE_PERMILLE *
@@ -179,7 +180,7 @@
  * the endpoint; one that fails nearly all requests still stands out. */
 static double failure_weight(const struct jt_service_pool *pool)
 {
-	return fmax(pool->outliers.room, FREE_SLOTS_WEIGHT_MIN);
+	return fmax(pool->outliers.free_slots_part, FREE_SLOTS_WEIGHT_MIN);
 }
 
 static void failure_record(struct jt_incarnation *in, double weight,
@@ -233,7 +234,8 @@
 	return report;
 }
 
-void jt_outlier_told(struct jt_incarnation *incarnation, uint64_t now_ms)
+void jt_outlier_peer_overdue(struct jt_incarnation *incarnation,
+			     uint64_t now_ms)
 {
 	failure_record(incarnation, OVERDUE_WEIGHT, JT_FULL_SHARE_PERMILLE,
 		       HALF_LIFE_OVERDUE_MS, now_ms);
@@ -268,7 +270,7 @@
 static double free_slots_part(const struct jt_service_pool *pool,
 			      double requests, double failing, double slots)
 {
-	double busy_slots = requests * (1 - failing) * pool->answer_ms /
+	double busy_slots = requests * (1 - failing) * pool->response_time_ms /
 			    JT_RECENT_LOAD_DECAY_MS;
 
 	return 1 - busy_slots / slots;
@@ -279,7 +281,7 @@
 			size_t count, double requests, double slots,
 			uint64_t now_ms)
 {
-	struct jt_outlier_peers *outliers = &pool->outliers;
+	struct jt_outlier_service *outliers = &pool->outliers;
 	double rates[JT_COMPARE_MOST], sum = 0;
 	size_t compared = count < JT_COMPARE_MOST ? count : JT_COMPARE_MOST;
 
@@ -296,10 +298,10 @@
 	}
 	if (compared == 0)
 		return;
-	outliers->room =
+	outliers->free_slots_part =
 		free_slots_part(pool, requests, sum / (double)compared, slots);
 	qsort(rates, compared, sizeof(rates[0]), rate_compare);
-	outliers->usual = rates[(compared - 1) / REFERENCE_QUANTILE];
+	outliers->reference_rate = rates[(compared - 1) / REFERENCE_QUANTILE];
 }
 
 struct jt_outlier_view jt_outlier_view(const struct jt_incarnation *incarnation,
@@ -316,11 +318,12 @@
 	view.failed_permille = (uint32_t)(counts.failed * 1000);
 	view.served_permille = (uint32_t)(counts.served * 1000);
 	view.usual_permille =
-		(uint32_t)(incarnation->pool->outliers.usual * 1000);
+		(uint32_t)(incarnation->pool->outliers.reference_rate * 1000);
 	return view;
 }
 
-bool jt_outlier_turned(struct jt_incarnation *incarnation, uint64_t now_ms)
+bool jt_outlier_state_changed(struct jt_incarnation *incarnation,
+			      uint64_t now_ms)
 {
 	struct jt_outlier *outlier = &incarnation->outlier;
 	uint32_t share = jt_outlier_share_permille(incarnation, now_ms);
--- a/src/label/jt_outlier.h
+++ b/src/label/jt_outlier.h
@@ -36,7 +36,8 @@
 /* Records an overdue answer. Returns true if it must be reported to peers. */
 bool jt_outlier_overdue(struct jt_incarnation *incarnation, uint64_t now_ms);
 /* Records a peer's report of overdue answers. */
-void jt_outlier_told(struct jt_incarnation *incarnation, uint64_t now_ms);
+void jt_outlier_peer_overdue(struct jt_incarnation *incarnation,
+			     uint64_t now_ms);
 /* Records failed requests by weight. @share_permille is the incarnation's
  * traffic share: the full share if recorded locally, or as reported by a peer
  * that knew of earlier failures. */
@@ -70,7 +71,8 @@
 				       uint64_t now_ms);
 /* Returns true if the share has been reduced considerably, or restored, since
  * the last call; outlier.reduced of the incarnation is the new state. */
-bool jt_outlier_turned(struct jt_incarnation *incarnation, uint64_t now_ms);
+bool jt_outlier_state_changed(struct jt_incarnation *incarnation,
+			      uint64_t now_ms);
 /* Returns true if failures are remembered, so that the share may change with
  * time. */
 bool jt_outlier_pending(const struct jt_incarnation *incarnation);
--- a/src/label/jt_outlier_state.h
+++ b/src/label/jt_outlier_state.h
@@ -25,11 +25,11 @@
 };
 
 /* Statistics of all incarnations of one service. */
-struct jt_outlier_peers {
-	uint64_t compared_ms; /* last comparison */
-	double requests;      /* mean recent requests, all nodes */
-	double room;	      /* free part of their slots, if known */
-	double usual;	      /* lower quartile of failure rates */
+struct jt_outlier_service {
+	uint64_t compared_ms;	/* last comparison */
+	double requests;	/* mean recent requests, all nodes */
+	double free_slots_part; /* free part of their slots, if known */
+	double reference_rate;	/* lower quartile of failure rates */
 };
 
 #endif
--- a/src/label/jt_split.c
+++ b/src/label/jt_split.c
@@ -35,23 +35,23 @@
 	}
 	if (!jt_route_same_parts(&split->route, route)) {
 		split->route = *route;
-		memset(split->given, 0, sizeof(split->given));
-		memset(split->usual, 0, sizeof(split->usual));
+		memset(split->assigned, 0, sizeof(split->assigned));
+		memset(split->response_times, 0, sizeof(split->response_times));
 	}
 	return split;
 }
 
-void jt_split_give(struct jt_split *split, size_t part)
+void jt_split_assign(struct jt_split *split, size_t part)
 {
 	uint64_t sum = 0;
 
-	split->given[part]++;
+	split->assigned[part]++;
 	for (size_t i = 0; i < split->route.part_count; i++)
-		sum += split->given[i];
+		sum += split->assigned[i];
 	if (sum < COUNTS_SUM_MAX)
 		return;
 	for (size_t i = 0; i < split->route.part_count; i++)
-		split->given[i] /= 2;
+		split->assigned[i] /= 2;
 }
 
 void jt_splits_count(struct jt_splits *splits, const struct jt_route *route,
@@ -66,16 +66,16 @@
 		return;
 	for (size_t i = 0; i < route->part_count; i++) {
 		if (route->parts[i].service_id == service_id)
-			jt_split_give(split, i);
+			jt_split_assign(split, i);
 	}
 }
 
-struct jt_usual_response_time *jt_split_usual(struct jt_split *split,
-					      uint32_t service_id)
+struct jt_usual_response_time *jt_split_response_time(struct jt_split *split,
+						      uint32_t service_id)
 {
 	for (size_t i = 0; i < split->route.part_count; i++) {
 		if (split->route.parts[i].service_id == service_id)
-			return &split->usual[i];
+			return &split->response_times[i];
 	}
 	return NULL;
 }
@@ -109,7 +109,7 @@
 
 		if (route->parts[i].weight == 0 || tried >> i & 1)
 			continue;
-		relative_count = ((double)split->given[i] + 0.5) /
+		relative_count = ((double)split->assigned[i] + 0.5) /
 				 route->parts[i].weight;
 		if (relative_count < lowest) {
 			lowest = relative_count;
--- a/src/label/jt_split.h
+++ b/src/label/jt_split.h
@@ -16,9 +16,10 @@
 struct jt_split {
 	struct jt_address address; /* address of the route */
 	struct jt_route route;	   /* the route when counting began */
-	uint64_t given[JT_ROUTE_PART_LIMIT];
+	uint64_t assigned[JT_ROUTE_PART_LIMIT];
 	struct jt_usual_response_time
-		usual[JT_ROUTE_PART_LIMIT]; /* response times by part */
+		response_times[JT_ROUTE_PART_LIMIT]; /* response times by part
+						      */
 	UT_hash_handle hh;
 };
 
@@ -32,7 +33,7 @@
 struct jt_split *jt_splits_find(struct jt_splits *splits,
 				const struct jt_route *route);
 /* Records a flow or request assigned to the part. */
-void jt_split_give(struct jt_split *split, size_t part);
+void jt_split_assign(struct jt_split *split, size_t part);
 /* Returns the part furthest behind its weight among those not in the bit set
  * @tried, or -1 if there is none. */
 int jt_split_next(const struct jt_split *split, unsigned tried);
@@ -41,8 +42,8 @@
 		     uint32_t service_id);
 /* Returns the response times of the route's requests at @service_id, or NULL
  * if the service is not a part of the route. */
-struct jt_usual_response_time *jt_split_usual(struct jt_split *split,
-					      uint32_t service_id);
+struct jt_usual_response_time *jt_split_response_time(struct jt_split *split,
+						      uint32_t service_id);
 /* Removes the splits of routes that are not in @routing. */
 void jt_splits_prune(struct jt_splits *splits,
 		     const struct jt_routing *routing);
--- a/src/label/jt_target.c
+++ b/src/label/jt_target.c
@@ -1,5 +1,5 @@
 #include "jt_target.h"
-#include "jt_fill.h"
+#include "jt_load_distribution.h"
 #include "jt_mechanism.h"
 
 #include <math.h>
@@ -43,64 +43,68 @@
 	       peer_load(target, in, now_ms) * (double)(target->nodes - 1);
 }
 
-void jt_target_aim(struct jt_target *target,
-		   struct jt_incarnation *const *endpoints, size_t count,
-		   uint64_t now_ms)
+void jt_target_compute(struct jt_target *target,
+		       struct jt_incarnation *const *endpoints, size_t count,
+		       uint64_t now_ms)
 {
-	struct jt_fill_endpoint fill[JT_TARGET_LOOK_MOST];
+	struct jt_load_endpoint load_endpoints[JT_TARGET_LOOK_MOST];
 	struct jt_service_pool *pool;
 	double load = 0, slots = 0;
 
-	target->level = INFINITY;
+	target->marginal_time = INFINITY;
 	target->slots = 0;
-	target->share = 0;
+	target->mean_load = 0;
 	if (count == 0)
 		return;
 	if (count > JT_TARGET_LOOK_MOST)
 		count = JT_TARGET_LOOK_MOST;
 	for (size_t i = 0; i < count; i++) {
-		fill[i].slots = jt_incarnation_slots(endpoints[i]);
-		fill[i].slowness = relative_time(target, endpoints[i], now_ms);
+		load_endpoints[i].slots = jt_incarnation_slots(endpoints[i]);
+		load_endpoints[i].relative_time =
+			relative_time(target, endpoints[i], now_ms);
 		load += total_load(target, endpoints[i], now_ms);
-		slots += fill[i].slots;
+		slots += load_endpoints[i].slots;
 	}
 	pool = endpoints[0]->pool;
 	target->slots = slots;
-	target->measured = pool->serve_ms > 0;
+	target->measured = pool->service_time_ms > 0;
 	if (target->measured &&
 	    jt_mechanism_on(target->without, JT_MECHANISM_FAST_FIRST))
-		target->level = jt_fill_level(fill, count,
-					      jt_recent_load_rate(load) *
-						      pool->serve_ms / 1000);
+		target->marginal_time = jt_load_marginal_time(
+			load_endpoints, count,
+			jt_recent_load_rate(load) * pool->service_time_ms /
+				1000);
 	for (size_t i = 0; i < count; i++)
-		target->share +=
-			jt_fill_share(&fill[i], target->level) / (double)count;
+		target->mean_load += jt_load_optimal(&load_endpoints[i],
+						     target->marginal_time) /
+				     (double)count;
 }
 
-double jt_target_part(const struct jt_target *target,
-		      const struct jt_incarnation *in, uint64_t now_ms)
+double jt_target_relative_load(const struct jt_target *target,
+			       const struct jt_incarnation *in, uint64_t now_ms)
 {
-	struct jt_fill_endpoint fill = {
+	struct jt_load_endpoint load_endpoint = {
 		.slots = jt_incarnation_slots(in),
-		.slowness = relative_time(target, in, now_ms),
+		.relative_time = relative_time(target, in, now_ms),
 	};
 
-	if (target->share == 0)
+	if (target->mean_load == 0)
 		return 1;
-	return fmin(1, jt_fill_share(&fill, target->level) / target->share);
+	return fmin(1, jt_load_optimal(&load_endpoint, target->marginal_time) /
+			       target->mean_load);
 }
 
-double jt_target_load(const struct jt_target *target,
-		      const struct jt_incarnation *in, uint64_t now_ms)
+double jt_target_load_ratio(const struct jt_target *target,
+			    const struct jt_incarnation *in, uint64_t now_ms)
 {
-	struct jt_fill_endpoint fill = {
+	struct jt_load_endpoint load_endpoint = {
 		.slots = jt_incarnation_slots(in),
-		.slowness = relative_time(target, in, now_ms),
+		.relative_time = relative_time(target, in, now_ms),
 	};
 
 	return (jt_recent_load_at(&in->recent_load, now_ms) +
 		peer_load(target, in, now_ms) + (double)in->waiting + 1) /
-	       jt_fill_share(&fill, target->level);
+	       jt_load_optimal(&load_endpoint, target->marginal_time);
 }
 
 void jt_target_answered(const struct jt_target *target,
@@ -116,11 +120,12 @@
 	if (pool == NULL)
 		return;
 	normalized_ms = took_ms / relative_time(target, in, now_ms);
-	if (pool->serve_ms == 0)
-		pool->serve_ms = normalized_ms;
+	if (pool->service_time_ms == 0)
+		pool->service_time_ms = normalized_ms;
 	else
-		pool->serve_ms +=
-			(normalized_ms - pool->serve_ms) / SERVICE_TIME_ANSWERS;
+		pool->service_time_ms +=
+			(normalized_ms - pool->service_time_ms) /
+			SERVICE_TIME_ANSWERS;
 	jt_response_ratio_update(&in->response_ratio, log_ratio, target->nodes,
 				 now_ms);
 }
--- a/src/label/jt_zone_choice.h
+++ b/src/label/jt_zone_choice.h
@@ -16,7 +16,7 @@
 
 /* Returns the part of new flows that goes to other zones, 0 to 1, from the
  * load targets of the own zone (@local) and of all other zones (@remote). */
-double jt_zone_spill(const struct jt_target *local,
-		     const struct jt_target *remote);
+double jt_zone_remote_fraction(const struct jt_target *local,
+			       const struct jt_target *remote);
 
 #endif
--- a/src/label/jt_zone_drains.c
+++ b/src/label/jt_zone_drains.c
@@ -3,7 +3,8 @@
 
 #include <string.h>
 
-bool jt_zone_drains_has(const struct jt_zone_drains *drains, uint32_t zone_id)
+bool jt_zone_drains_is_drained(const struct jt_zone_drains *drains,
+			       uint32_t zone_id)
 {
 	for (size_t i = 0; i < drains->draining_count; i++) {
 		if (drains->draining[i] == zone_id)
@@ -78,24 +79,24 @@
 		.drain = *drain,
 		.zone_id = jt_name_id(drain->zone),
 		.since_ms = now_ms,
-		.told = true,
+		.listed = true,
 	};
 	draining_update(drains);
 	*state = added;
 	return drain->draining ? JT_ZONE_BEGAN : JT_ZONE_SAME;
 }
 
-enum jt_zone_result jt_zone_drains_take(struct jt_zone_drains *drains,
-					const struct jt_zone_drain *drain,
-					uint64_t now_ms,
-					const struct jt_zone_state **state)
+enum jt_zone_result jt_zone_drains_update(struct jt_zone_drains *drains,
+					  const struct jt_zone_drain *drain,
+					  uint64_t now_ms,
+					  const struct jt_zone_state **state)
 {
 	struct jt_zone_state *known = zone_find(drains, drain->zone);
 	bool was_draining;
 
 	if (known == NULL)
 		return zone_add(drains, drain, now_ms, state);
-	known->told = true;
+	known->listed = true;
 	if (drain->revision <= known->drain.revision)
 		return JT_ZONE_SAME;
 	was_draining = known->drain.draining;
@@ -111,5 +112,5 @@
 void jt_zone_drains_listing(struct jt_zone_drains *drains)
 {
 	for (size_t i = 0; i < drains->count; i++)
-		drains->zones[i].told = false;
+		drains->zones[i].listed = false;
 }
--- a/src/label/jt_zone_drains.h
+++ b/src/label/jt_zone_drains.h
@@ -17,7 +17,7 @@
 	uint32_t zone_id;  /* jt_name_id() of the zone */
 	uint64_t since_ms; /* when this node learned the state */
 	/* Reported since the last full listing began. */
-	bool told;
+	bool listed;
 };
 
 struct jt_zone_drains {
@@ -40,12 +40,13 @@
 
 /* Applies the start or end of a drain. On JT_ZONE_BEGAN and JT_ZONE_ENDED sets
  * @state, which stays valid until the next change. */
-enum jt_zone_result jt_zone_drains_take(struct jt_zone_drains *drains,
-					const struct jt_zone_drain *drain,
-					uint64_t now_ms,
-					const struct jt_zone_state **state);
+enum jt_zone_result jt_zone_drains_update(struct jt_zone_drains *drains,
+					  const struct jt_zone_drain *drain,
+					  uint64_t now_ms,
+					  const struct jt_zone_state **state);
 /* Returns true if the zone is drained. */
-bool jt_zone_drains_has(const struct jt_zone_drains *drains, uint32_t zone_id);
+bool jt_zone_drains_is_drained(const struct jt_zone_drains *drains,
+			       uint32_t zone_id);
 /* Starts a full listing: marks all zones as not yet reported. */
 void jt_zone_drains_listing(struct jt_zone_drains *drains);
 
--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -134,8 +134,8 @@
 		};
 		struct jt_incarnation *in = NULL;
 
-		jt_endpoint_table_take(model->table, &entry, false,
-				       model->now_ms, &in);
+		jt_endpoint_table_update(model->table, &entry, false,
+					 model->now_ms, &in);
 		in->state = JT_INCARNATION_READY;
 		model->endpoints[i].slowdown = 1;
 	}
--- a/tests/test_choice.c
+++ b/tests/test_choice.c
@@ -2,7 +2,7 @@
  * older: latency, zone locality, endpoint speed. */
 #include "choice_world.h"
 #include "jt_target.h"
-#include "jt_fill.h"
+#include "jt_load_distribution.h"
 #include "jt_mechanism.h"
 #include "jt_zone_choice.h"
 
@@ -288,43 +288,44 @@
  * full. */
 static void test_optimal_load(void **state)
 {
-	const struct jt_fill_endpoint two[] = {{2, 0.5}, {2, 1.5}};
-	double previous_level = 0, level, total;
+	const struct jt_load_endpoint two[] = {{2, 0.5}, {2, 1.5}};
+	double previous_time = 0, marginal_time, total;
 
 	(void)state;
-	level = jt_fill_level(two, 2, 1);
-	assert_true(jt_fill_share(&two[1], level) < 0.05);
+	marginal_time = jt_load_marginal_time(two, 2, 1);
+	assert_true(jt_load_optimal(&two[1], marginal_time) < 0.05);
 	for (int tenths = 12; tenths < 50; tenths += 2) {
 		double demand = tenths / 10.0;
 
-		level = jt_fill_level(two, 2, demand);
-		total = jt_fill_share(&two[0], level) +
-			jt_fill_share(&two[1], level);
+		marginal_time = jt_load_marginal_time(two, 2, demand);
+		total = jt_load_optimal(&two[0], marginal_time) +
+			jt_load_optimal(&two[1], marginal_time);
 		assert_true(fabs(total - demand) < 0.02);
-		assert_true(level > previous_level);
-		previous_level = level;
+		assert_true(marginal_time > previous_time);
+		previous_time = marginal_time;
 	}
-	assert_true(isinf(jt_fill_level(two, 2, 10)));
-	assert_true(jt_fill_share(&two[0], INFINITY) ==
-		    3 * jt_fill_share(&two[1], INFINITY));
+	assert_true(isinf(jt_load_marginal_time(two, 2, 10)));
+	assert_true(jt_load_optimal(&two[0], INFINITY) ==
+		    3 * jt_load_optimal(&two[1], INFINITY));
 }
 
 /* Zones spill only for a clear difference, never more than without zones, and
  * never in both directions. */
 static void test_zone_spill(void **state)
 {
-	struct jt_target local = {.level = 2, .slots = 20},
-			 remote = {.level = 1.8, .slots = 40};
+	struct jt_target local = {.marginal_time = 2, .slots = 20},
+			 remote = {.marginal_time = 1.8, .slots = 40};
 
 	(void)state;
-	assert_true(jt_zone_spill(&local, &remote) == 0);
-	local.level = 5;
-	assert_true(jt_zone_spill(&local, &remote) > 0);
-	assert_true(jt_zone_spill(&remote, &local) == 0);
-	local.level = INFINITY;
-	assert_true(fabs(jt_zone_spill(&local, &remote) - 2 / 3.0) < 1e-9);
-	remote.level = INFINITY;
-	assert_true(jt_zone_spill(&local, &remote) == 0);
+	assert_true(jt_zone_remote_fraction(&local, &remote) == 0);
+	local.marginal_time = 5;
+	assert_true(jt_zone_remote_fraction(&local, &remote) > 0);
+	assert_true(jt_zone_remote_fraction(&remote, &local) == 0);
+	local.marginal_time = INFINITY;
+	assert_true(fabs(jt_zone_remote_fraction(&local, &remote) - 2 / 3.0) <
+		    1e-9);
+	remote.marginal_time = INFINITY;
+	assert_true(jt_zone_remote_fraction(&local, &remote) == 0);
 }
 
 /* While fast endpoints have headroom, a slow one's target is a small part of
@@ -332,7 +333,7 @@
 static void test_slow_endpoint_gets_small_target(void **state)
 {
 	enum { COUNT = 4, SLOW = COUNT - 1, SLOW_FACTOR = 6 };
-	struct jt_service_pool pool = {.serve_ms = 24};
+	struct jt_service_pool pool = {.service_time_ms = 24};
 	struct jt_incarnation endpoints[COUNT] = {0};
 	struct jt_incarnation *known[COUNT];
 	struct jt_target target = {.nodes = 1,
@@ -349,9 +350,10 @@
 				&endpoints[i].response_ratio,
 				i == SLOW ? log(SLOW_FACTOR) : 0, 1, 1000);
 	}
-	jt_target_aim(&target, known, SLOW, 1000);
-	assert_true(jt_target_part(&target, &endpoints[0], 1000) > 0.99);
-	assert_true(jt_target_part(&target, &endpoints[SLOW], 1000) <
+	jt_target_compute(&target, known, SLOW, 1000);
+	assert_true(jt_target_relative_load(&target, &endpoints[0], 1000) >
+		    0.99);
+	assert_true(jt_target_relative_load(&target, &endpoints[SLOW], 1000) <
 		    1.0 / SLOW_FACTOR);
 	talloc_free(target.peer_loads);
 }
--- a/tests/test_detector.c
+++ b/tests/test_detector.c
@@ -484,7 +484,7 @@
 	(void)state;
 	for (int known_to_peers = 0; known_to_peers < 2; known_to_peers++) {
 		struct fixture *fixture = fixture_with_two_endpoints(0);
-		const struct jt_director_action *verdict;
+		const struct jt_director_action *report;
 		struct client_flow dead, other;
 
 		open_flow_at_each(fixture, &dead, &other);
@@ -493,10 +493,9 @@
 		else
 			send_and_retransmit(fixture, &dead);
 		fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_REFUSED);
-		verdict =
-			fixture_find_action(fixture, JT_DIRECTOR_DEATH_REPORT);
-		assert_non_null(verdict);
-		assert_int_equal(verdict->peers_know, known_to_peers);
+		report = fixture_find_action(fixture, JT_DIRECTOR_DEATH_REPORT);
+		assert_non_null(report);
+		assert_int_equal(report->peers_know, known_to_peers);
 		talloc_free(fixture);
 	}
 }
--- a/tests/test_incarnations.c
+++ b/tests/test_incarnations.c
@@ -168,7 +168,7 @@
 	incarnation = incarnation_of(fixture, RESTARTED);
 	assert_int_equal(incarnation->waiting, 1);
 	assert_true(incarnation->outlier.failed > 0);
-	assert_true(incarnation->peer_verdict_ms > 0);
+	assert_true(incarnation->peer_report_ms > 0);
 	restart(fixture, 10);
 	action = fixture_find_action(fixture, JT_DIRECTOR_RESTARTED);
 	assert_non_null(action);
@@ -181,7 +181,7 @@
 	assert_int_equal(
 		jt_outlier_share_permille(incarnation, fixture->now_ms),
 		JT_FULL_SHARE_PERMILLE);
-	assert_int_equal(incarnation->peer_verdict_ms, 0);
+	assert_int_equal(incarnation->peer_report_ms, 0);
 	assert_int_equal(incarnation->suspected_ms, 0);
 	assert_false(incarnation->probing);
 	assert_int_equal(jt_director_counters(fixture->director)->restarted, 1);
@@ -462,7 +462,7 @@
 	deliver_peer_report(fixture, JT_DIRECTOR_SUSPICION, RESTARTED,
 			    SECOND_START_MS + 7);
 	assert_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
-	assert_int_equal(incarnation->peer_verdict_ms, 0);
+	assert_int_equal(incarnation->peer_report_ms, 0);
 	assert_int_equal(incarnation->outlier.failed_ms, 0);
 	assert_int_equal(
 		jt_outlier_share_permille(incarnation, fixture->now_ms),
--- a/tests/test_many_endpoints.c
+++ b/tests/test_many_endpoints.c
@@ -362,7 +362,7 @@
 		const struct jt_endpoint_entry numbered =
 			make_numbered_entry(i);
 
-		jt_endpoint_table_take(table, &numbered, false, 1, &in);
+		jt_endpoint_table_update(table, &numbered, false, 1, &in);
 		assert_ptr_equal(jt_endpoint_table_at(table, numbered.address),
 				 in);
 		assert_null(in->address_next);
@@ -371,10 +371,10 @@
 	 * other. */
 	entry.id = FIRST_ID + 200;
 	entry.revision = 500;
-	jt_endpoint_table_take(table, &entry, false, 1, &in);
+	jt_endpoint_table_update(table, &entry, false, 1, &in);
 	entry.id = FIRST_ID + 8;
 	entry.revision = 501;
-	jt_endpoint_table_take(table, &entry, false, 1, &in);
+	jt_endpoint_table_update(table, &entry, false, 1, &in);
 	assert_null(
 		jt_endpoint_table_at(table, make_numbered_entry(8).address));
 	first = jt_endpoint_table_at(table, entry.address);
