--- a/fuzz/fuzz_director.c
+++ b/fuzz/fuzz_director.c
@@ -29,7 +29,7 @@
  * entries.
  */
 #include "jaspertrack/director.h"
-#include "jt_knowledge.h"
+#include "jt_snapshot.h"
 #include "jt_net.h"
 #include "jt_routing.h"
 
@@ -617,32 +617,32 @@
 static void node_fetch_snapshot(struct world *world, int node, int from)
 {
 	struct jt_director_event event;
-	jt_wire_knowledge knowledge;
+	jt_wire_knowledge snapshot;
 	TALLOC_CTX *frame = talloc_new(world);
 	struct jt_routing *routing;
 
 	if (node == from || !jt_director_started(world->directors[from]) ||
-	    !jt_knowledge_write(frame, world->directors[from],
-				&(struct jt_knowledge_need){0}, world->now_ms,
-				&knowledge))
+	    !jt_snapshot_write(frame, world->directors[from],
+			       &(struct jt_snapshot_request){0}, world->now_ms,
+			       &snapshot))
 		goto out;
-	routing = jt_knowledge_routing(world, &knowledge.routing);
+	routing = jt_snapshot_read_routing(world, &snapshot.routing);
 	if (routing != NULL)
 		routing_send(world, node, routing);
-	for (u_int i = 0; i < knowledge.entries.entries_len; i++) {
-		if (!jt_knowledge_entry(&knowledge.entries.entries_val[i],
-					&event))
+	for (u_int i = 0; i < snapshot.entries.entries_len; i++) {
+		if (!jt_snapshot_entry_event(&snapshot.entries.entries_val[i],
+					     &event))
 			continue;
 		entry_record(world, node, &event.u.endpoint);
 		send_event(world, node, &event);
 	}
 	zones_send(world, node,
-		   jt_knowledge_zones(frame, knowledge.zones.zones_val,
-				      knowledge.zones.zones_len),
-		   knowledge.zones.zones_len, true, knowledge.revision);
-	zones_record_all(world, node, knowledge.revision);
+		   jt_snapshot_read_zone_drains(frame, snapshot.zones.zones_val,
+						snapshot.zones.zones_len),
+		   snapshot.zones.zones_len, true, snapshot.revision);
+	zones_record_all(world, node, snapshot.revision);
 	event = (struct jt_director_event){.kind = JT_DIRECTOR_PEER_SNAPSHOT};
-	event.u.listed.revision = knowledge.revision;
+	event.u.listed.revision = snapshot.revision;
 	send_event(world, node, &event);
 out:
 	talloc_free(frame);
--- a/src/director/jt_director_node.c
+++ b/src/director/jt_director_node.c
@@ -72,8 +72,9 @@
 		    "waiting=%zu before=%zu elsewhere=%zu removed=%zu "
 		    "refusals=%u quiet_ms=%llu",
 		    event, (unsigned long long)(now_ms - node->leave.began_ms),
-		    zone->nodes, zone->serving, zone->waiting, zone->before,
-		    zone->elsewhere, zone->removed, node->leave.refusals,
+		    zone->nodes, zone->serving, zone->waiting,
+		    zone->waiting_before, zone->serving_other_zones,
+		    zone->removed, node->leave.refusals,
 		    (unsigned long long)(now_ms - node->leave.packet_ms));
 }
 
--- a/src/director/jt_director_node_news.c
+++ b/src/director/jt_director_node_news.c
@@ -1,7 +1,7 @@
 /* Handles changes from the store and messages from peers. */
 #include "jt_director_log.h"
 #include "jt_director_node_private.h"
-#include "jt_knowledge.h"
+#include "jt_snapshot.h"
 #include "jt_net.h"
 
 /* The store */
@@ -157,8 +157,9 @@
 
 /* Reading the store */
 
-/* Returns this node's weight for reading the store; 0: it can't read it now. */
-static uint32_t reader_weight(const struct jt_director_node *node)
+/* Returns this node's capacity for reading the store; 0: it can't read it now.
+ */
+static uint32_t reader_capacity(const struct jt_director_node *node)
 {
 	if (!jt_director_started(node->director) ||
 	    node->leave.stage != JT_LEAVE_STAYS ||
@@ -170,10 +171,10 @@
 void jt_director_node_reader_look(struct jt_director_node *node,
 				  uint64_t now_ms)
 {
-	enum jt_reading previous = node->reader.reading, reading;
+	enum jt_read_mode previous = node->reader.read_mode, mode;
 	uint64_t failures = jt_directory_sync_failures(node->sync);
-	enum jt_reading_turn turn =
-		jt_peer_exchange_reading_turn(node->peers, reader_weight(node));
+	enum jt_reader_rank rank = jt_peer_exchange_reader_rank(
+		node->peers, reader_capacity(node));
 
 	jt_directory_sync_learning(
 		node->sync,
@@ -184,17 +185,17 @@
 				 jt_peer_exchange_live(node->peers) + 1,
 				 now_ms);
 	node->store_failures = failures;
-	reading = jt_reader_decide(&node->reader, turn,
-				   jt_director_started(node->director), now_ms);
-	if (reading == previous)
+	mode = jt_reader_decide(&node->reader, rank,
+				jt_director_started(node->director), now_ms);
+	if (mode == previous)
 		return;
 	jt_log_line(node->log, LOG_NOTICE,
 		    "event=reading how=%s turn=%d heard_age_ms=%llu "
 		    "revision=%llu",
-		    jt_reading_name(reading), turn,
-		    (unsigned long long)(now_ms - node->reader.heard_ms),
+		    jt_read_mode_name(mode), rank,
+		    (unsigned long long)(now_ms - node->reader.peers_as_of_ms),
 		    (unsigned long long)jt_director_revision(node->director));
-	jt_directory_sync_read(node->sync, reading);
+	jt_directory_sync_read(node->sync, mode);
 }
 
 static uint64_t on_revision_query(void *private_data)
@@ -214,9 +215,9 @@
 	if (jt_peer_exchange_learns(node->peers))
 		return JT_PEERS_TELL;
 	if (jt_director_accepts_flows(node->director) &&
-	    jt_reader_list_waits(&node->reader,
-				 jt_peer_exchange_live(node->peers) + 1,
-				 jt_clock_ms()))
+	    jt_reader_waits_for_listing(&node->reader,
+					jt_peer_exchange_live(node->peers) + 1,
+					jt_clock_ms()))
 		return JT_PEERS_TOLD_SOME;
 	return jt_peer_exchange_fetching(node->peers) ? JT_PEERS_ASKED
 						      : JT_PEERS_SILENT;
@@ -232,24 +233,25 @@
 	own->routing_version = routing ? routing->version : 0;
 	own->revision = jt_director_revision(node->director);
 	own->started = jt_director_started(node->director);
-	own->places = jt_director_accepts_flows(node->director);
+	own->accepts_flows = jt_director_accepts_flows(node->director);
 	own->leaving = node->leave.stage != JT_LEAVE_STAYS;
 	own->ready = node->told_ready;
-	own->reading = node->reader.reading == JT_READING_WATCHES;
-	own->weight = reader_weight(node);
+	own->reading = node->reader.read_mode == JT_READ_MODE_WATCH;
+	own->reader_capacity = reader_capacity(node);
 	own->store_as_of_ms =
 		jt_reader_as_of(&node->reader, jt_peer_exchange_id(node->peers),
 				&own->store_reader);
 }
 
-static bool on_snapshot_query(TALLOC_CTX *mem_ctx,
-			      const struct jt_knowledge_need *need,
-			      jt_wire_knowledge *snapshot, void *private_data)
+static bool
+on_snapshot_query(TALLOC_CTX *mem_ctx,
+		  const struct jt_snapshot_request *snapshot_request,
+		  jt_wire_knowledge *snapshot, void *private_data)
 {
 	const struct jt_director_node *node = private_data;
 
-	return jt_knowledge_write(mem_ctx, node->director, need, jt_clock_ms(),
-				  snapshot);
+	return jt_snapshot_write(mem_ctx, node->director, snapshot_request,
+				 jt_clock_ms(), snapshot);
 }
 
 static void entries_apply(struct jt_director_node *node,
@@ -258,7 +260,7 @@
 	for (size_t i = 0; i < count; i++) {
 		struct jt_director_event event;
 
-		if (jt_knowledge_entry(&entries[i], &event))
+		if (jt_snapshot_entry_event(&entries[i], &event))
 			jt_director_node_event(node, &event);
 	}
 }
@@ -268,7 +270,8 @@
 				   const jt_wire_zone_drain *wire, size_t count,
 				   bool complete, uint64_t revision)
 {
-	struct jt_zone_drain *drains = jt_knowledge_zones(node, wire, count);
+	struct jt_zone_drain *drains =
+		jt_snapshot_read_zone_drains(node, wire, count);
 
 	if (drains != NULL)
 		zone_drains_apply(node, drains, count, complete, revision);
@@ -282,7 +285,7 @@
 	TALLOC_CTX *frame = talloc_new(node);
 	struct jt_director_event event;
 
-	if (jt_knowledge_slices(frame, snapshot, &event))
+	if (jt_snapshot_slices_event(frame, snapshot, &event))
 		jt_director_node_event(node, &event);
 	talloc_free(frame);
 }
@@ -294,7 +297,7 @@
 {
 	struct jt_director_node *node = private_data;
 	struct jt_routing *routing =
-		jt_knowledge_routing(node, &snapshot->routing);
+		jt_snapshot_read_routing(node, &snapshot->routing);
 
 	if (routing != NULL)
 		routing_apply(node, routing, "peer");
@@ -314,7 +317,7 @@
  * included, except for the gap and the forgotten changes in the event. The
  * peers' last read of the store counts as one of this node.
  */
-static void on_snapshot_complete(const struct jt_knowledge_fetch *snapshot,
+static void on_snapshot_complete(const struct jt_snapshot_fetch *snapshot,
 				 void *private_data)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PEER_SNAPSHOT};
@@ -329,12 +332,12 @@
 	event.u.listed.revision = snapshot->revision;
 	event.u.listed.initial_sync_ms = snapshot->initial_sync_ms;
 	event.u.listed.gap = snapshot->gap;
-	event.u.listed.incomplete_before = snapshot->forgotten;
+	event.u.listed.incomplete_before = snapshot->incomplete_before;
 	revision_apply(node, &event);
 	if (snapshot->store_reader != jt_peer_exchange_id(node->peers) &&
 	    snapshot->store_as_of_ms > 0)
-		jt_reader_heard(&node->reader, snapshot->store_as_of_ms,
-				snapshot->store_reader);
+		jt_reader_record_peer(&node->reader, snapshot->store_as_of_ms,
+				      snapshot->store_reader);
 	jt_directory_sync_informed(node->sync, snapshot->revision);
 }
 
@@ -366,7 +369,7 @@
 {
 	struct jt_director_node *node = private_data;
 
-	jt_reader_told(&node->reader, as_of_ms, reader, jt_clock_ms());
+	jt_reader_record_report(&node->reader, as_of_ms, reader, jt_clock_ms());
 }
 
 static size_t on_load_query(struct jt_endpoint_load loads[JT_LOAD_LIMIT],
--- a/src/director/jt_directory_sync.c
+++ b/src/director/jt_directory_sync.c
@@ -189,7 +189,7 @@
 static void page_check_apply(struct jt_directory_sync *sync,
 			     enum jt_kv_status status)
 {
-	if (!jt_follower_page_checked(&sync->follower, status))
+	if (!jt_follower_record_page_check(&sync->follower, status))
 		return;
 	TALLOC_FREE(sync->call);
 	list_start(sync);
@@ -200,9 +200,9 @@
 		       uint64_t revision)
 {
 	sync->polling = false;
-	jt_follower_asked(&sync->follower, status, revision,
-			  sync->watcher.known(sync->watcher.private_data),
-			  jt_clock_ms());
+	jt_follower_record_check(
+		&sync->follower, status, revision,
+		sync->watcher.known(sync->watcher.private_data), jt_clock_ms());
 	reachability_update(sync, status);
 	sync_step(sync);
 }
@@ -224,13 +224,13 @@
 	sync->counters.checks[status]++;
 	if (sync->polling)
 		poll_apply(sync, status, revision);
-	else if (sync->follower.reading == JT_READING_NOT)
+	else if (sync->follower.read_mode == JT_READ_MODE_NONE)
 		idle_check_apply(sync, status);
 	else if (sync->call != NULL && !sync->watching)
 		page_check_apply(sync, status);
-	else if (sync->watching &&
-		 jt_follower_checked(&sync->follower, status, revision,
-				     sync->watch_ms, jt_clock_ms()))
+	else if (sync->watching && jt_follower_record_watch_check(
+					   &sync->follower, status, revision,
+					   sync->watch_ms, jt_clock_ms()))
 		watch_abandon(sync, status == JT_KV_OK ? JT_KV_LOST : status);
 }
 
@@ -252,7 +252,7 @@
 	if (sync->call == NULL || sync->watching)
 		return;
 	jt_timer_set(sync->check_timer, PAGE_CHECK_MS - FIRST_PAGE_LATE_MS);
-	if (!jt_follower_gives_way(&sync->follower, jt_clock_ms()))
+	if (!jt_follower_yields_listing(&sync->follower, jt_clock_ms()))
 		return;
 	calls_cancel(sync);
 	sync_step(sync);
@@ -269,7 +269,7 @@
 	if (sync->call != NULL) {
 		jt_timer_set(sync->check_timer,
 			     sync->watching ? CHECK_MS : PAGE_CHECK_MS);
-	} else if (sync->follower.reading == JT_READING_NOT &&
+	} else if (sync->follower.read_mode == JT_READ_MODE_NONE &&
 		   sync->is_unreachable) {
 		jt_timer_set(sync->check_timer, OUTAGE_CHECK_MS);
 	} else {
@@ -319,7 +319,7 @@
 	case JT_PEERS_ASKED:
 		return now_ms < sync->peer_wait_until_ms;
 	case JT_PEERS_TOLD_SOME:
-		return sync->follower.gave_way || !sync->follower.paging;
+		return sync->follower.yielded || !sync->follower.paging;
 	case JT_PEERS_TELL:
 		return true;
 	default:
@@ -339,7 +339,7 @@
 	uint64_t now_ms = jt_clock_ms();
 
 	if (sync->call != NULL || sync->polling ||
-	    sync->follower.reading == JT_READING_NOT)
+	    sync->follower.read_mode == JT_READ_MODE_NONE)
 		return;
 	switch (jt_follower_next(&sync->follower, now_ms)) {
 	case JT_FOLLOWER_LIST:
@@ -377,7 +377,7 @@
 	sync->store = store;
 	sync->watcher = *watcher;
 	jt_follower_init(&sync->follower, seed);
-	sync->follower.reading = JT_READING_CHECKS;
+	sync->follower.read_mode = JT_READ_MODE_CHECK;
 	sync->follower.strength_permille = cpu_permille;
 	sync->timer = jt_timer_create(sync, loop, on_step_due, sync);
 	sync->check_timer = jt_timer_create(sync, loop, on_check_due, sync);
@@ -394,7 +394,8 @@
 void jt_directory_sync_informed(struct jt_directory_sync *sync,
 				uint64_t revision)
 {
-	if (!jt_follower_informed(&sync->follower, revision, jt_clock_ms()))
+	if (!jt_follower_record_snapshot(&sync->follower, revision,
+					 jt_clock_ms()))
 		return;
 	calls_cancel(sync);
 	TALLOC_FREE(sync->page_key);
@@ -402,15 +403,15 @@
 }
 
 void jt_directory_sync_read(struct jt_directory_sync *sync,
-			    enum jt_reading reading)
+			    enum jt_read_mode mode)
 {
-	if (reading == sync->follower.reading)
+	if (mode == sync->follower.read_mode)
 		return;
 	/* A listing under way goes on, unless the store is no longer read. */
-	if (sync->follower.listed || reading == JT_READING_NOT)
+	if (sync->follower.listed || mode == JT_READ_MODE_NONE)
 		calls_cancel(sync);
-	jt_follower_read(&sync->follower, reading, jt_clock_ms());
-	if (reading != JT_READING_NOT) {
+	jt_follower_set_read_mode(&sync->follower, mode, jt_clock_ms());
+	if (mode != JT_READ_MODE_NONE) {
 		sync_step(sync);
 		return;
 	}
@@ -422,9 +423,10 @@
 		jt_timer_set(sync->check_timer, OUTAGE_CHECK_MS);
 }
 
-void jt_directory_sync_learning(struct jt_directory_sync *sync, bool learning)
+void jt_directory_sync_learning(struct jt_directory_sync *sync,
+				bool initial_sync)
 {
-	jt_follower_learning(&sync->follower, learning);
+	jt_follower_set_initial_sync(&sync->follower, initial_sync);
 }
 
 bool jt_directory_sync_lost(const struct jt_directory_sync *sync)
--- a/src/director/jt_directory_sync.h
+++ b/src/director/jt_directory_sync.h
@@ -64,10 +64,11 @@
 /* Sets how the store is read. A node that relies on peers and had found the
  * store unreachable checks it periodically. */
 void jt_directory_sync_read(struct jt_directory_sync *sync,
-			    enum jt_reading reading);
+			    enum jt_read_mode mode);
 /* Sets whether this node is in its initial synchronisation, during which
  * changes are requested sooner, a few at a time. */
-void jt_directory_sync_learning(struct jt_directory_sync *sync, bool learning);
+void jt_directory_sync_learning(struct jt_directory_sync *sync,
+				bool initial_sync);
 /* Returns true if the store is unreachable for this node. */
 bool jt_directory_sync_lost(const struct jt_directory_sync *sync);
 /* Returns the number of failed calls since the start. */
--- a/src/director/jt_peer_exchange.c
+++ b/src/director/jt_peer_exchange.c
@@ -139,7 +139,7 @@
 		.started = own.started,
 		.leaving = own.leaving,
 		.ready = own.ready,
-		.weight = own.weight,
+		.weight = own.reader_capacity,
 	};
 	jt_peer_sender_send_all(&exchange->sender, &message, only_zone);
 }
@@ -183,7 +183,7 @@
 			       jt_wire_news *update)
 {
 	jt_wire_knowledge snapshot = {0};
-	const struct jt_knowledge_need need = {
+	const struct jt_snapshot_request snapshot_request = {
 		.since = exchange->sent_revision,
 		.version = own->routing_version,
 	};
@@ -191,9 +191,9 @@
 	/* An update without entries makes the receivers request a snapshot. */
 	update->since = own->revision;
 	if (exchange->sent_revision == 0 ||
-	    !exchange->handler.knowledge(frame, &need, &snapshot,
+	    !exchange->handler.knowledge(frame, &snapshot_request, &snapshot,
 					 exchange->handler.private_data) ||
-	    !jt_knowledge_whole(&snapshot) ||
+	    !jt_snapshot_is_complete(&snapshot) ||
 	    snapshot.since != exchange->sent_revision ||
 	    snapshot.entries.entries_len > JT_DIRECTOR_MAX_NEWS ||
 	    !update_add_zones(&snapshot, update))
@@ -208,9 +208,9 @@
 static void on_update_due(void *private_data)
 {
 	struct jt_peer_exchange *exchange = private_data;
-	struct jt_address targets[JT_NEWS_FANOUT];
+	struct jt_address targets[JT_UPDATE_FANOUT];
 	size_t count =
-		jt_membership_news_targets(exchange->membership, targets);
+		jt_membership_update_targets(exchange->membership, targets);
 	jt_wire_director_message message = {
 		.from = exchange->membership->id,
 		.body.kind = JT_WIRE_NEWS,
@@ -302,7 +302,7 @@
 	exchange->handler.own_state(&own, exchange->handler.private_data);
 	/* The sender looks for a peer to synchronise from. */
 	if (!digest->started &&
-	    (own.started || (own.places && !digest->places) ||
+	    (own.started || (own.accepts_flows && !digest->places) ||
 	     jt_membership_knows_source(exchange->membership)))
 		source_digest_send(exchange, from, digest->zone, &own, now_ms);
 	if (digest->revision <= own.revision &&
@@ -347,7 +347,7 @@
 		digest_receive(exchange, message->from, from, &update->digest);
 		break;
 	case JT_WIRE_STANDING:
-		if (jt_membership_standing(
+		if (jt_membership_record_availability(
 			    exchange->membership, message->from, from,
 			    &message->body.jt_wire_director_body_u.standing,
 			    jt_clock_ms()))
@@ -434,7 +434,7 @@
 			    "event=peer_lost peer=%s silent_ms=%llu",
 			    jt_address_format(lost->address, text),
 			    (unsigned long long)(now_ms - lost->heard_ms));
-	count = jt_membership_round(exchange->membership, targets);
+	count = jt_membership_digest_targets(exchange->membership, targets);
 	round_digest_send(exchange, targets, count, now_ms);
 	loads_send(exchange, targets, count);
 	exchange->handler.own_state(&own, exchange->handler.private_data);
@@ -566,11 +566,11 @@
 	return NULL;
 }
 
-enum jt_reading_turn
-jt_peer_exchange_reading_turn(const struct jt_peer_exchange *exchange,
-			      uint32_t own_weight)
+enum jt_reader_rank
+jt_peer_exchange_reader_rank(const struct jt_peer_exchange *exchange,
+			     uint32_t own_weight)
 {
-	return jt_membership_reading_turn(exchange->membership, own_weight);
+	return jt_membership_reader_rank(exchange->membership, own_weight);
 }
 
 bool jt_peer_exchange_fetching(const struct jt_peer_exchange *exchange)
--- a/src/director/jt_peer_exchange.h
+++ b/src/director/jt_peer_exchange.h
@@ -7,7 +7,7 @@
 
 #include "jt_director_settings.h"
 #include "jt_http_client.h"
-#include "jt_knowledge_fetch.h"
+#include "jt_snapshot_fetch.h"
 #include "jt_log.h"
 #include "jaspertrack/director-t.h"
 #include "jt_membership.h"
@@ -18,15 +18,15 @@
 struct jt_peer_handler {
 	/* Fills in this node's state. */
 	void (*own_state)(struct jt_own_state *own, void *private_data);
-	/* Writes the state that a peer with @need lacks, as talloc children
+	/* Writes the state that @snapshot_request asks for, as talloc children
 	 * of @mem_ctx. Returns false if memory runs out. */
 	bool (*knowledge)(TALLOC_CTX *mem_ctx,
-			  const struct jt_knowledge_need *need,
+			  const struct jt_snapshot_request *snapshot_request,
 			  jt_wire_knowledge *snapshot, void *private_data);
 	/* A part of a state snapshot was received. */
 	void (*learned)(const jt_wire_knowledge *snapshot, void *private_data);
 	/* The snapshot is complete; @whole summarises its parts. */
-	void (*learned_all)(const struct jt_knowledge_fetch *whole,
+	void (*learned_all)(const struct jt_snapshot_fetch *whole,
 			    void *private_data);
 	/* Gossip updates were received. */
 	void (*news)(const jt_wire_news *update, void *private_data);
@@ -85,9 +85,9 @@
 			     const struct jt_director_settings *settings);
 /* Returns the rank of this node, of weight @own_weight, among those that can
  * read the store. */
-enum jt_reading_turn
-jt_peer_exchange_reading_turn(const struct jt_peer_exchange *exchange,
-			      uint32_t own_weight);
+enum jt_reader_rank
+jt_peer_exchange_reader_rank(const struct jt_peer_exchange *exchange,
+			     uint32_t own_weight);
 /* Returns true while a snapshot request to a peer is pending. */
 bool jt_peer_exchange_fetching(const struct jt_peer_exchange *exchange);
 /* Returns true if that peer has already sent a part of its snapshot. */
--- a/src/director/jt_peer_flows.c
+++ b/src/director/jt_peer_flows.c
@@ -27,8 +27,8 @@
 			 struct jt_membership *membership,
 			 const struct jt_flow_key *key, uint32_t sequence)
 {
-	struct jt_address targets[JT_FLOW_FANOUT];
-	size_t count = jt_membership_flow_targets(membership, targets);
+	struct jt_address targets[JT_FLOW_LOOKUP_FANOUT];
+	size_t count = jt_membership_flow_lookup_targets(membership, targets);
 	jt_wire_director_message message = {
 		.from = membership->id,
 		.body.kind = JT_WIRE_FLOW_QUESTION,
--- a/src/director/jt_peer_knowledge.c
+++ b/src/director/jt_peer_knowledge.c
@@ -29,7 +29,7 @@
 	struct tevent_req *fetch; /* NULL: no request is pending */
 	struct jt_address source; /* the peer that the request was sent to */
 	bool answered;		  /* it has already sent a part */
-	struct jt_knowledge_fetch fetched;
+	struct jt_snapshot_fetch fetched;
 	struct jt_serve_budget budget; /* for snapshots served to peers */
 };
 
@@ -45,11 +45,11 @@
 static void part_apply(struct jt_peer_knowledge *snapshots,
 		       const jt_wire_knowledge *snapshot)
 {
-	struct jt_knowledge_fetch *fetched = &snapshots->fetched;
+	struct jt_snapshot_fetch *fetched = &snapshots->fetched;
 	void *private_data = snapshots->handler.private_data;
 
 	snapshots->handler.learned(snapshot, private_data);
-	if (jt_knowledge_fetch_took(fetched, snapshot, jt_clock_ms()))
+	if (jt_snapshot_fetch_record(fetched, snapshot, jt_clock_ms()))
 		snapshots->handler.learned_all(fetched, private_data);
 }
 
@@ -76,11 +76,11 @@
 	char own_text[JT_ADDRESS_TEXT], peer_text[JT_ADDRESS_TEXT];
 	struct jt_http_call call = {.method = "GET"};
 	struct jt_own_state own = {0};
-	struct jt_knowledge_need need;
+	struct jt_snapshot_request snapshot_request;
 	char *url;
 
 	snapshots->handler.own_state(&own, snapshots->handler.private_data);
-	need = jt_knowledge_fetch_need(&snapshots->fetched, &own);
+	snapshot_request = jt_snapshot_fetch_request(&snapshots->fetched, &own);
 	call.timeout_ms = own.started || snapshots->answered
 				  ? FETCH_TIMEOUT_MS
 				  : FETCH_START_TIMEOUT_MS;
@@ -90,8 +90,9 @@
 		"?to=%s&since=%llu&version=%llu&slice=%u",
 		jt_address_format(snapshots->source, peer_text),
 		jt_address_format(snapshots->frames->address, own_text),
-		(unsigned long long)need.since,
-		(unsigned long long)need.version, need.slice);
+		(unsigned long long)snapshot_request.since,
+		(unsigned long long)snapshot_request.version,
+		snapshot_request.slice);
 	if (url != NULL) {
 		call.url = url;
 		snapshots->fetch =
@@ -183,7 +184,7 @@
 	TALLOC_CTX *frame = talloc_new(snapshots);
 	jt_wire_knowledge *snapshot =
 		&message.body.jt_wire_director_body_u.knowledge;
-	const struct jt_knowledge_need need = {
+	const struct jt_snapshot_request snapshot_request = {
 		.since = query_number(request, "since"),
 		.version = query_number(request, "version"),
 		.slice = (uint32_t)query_number(request, "slice"),
@@ -191,7 +192,7 @@
 	uint8_t *body = NULL;
 	size_t size, length = 0;
 
-	if (snapshots->handler.knowledge(frame, &need, snapshot,
+	if (snapshots->handler.knowledge(frame, &snapshot_request, snapshot,
 					 snapshots->handler.private_data)) {
 		snapshot_set_age(snapshots, snapshot);
 		size = xdr_sizeof(encode, &message) + JT_FRAME_HEADER +
--- a/src/director/jt_peer_knowledge.h
+++ b/src/director/jt_peer_knowledge.h
@@ -7,7 +7,7 @@
 
 #include "jt_http_client.h"
 #include "jt_http_server.h"
-#include "jt_knowledge_fetch.h"
+#include "jt_snapshot_fetch.h"
 #include "jt_log.h"
 #include "jt_membership.h"
 #include "jt_peer_frames.h"
@@ -18,15 +18,15 @@
 struct jt_knowledge_handler {
 	/* Fills in this node's state. */
 	void (*own_state)(struct jt_own_state *own, void *private_data);
-	/* Writes the state that a peer with @need lacks, as talloc children
+	/* Writes the state that @snapshot_request asks for, as talloc children
 	 * of @mem_ctx. Returns false if memory runs out. */
 	bool (*knowledge)(TALLOC_CTX *mem_ctx,
-			  const struct jt_knowledge_need *need,
+			  const struct jt_snapshot_request *snapshot_request,
 			  jt_wire_knowledge *snapshot, void *private_data);
 	/* A part of a snapshot was received. */
 	void (*learned)(const jt_wire_knowledge *snapshot, void *private_data);
 	/* The snapshot is complete; @whole summarises its parts. */
-	void (*learned_all)(const struct jt_knowledge_fetch *whole,
+	void (*learned_all)(const struct jt_snapshot_fetch *whole,
 			    void *private_data);
 	void *private_data;
 };
--- a/src/label/jt_choose_share.c
+++ b/src/label/jt_choose_share.c
@@ -42,7 +42,7 @@
 			      const struct jt_incarnation *in, uint64_t now_ms)
 {
 	return jt_recent_load_at(&in->recent_load, now_ms) +
-	       jt_peer_loads_work(chooser->peer_loads, in->label, now_ms) *
+	       jt_peer_loads_mean_load(chooser->peer_loads, in->label, now_ms) *
 		       (double)(chooser->nodes - 1);
 }
 
--- a/src/label/jt_director.c
+++ b/src/label/jt_director.c
@@ -112,7 +112,7 @@
 {
 	if (gap.from < director->revision)
 		gap.from = director->revision;
-	jt_list_gaps_add(&director->gaps, gap);
+	jt_listing_gaps_add(&director->gaps, gap);
 }
 
 /* Applies the end of a full state snapshot of a peer. */
@@ -125,8 +125,8 @@
 		initial_sync_ms = INITIAL_SYNC_MS;
 	/* A starting node knows no more than the peer. */
 	if (!director->listed)
-		jt_list_gaps_forget(&director->gaps,
-				    event->u.listed.incomplete_before);
+		jt_listing_gaps_discard_before(
+			&director->gaps, event->u.listed.incomplete_before);
 	endpoints_mark_known(director, initial_sync_ms, event->now_ms);
 	if (initial_sync_ms == 0)
 		director->chooser->initial_sync_until_ms = 0;
@@ -154,8 +154,9 @@
 	struct jt_incarnation *incarnation;
 
 	endpoints_mark_known(director, INITIAL_SYNC_MS, now_ms);
-	jt_list_gaps_add(&director->gaps,
-			 (struct jt_listing_gap){director->revision, revision});
+	jt_listing_gaps_add(
+		&director->gaps,
+		(struct jt_listing_gap){director->revision, revision});
 	revision_advance(director, revision);
 	for (incarnation = jt_endpoint_table_first(director->endpoints);
 	     incarnation != NULL;
--- a/src/label/jt_director_answers.c
+++ b/src/label/jt_director_answers.c
@@ -111,7 +111,8 @@
 	if (!jt_outlier_pending(incarnation))
 		return;
 	jt_outlier_served(incarnation, 1, now_ms);
-	jt_failure_news_served(&director->failure_news, incarnation->label);
+	jt_failure_reports_add_served(&director->failure_news,
+				      incarnation->label);
 }
 
 /* Responses of an endpoint that is known to fail don't count as usual. */
@@ -155,16 +156,16 @@
 		       now_ms);
 	jt_outlier_served(incarnation, served_weight, now_ms);
 	if (weight > JT_FAILURE_UNSURE)
-		jt_failure_news_failed(&director->failure_news,
-				       incarnation->label, weight);
+		jt_failure_reports_add_failed(&director->failure_news,
+					      incarnation->label, weight);
 }
 
 /* Requests a failure report to peers when one is due. */
 static void failure_report_check(struct jt_director *director, uint64_t now_ms,
 				 struct jt_director_actions *actions)
 {
-	if (jt_failure_news_due(&director->failure_news, director->nodes,
-				now_ms))
+	if (jt_failure_reports_due(&director->failure_news, director->nodes,
+				   now_ms))
 		jt_director_action_add(actions, JT_DIRECTOR_FAILURES, 0);
 }
 
@@ -224,9 +225,9 @@
 		     struct jt_endpoint_failure failures[JT_FAILURE_LIMIT],
 		     size_t *peers)
 {
-	size_t count =
-		jt_failure_news_take(&director->failure_news, director->nodes,
-				     now_ms, failures, peers);
+	size_t count = jt_failure_reports_take(&director->failure_news,
+					       director->nodes, now_ms,
+					       failures, peers);
 
 	director->counters.failures_sent += count;
 	for (size_t i = 0; i < count; i++) {
--- a/src/label/jt_director_expiry.c
+++ b/src/label/jt_director_expiry.c
@@ -45,8 +45,8 @@
 static void incarnation_forget(struct jt_director *director,
 			       struct jt_incarnation *incarnation)
 {
-	jt_list_gaps_forget(&director->gaps,
-			    jt_incarnation_revision(incarnation));
+	jt_listing_gaps_discard_before(&director->gaps,
+				       jt_incarnation_revision(incarnation));
 	jt_endpoint_table_remove(director->endpoints, incarnation);
 }
 
--- a/src/label/jt_director_private.h
+++ b/src/label/jt_director_private.h
@@ -8,11 +8,11 @@
 #include "jt_choose.h"
 #include "jt_detector.h"
 #include "jt_endpoint_table.h"
-#include "jt_failure_news.h"
+#include "jt_failure_reports.h"
 #include "jt_flow_cache.h"
 #include "jt_flow_lookup.h"
 #include "jt_latency.h"
-#include "jt_list_gaps.h"
+#include "jt_listing_gaps.h"
 #include "jt_peer_loads.h"
 #include "jt_routing.h"
 #include "jt_zone_drains.h"
@@ -29,8 +29,8 @@
 	uint64_t nodes;	   /* nodes sharing the endpoints, including this one */
 	size_t peer_count; /* peers available for flow lookups */
 	uint64_t revision; /* all changes up to it are known */
-	struct jt_list_gaps gaps; /* listing gaps up to @revision */
-	bool listed;		  /* full state received at least once */
+	struct jt_listing_gaps gaps; /* listing gaps up to @revision */
+	bool listed;		     /* full state received at least once */
 	bool partly_told; /* partial state with all zone drains received */
 	struct jt_endpoint_table *endpoints;
 	struct jt_zone_drains zone_drains;
@@ -42,7 +42,7 @@
 	struct jt_latency *latency;
 	struct jt_answer_profiles *answers;
 	uint64_t answers_ms; /* last check for complete responses */
-	struct jt_failure_news failure_news;
+	struct jt_failure_reports failure_news;
 	struct jt_peer_loads *peer_loads;
 	struct jt_random random;
 	/* Table index at which the next load report starts. */
--- a/src/label/jt_follower.c
+++ b/src/label/jt_follower.c
@@ -29,7 +29,7 @@
 void jt_follower_init(struct jt_follower *follower, uint64_t seed)
 {
 	*follower = (struct jt_follower){
-		.reading = JT_READING_WATCHES,
+		.read_mode = JT_READ_MODE_WATCH,
 		.wait_ms = DEFAULT_WAIT_MS,
 		.retry_wait_ms = DEFAULT_RETRY_WAIT_MS,
 		.pause_ms = DEFAULT_PAUSE_MS,
@@ -46,14 +46,15 @@
 		return JT_FOLLOWER_WAIT;
 	if (!follower->listed)
 		return JT_FOLLOWER_LIST;
-	if (follower->reading == JT_READING_WATCHES || follower->catching_up)
+	if (follower->read_mode == JT_READ_MODE_WATCH || follower->catching_up)
 		return JT_FOLLOWER_WATCH;
 	return JT_FOLLOWER_CHECK;
 }
 
-void jt_follower_learning(struct jt_follower *follower, bool learning)
+void jt_follower_set_initial_sync(struct jt_follower *follower,
+				  bool initial_sync)
 {
-	follower->pause_ms = learning ? SYNC_PAUSE_MS : DEFAULT_PAUSE_MS;
+	follower->pause_ms = initial_sync ? SYNC_PAUSE_MS : DEFAULT_PAUSE_MS;
 }
 
 uint32_t jt_follower_wait_ms(const struct jt_follower *follower)
@@ -68,7 +69,7 @@
 {
 	if (revision > follower->revision)
 		follower->revision = revision;
-	follower->missed = 0;
+	follower->unreported_revision = 0;
 	if (follower->due_ms < now_ms)
 		follower->due_ms = now_ms;
 }
@@ -78,12 +79,13 @@
 {
 	follower->failures = 0;
 	follower->answered_ms = now_ms;
-	follower->missed = 0;
+	follower->unreported_revision = 0;
 }
 
-bool jt_follower_checked(struct jt_follower *follower, enum jt_kv_status status,
-			 uint64_t store_revision, uint64_t watch_ms,
-			 uint64_t now_ms)
+bool jt_follower_record_watch_check(struct jt_follower *follower,
+				    enum jt_kv_status status,
+				    uint64_t store_revision, uint64_t watch_ms,
+				    uint64_t now_ms)
 {
 	if (status != JT_KV_OK)
 		return true;
@@ -92,10 +94,11 @@
 		follower->as_of_ms = now_ms;
 		return false;
 	}
-	if (follower->missed != 0 && follower->missed <= store_revision &&
+	if (follower->unreported_revision != 0 &&
+	    follower->unreported_revision <= store_revision &&
 	    now_ms - watch_ms >= WATCH_DELAY_MS)
 		return true;
-	follower->missed = store_revision;
+	follower->unreported_revision = store_revision;
 	return false;
 }
 
@@ -118,20 +121,20 @@
 	follower->due_ms = now_ms + wait_ms;
 }
 
-void jt_follower_read(struct jt_follower *follower, enum jt_reading reading,
-		      uint64_t now_ms)
+void jt_follower_set_read_mode(struct jt_follower *follower,
+			       enum jt_read_mode mode, uint64_t now_ms)
 {
-	follower->reading = reading;
+	follower->read_mode = mode;
 	follower->catching_up = false;
-	follower->missed = 0;
+	follower->unreported_revision = 0;
 	if (follower->failures == 0 && follower->due_ms > now_ms &&
 	    follower->listed)
 		follower->due_ms = now_ms;
 }
 
-void jt_follower_asked(struct jt_follower *follower, enum jt_kv_status status,
-		       uint64_t store_revision, uint64_t known_revision,
-		       uint64_t now_ms)
+void jt_follower_record_check(struct jt_follower *follower,
+			      enum jt_kv_status status, uint64_t store_revision,
+			      uint64_t known_revision, uint64_t now_ms)
 {
 	if (status != JT_KV_OK) {
 		back_off(follower, now_ms);
@@ -142,13 +145,14 @@
 	if (known_revision > follower->revision)
 		follower->revision = known_revision;
 	if (store_revision <= follower->revision) {
-		follower->missed = 0;
+		follower->unreported_revision = 0;
 		follower->as_of_ms = now_ms;
 		follower->due_ms = now_ms + CHECK_PAUSE_MS;
 		return;
 	}
-	follower->catching_up = follower->missed > follower->revision;
-	follower->missed = store_revision;
+	follower->catching_up =
+		follower->unreported_revision > follower->revision;
+	follower->unreported_revision = store_revision;
 	follower->due_ms =
 		now_ms + (follower->catching_up ? 0 : GOSSIP_DELAY_MS);
 }
@@ -173,7 +177,7 @@
 /* Pauses the listing: peers that list will send the result soon. */
 static void yield_listing(struct jt_follower *follower, uint64_t now_ms)
 {
-	follower->gave_way = true;
+	follower->yielded = true;
 	follower->due_ms = now_ms + YIELD_MS / 2 +
 			   jt_random_next(&follower->random) % YIELD_MS;
 }
@@ -184,7 +188,7 @@
 {
 	bool first;
 
-	follower->page_doubted = false;
+	follower->page_check_lost = false;
 	if (status != JT_KV_OK) {
 		back_off(follower, now_ms);
 		return false;
@@ -208,12 +212,12 @@
 	follower->listed = true;
 	follower->revision = follower->listing;
 	follower->as_of_ms = now_ms;
-	if (follower->reading == JT_READING_CHECKS)
+	if (follower->read_mode == JT_READ_MODE_CHECK)
 		follower->due_ms = now_ms + CHECK_PAUSE_MS;
 	return true;
 }
 
-bool jt_follower_gives_way(struct jt_follower *follower, uint64_t now_ms)
+bool jt_follower_yields_listing(struct jt_follower *follower, uint64_t now_ms)
 {
 	/* A node that was synchronised before also reads the store on behalf of
 	 * others. */
@@ -226,17 +230,17 @@
 	return true;
 }
 
-bool jt_follower_page_checked(struct jt_follower *follower,
-			      enum jt_kv_status status)
+bool jt_follower_record_page_check(struct jt_follower *follower,
+				   enum jt_kv_status status)
 {
-	bool retry = status == JT_KV_OK && follower->page_doubted;
+	bool retry = status == JT_KV_OK && follower->page_check_lost;
 
-	follower->page_doubted = status == JT_KV_LOST;
+	follower->page_check_lost = status == JT_KV_LOST;
 	return retry;
 }
 
-bool jt_follower_informed(struct jt_follower *follower, uint64_t revision,
-			  uint64_t now_ms)
+bool jt_follower_record_snapshot(struct jt_follower *follower,
+				 uint64_t revision, uint64_t now_ms)
 {
 	if (follower->listed)
 		return false;
@@ -245,7 +249,7 @@
 	follower->revision = revision;
 	follower->failures = 0;
 	follower->due_ms = now_ms;
-	if (follower->reading == JT_READING_CHECKS)
+	if (follower->read_mode == JT_READ_MODE_CHECK)
 		follower->due_ms = now_ms + CHECK_PAUSE_MS;
 	return true;
 }
--- a/src/label/jt_follower.h
+++ b/src/label/jt_follower.h
@@ -36,14 +36,14 @@
 };
 
 /* Mode in which a node reads the store. */
-enum jt_reading {
-	JT_READING_NOT,	    /* gets changes only from peers */
-	JT_READING_CHECKS,  /* gets changes from peers, checks the revision */
-	JT_READING_WATCHES, /* watches the store and sends changes to peers */
+enum jt_read_mode {
+	JT_READ_MODE_NONE,  /* gets changes only from peers */
+	JT_READ_MODE_CHECK, /* gets changes from peers, checks the revision */
+	JT_READ_MODE_WATCH, /* watches the store and sends changes to peers */
 };
 
 struct jt_follower {
-	enum jt_reading reading;
+	enum jt_read_mode read_mode;
 	bool catching_up;	/* a check found a change that no peer sent */
 	uint32_t wait_ms;	/* timeout of a watch at the store */
 	uint32_t retry_wait_ms; /* the same after a failure */
@@ -55,7 +55,7 @@
 	bool listed;	   /* a listing is complete */
 	bool paging;	   /* a listing has begun */
 	bool page_late;	   /* its first page was late at least once */
-	bool gave_way;	   /* has paused in favour of other nodes that list */
+	bool yielded;	   /* has paused in favour of other nodes that list */
 	uint32_t strength_permille; /* CPU capacity, 1000: one core */
 	uint32_t failures;	    /* consecutive */
 	uint64_t failures_ever;
@@ -63,8 +63,9 @@
 	uint64_t answered_ms; /* time of the last valid answer */
 	uint64_t as_of_ms;    /* the state is complete as of this time */
 	/* A revision seen by a check but not yet reported; 0: none. */
-	uint64_t missed;
-	bool page_doubted; /* the last check beside a page request was lost */
+	uint64_t unreported_revision;
+	bool page_check_lost; /* the last check beside a page request was lost
+			       */
 	struct jt_random random;
 };
 
@@ -75,7 +76,8 @@
 				       uint64_t now_ms);
 /* Selects the shorter pause between watches during the initial synchronisation,
  * when packets wait for entries. */
-void jt_follower_learning(struct jt_follower *follower, bool learning);
+void jt_follower_set_initial_sync(struct jt_follower *follower,
+				  bool initial_sync);
 /* Returns the timeout in milliseconds of the next watch. It is short after a
  * failure, to detect the recovery soon. */
 uint32_t jt_follower_wait_ms(const struct jt_follower *follower);
@@ -88,9 +90,10 @@
  * watch began at @watch_ms. Returns true if the watch has missed a change and
  * should be cancelled.
  */
-bool jt_follower_checked(struct jt_follower *follower, enum jt_kv_status status,
-			 uint64_t store_revision, uint64_t watch_ms,
-			 uint64_t now_ms);
+bool jt_follower_record_watch_check(struct jt_follower *follower,
+				    enum jt_kv_status status,
+				    uint64_t store_revision, uint64_t watch_ms,
+				    uint64_t now_ms);
 /* Records a page of a listing that took @took_ms. Slow pages indicate that many
  * nodes list at once; then most of them pause to get the state from peers
  * instead. Returns true if this page completes the listing. */
@@ -99,16 +102,16 @@
 		      uint64_t now_ms);
 /* Records that a peer sent its full state at @revision, which replaces a
  * listing. Returns true if the follower continues from there. */
-bool jt_follower_informed(struct jt_follower *follower, uint64_t revision,
-			  uint64_t now_ms);
+bool jt_follower_record_snapshot(struct jt_follower *follower,
+				 uint64_t revision, uint64_t now_ms);
 /* Records the result of a revision check. All changes up to @known_revision are
  * known, from any source. */
-void jt_follower_asked(struct jt_follower *follower, enum jt_kv_status status,
-		       uint64_t store_revision, uint64_t known_revision,
-		       uint64_t now_ms);
-/* Changes the mode of reading. */
-void jt_follower_read(struct jt_follower *follower, enum jt_reading reading,
-		      uint64_t now_ms);
+void jt_follower_record_check(struct jt_follower *follower,
+			      enum jt_kv_status status, uint64_t store_revision,
+			      uint64_t known_revision, uint64_t now_ms);
+/* Changes the read mode. */
+void jt_follower_set_read_mode(struct jt_follower *follower,
+			       enum jt_read_mode mode, uint64_t now_ms);
 /* Records the answer of a watch at @store_revision; @changes is true if it
  * reported any. */
 void jt_follower_watched(struct jt_follower *follower, enum jt_kv_status status,
@@ -120,14 +123,14 @@
  * nodes do so, at most once each; the remaining ones send the result to their
  * peers.
  */
-bool jt_follower_gives_way(struct jt_follower *follower, uint64_t now_ms);
+bool jt_follower_yields_listing(struct jt_follower *follower, uint64_t now_ms);
 /*
  * Records the result of a revision check made while a page is late. Returns
  * true if the page should be requested again: a request sent during an outage
  * gets no answer even after the store is back.
  */
-bool jt_follower_page_checked(struct jt_follower *follower,
-			      enum jt_kv_status status);
+bool jt_follower_record_page_check(struct jt_follower *follower,
+				   enum jt_kv_status status);
 /* Returns the name of the status, for logs. */
 const char *jt_kv_status_name(enum jt_kv_status status);
 
--- a/src/label/jt_leave.c
+++ b/src/label/jt_leave.c
@@ -37,7 +37,7 @@
 static bool zone_can_spare_node(const struct jt_zone_view *zone, size_t in_use)
 {
 	if (zone->nodes == 0)
-		return zone->elsewhere > 0;
+		return zone->serving_other_zones > 0;
 	return in_use * 2 >= zone->nodes + 1;
 }
 
@@ -50,7 +50,7 @@
 	if (waited_ms < SETTLE_MS)
 		return true;
 	return !zone_can_spare_node(zone, zone->serving + zone->waiting -
-						  zone->before) &&
+						  zone->waiting_before) &&
 	       waited_ms < limit_ms * WAIT_PERCENT / 100;
 }
 
--- a/src/label/jt_leave.h
+++ b/src/label/jt_leave.h
@@ -25,11 +25,11 @@
 /* Counts of the other nodes as this node sees them. */
 struct jt_zone_view {
 	size_t nodes; /* known in the zone, including lost and not ready ones */
-	size_t serving;	  /* ready and not leaving */
-	size_t waiting;	  /* ready and waiting to leave */
-	size_t before;	  /* waiting nodes that leave before this one */
-	size_t elsewhere; /* serving, in other zones */
-	size_t removed;	  /* in any zone: left without being replaced */
+	size_t serving;	       /* ready and not leaving */
+	size_t waiting;	       /* ready and waiting to leave */
+	size_t waiting_before; /* waiting nodes that leave before this one */
+	size_t serving_other_zones; /* serving, in other zones */
+	size_t removed; /* in any zone: left without being replaced */
 };
 
 enum jt_leave_stage {
--- a/src/label/jt_list_gaps.h
+++ b/src/label/jt_listing_gaps.h
@@ -6,25 +6,28 @@
  *
  * This module does no I/O. Revisions are those of the store.
  */
-#ifndef JT_LIST_GAPS_H
-#define JT_LIST_GAPS_H
+#ifndef JT_LISTING_GAPS_H
+#define JT_LISTING_GAPS_H
 
 #include "jaspertrack/director-t.h"
 
-struct jt_list_gaps {
+struct jt_listing_gaps {
 	struct jt_listing_gap newest;
-	uint64_t forgotten; /* before this revision, changes may be missing */
+	uint64_t incomplete_before; /* before this revision, changes may be
+				       missing */
 };
 
 /* Adds a gap of this node, or of a peer whose state it takes over. */
-void jt_list_gaps_add(struct jt_list_gaps *gaps, struct jt_listing_gap gap);
+void jt_listing_gaps_add(struct jt_listing_gaps *gaps,
+			 struct jt_listing_gap gap);
 /* Records that an entry last changed at @revision was dropped. */
-void jt_list_gaps_forget(struct jt_list_gaps *gaps, uint64_t revision);
+void jt_listing_gaps_discard_before(struct jt_listing_gaps *gaps,
+				    uint64_t revision);
 /* Returns true if all changes after @since are known one by one. */
-bool jt_list_gaps_know(const struct jt_list_gaps *gaps, uint64_t since);
+bool jt_listing_gaps_covers(const struct jt_listing_gaps *gaps, uint64_t since);
 /* Returns the gap that a peer with all changes up to @since takes over with
  * this node's state; both bounds are 0 if there is none. */
-struct jt_listing_gap jt_list_gaps_after(const struct jt_list_gaps *gaps,
-					 uint64_t since);
+struct jt_listing_gap jt_listing_gaps_after(const struct jt_listing_gaps *gaps,
+					    uint64_t since);
 
 #endif
--- a/src/label/jt_membership.c
+++ b/src/label/jt_membership.c
@@ -141,7 +141,7 @@
 	if (heard_ms <= peer->heard_ms)
 		return;
 	if (peer->id == reported->id)
-		peer->weight = reported->weight;
+		peer->reader_capacity = reported->weight;
 	peer->heard_ms = heard_ms;
 	peer->lost = false;
 }
@@ -153,7 +153,7 @@
 static struct jt_peer *peer_update_direct(struct jt_membership *membership,
 					  uint64_t from,
 					  struct jt_address address,
-					  const jt_wire_standing *standing,
+					  const jt_wire_standing *availability,
 					  uint64_t now_ms, bool *is_new)
 {
 	struct jt_peer *peer;
@@ -177,22 +177,23 @@
 	peer->heard = true;
 	peer->lost = false;
 	peer->no_answer = false;
-	peer->zone_id = standing->zone;
-	peer->started = standing->started;
-	peer->leaving = standing->leaving;
-	peer->ready = standing->ready;
-	peer->weight = standing->weight;
+	peer->zone_id = availability->zone;
+	peer->started = availability->started;
+	peer->leaving = availability->leaving;
+	peer->ready = availability->ready;
+	peer->reader_capacity = availability->weight;
 	return peer;
 }
 
-bool jt_membership_standing(struct jt_membership *membership, uint64_t from,
-			    struct jt_address address,
-			    const jt_wire_standing *standing, uint64_t now_ms)
+bool jt_membership_record_availability(struct jt_membership *membership,
+				       uint64_t from, struct jt_address address,
+				       const jt_wire_standing *availability,
+				       uint64_t now_ms)
 {
 	bool is_new;
 
-	(void)peer_update_direct(membership, from, address, standing, now_ms,
-				 &is_new);
+	(void)peer_update_direct(membership, from, address, availability,
+				 now_ms, &is_new);
 	return is_new;
 }
 
@@ -200,7 +201,7 @@
 			  struct jt_address address,
 			  const jt_wire_digest *digest, uint64_t now_ms)
 {
-	const jt_wire_standing standing = {
+	const jt_wire_standing availability = {
 		.zone = digest->zone,
 		.started = digest->started,
 		.leaving = digest->leaving,
@@ -210,13 +211,13 @@
 	struct jt_peer *peer;
 	bool is_new;
 
-	peer = peer_update_direct(membership, from, address, &standing, now_ms,
-				  &is_new);
+	peer = peer_update_direct(membership, from, address, &availability,
+				  now_ms, &is_new);
 	if (peer == NULL)
 		return false;
 	peer->routing_version = digest->routing_version;
 	peer->revision = digest->revision;
-	peer->places = digest->places;
+	peer->accepts_flows = digest->places;
 	for (u_int i = 0; i < digest->peers.peers_len; i++)
 		peer_update_indirect(membership, &digest->peers.peers_val[i],
 				     now_ms);
@@ -284,8 +285,8 @@
 	return peer_pick_own_zone(membership);
 }
 
-size_t jt_membership_round(struct jt_membership *membership,
-			   struct jt_address targets[JT_DIGEST_FANOUT])
+size_t jt_membership_digest_targets(struct jt_membership *membership,
+				    struct jt_address targets[JT_DIGEST_FANOUT])
 {
 	size_t count = 0;
 
@@ -338,8 +339,8 @@
 		       expected_senders;
 }
 
-size_t jt_membership_news_targets(struct jt_membership *membership,
-				  struct jt_address targets[JT_NEWS_FANOUT])
+size_t jt_membership_update_targets(struct jt_membership *membership,
+				    struct jt_address targets[JT_UPDATE_FANOUT])
 {
 	size_t count = 0;
 
@@ -347,7 +348,7 @@
 		count = target_add(targets, 0,
 				   peer_pick_any_zone(membership, false));
 	/* A peer drawn twice is one target less; gossip tolerates that. */
-	for (int i = (int)count; i < JT_NEWS_FANOUT; i++)
+	for (int i = (int)count; i < JT_UPDATE_FANOUT; i++)
 		count = target_add(targets, count,
 				   peer_pick_own_zone(membership));
 	return count;
@@ -364,7 +365,7 @@
 		const struct jt_peer *peer = &membership->peers[i];
 		bool known = false;
 
-		if (!jt_peer_lives(peer) || peer->weight == 0)
+		if (!jt_peer_lives(peer) || peer->reader_capacity == 0)
 			continue;
 		for (size_t zone = 0; zone < count; zone++)
 			known = known || zones[zone] == peer->zone_id;
@@ -384,18 +385,19 @@
 	for (size_t i = 0; i < membership->count; i++) {
 		const struct jt_peer *peer = &membership->peers[i];
 
-		if (!jt_peer_lives(peer) || peer->weight == 0 ||
+		if (!jt_peer_lives(peer) || peer->reader_capacity == 0 ||
 		    (own_zone_only && peer->zone_id != membership->zone_id))
 			continue;
-		if (peer->weight > own_weight ||
-		    (peer->weight == own_weight && peer->id < membership->id))
+		if (peer->reader_capacity > own_weight ||
+		    (peer->reader_capacity == own_weight &&
+		     peer->id < membership->id))
 			ahead++;
 	}
 	return ahead;
 }
 
-bool jt_membership_reads_first(const struct jt_membership *membership,
-			       uint32_t own_weight)
+bool jt_membership_is_preferred_reader(const struct jt_membership *membership,
+				       uint32_t own_weight)
 {
 	size_t zones = reader_zone_count(membership);
 	size_t readers = (MIN_READERS + zones - 1) / zones;
@@ -404,22 +406,22 @@
 	       readers_ahead(membership, own_weight, true) < readers;
 }
 
-enum jt_reading_turn
-jt_membership_reading_turn(const struct jt_membership *membership,
-			   uint32_t own_weight)
+enum jt_reader_rank
+jt_membership_reader_rank(const struct jt_membership *membership,
+			  uint32_t own_weight)
 {
 	if (!jt_mechanism_on(membership->without, JT_MECHANISM_FEW_READERS))
-		return JT_TURN_OF_ALL;
-	if (!jt_membership_reads_first(membership, own_weight))
-		return JT_TURN_NONE;
+		return JT_READER_RANK_WATCHER;
+	if (!jt_membership_is_preferred_reader(membership, own_weight))
+		return JT_READER_RANK_NONE;
 	/* In a large cluster each zone has its own watchers: a single one that
 	 * served all other nodes could saturate its link. */
 	if (membership->count > JT_DIRECTOR_MAX_PEERS ||
 	    !jt_mechanism_on(membership->without, JT_MECHANISM_ONE_WATCHER))
-		return JT_TURN_OF_ALL;
+		return JT_READER_RANK_WATCHER;
 	return readers_ahead(membership, own_weight, false) == 0
-		       ? JT_TURN_OF_ALL
-		       : JT_TURN_OF_ZONE;
+		       ? JT_READER_RANK_WATCHER
+		       : JT_READER_RANK_ZONE;
 }
 
 /* Returns true if the peer is known to receive packets from routers. For a peer
@@ -428,7 +430,7 @@
 {
 	if (!jt_peer_lives(peer))
 		return false;
-	return peer->heard ? peer->ready : peer->weight > 0;
+	return peer->heard ? peer->ready : peer->reader_capacity > 0;
 }
 
 /* Returns true if the peer has left and was not replaced by a new process. */
@@ -458,7 +460,7 @@
 	}
 	view->waiting++;
 	if (peer->id < membership->id)
-		view->before++;
+		view->waiting_before++;
 }
 
 struct jt_zone_view jt_membership_zone(const struct jt_membership *membership,
@@ -476,7 +478,7 @@
 		if (peer->zone_id == membership->zone_id)
 			zone_view_add(membership, peer, &view);
 		else if (peer_ready(peer) && !peer->leaving)
-			view.elsewhere++;
+			view.serving_other_zones++;
 	}
 	return view;
 }
--- a/src/label/jt_membership.h
+++ b/src/label/jt_membership.h
@@ -27,11 +27,11 @@
 	/* Maximum number of known peers; bounds the memory of the list. */
 	JT_PEER_LIMIT = 38000,
 	JT_DIGEST_FANOUT = 2, /* peers that get a digest in each round */
-	JT_NEWS_FANOUT = 4,   /* peers to which a gossip update is forwarded */
+	JT_UPDATE_FANOUT = 4, /* peers to which a gossip update is forwarded */
 	/* Maximum number of peers queried for the endpoint of a flow. */
-	JT_FLOW_FANOUT = 24,
+	JT_FLOW_LOOKUP_FANOUT = 24,
 	/* With fewer targets than this, peers of other zones are added. */
-	JT_FLOW_FANOUT_FAR = 6,
+	JT_FLOW_LOOKUP_FANOUT_OTHER_ZONES = 6,
 };
 
 /* What is known of another node. Times are in milliseconds of this node's
@@ -40,13 +40,14 @@
 	uint64_t id; /* of the process; 0: a seed not heard from yet */
 	struct jt_address address;
 	uint32_t zone_id;
-	uint32_t weight;   /* capacity to read the store; 0: it can't now */
-	uint64_t heard_ms; /* last time that any node heard from it */
+	uint32_t reader_capacity; /* capacity to read the store; 0: it can't now
+				   */
+	uint64_t heard_ms;	  /* last time that any node heard from it */
 	uint64_t routing_version;
 	uint64_t revision;
 	bool heard; /* this node has heard from it since it was last lost */
 	bool started;
-	bool places; /* accepts new flows: it knows some endpoints */
+	bool accepts_flows; /* accepts new flows: it knows some endpoints */
 	bool leaving;
 	bool ready; /* answers readiness checks with "ready" */
 	bool lost;
@@ -72,13 +73,14 @@
 	uint64_t routing_version;
 	uint64_t revision;
 	bool started;
-	bool places; /* accepts new flows: it knows some endpoints */
+	bool accepts_flows; /* accepts new flows: it knows some endpoints */
 	bool leaving;
-	bool ready;	 /* answers readiness checks with "ready" */
-	bool reading;	 /* receives changes from the store itself */
-	uint32_t weight; /* capacity to read the store; 0: it can't now */
-	uint64_t store_as_of_ms; /* the state is complete as of this time */
-	uint64_t store_reader;	 /* id of the node that read the store then */
+	bool ready;		  /* answers readiness checks with "ready" */
+	bool reading;		  /* receives changes from the store itself */
+	uint32_t reader_capacity; /* capacity to read the store; 0: it can't now
+				   */
+	uint64_t store_as_of_ms;  /* the state is complete as of this time */
+	uint64_t store_reader;	  /* id of the node that read the store then */
 };
 
 /* Returns the age in milliseconds of this node's view of the store, capped at
@@ -121,38 +123,42 @@
 			  struct jt_address address,
 			  const jt_wire_digest *digest, uint64_t now_ms);
 /* Records an availability message; returns the same as jt_membership_digest. */
-bool jt_membership_standing(struct jt_membership *membership, uint64_t from,
-			    struct jt_address address,
-			    const jt_wire_standing *standing, uint64_t now_ms);
+bool jt_membership_record_availability(struct jt_membership *membership,
+				       uint64_t from, struct jt_address address,
+				       const jt_wire_standing *availability,
+				       uint64_t now_ms);
 /*
  * Chooses the peers that get a digest in this round. Returns the number of
  * @targets set.
  */
-size_t jt_membership_round(struct jt_membership *membership,
-			   struct jt_address targets[JT_DIGEST_FANOUT]);
+size_t
+jt_membership_digest_targets(struct jt_membership *membership,
+			     struct jt_address targets[JT_DIGEST_FANOUT]);
 /* Chooses the peers to which a gossip update is forwarded, most of them in this
  * node's zone. Returns the number of @targets set. */
-size_t jt_membership_news_targets(struct jt_membership *membership,
-				  struct jt_address targets[JT_NEWS_FANOUT]);
+size_t
+jt_membership_update_targets(struct jt_membership *membership,
+			     struct jt_address targets[JT_UPDATE_FANOUT]);
 /* Chooses the peers to query for a flow that routers may have moved to this
  * node: first peers of this node's zone that routers no longer use, then its
  * other peers, then peers of other zones. Returns the number of @targets
  * set. */
-size_t jt_membership_flow_targets(struct jt_membership *membership,
-				  struct jt_address targets[JT_FLOW_FANOUT]);
+size_t jt_membership_flow_lookup_targets(
+	struct jt_membership *membership,
+	struct jt_address targets[JT_FLOW_LOOKUP_FANOUT]);
 /* Fills in the part of a digest that describes this node, without peers. */
 void jt_membership_own_state(const struct jt_membership *membership,
 			     const struct jt_own_state *own, uint64_t now_ms,
 			     jt_wire_digest *digest);
 /* Returns true if this node is one of the preferred store readers of its zone.
  * There is at least one in each zone, and at least three in total. */
-bool jt_membership_reads_first(const struct jt_membership *membership,
-			       uint32_t own_weight);
+bool jt_membership_is_preferred_reader(const struct jt_membership *membership,
+				       uint32_t own_weight);
 /* Returns the rank of this node among the store readers: of its zone, or of all
  * nodes. In a large cluster each zone has its own watchers. */
-enum jt_reading_turn
-jt_membership_reading_turn(const struct jt_membership *membership,
-			   uint32_t own_weight);
+enum jt_reader_rank
+jt_membership_reader_rank(const struct jt_membership *membership,
+			  uint32_t own_weight);
 /* Returns the counts of other nodes on which a leaving node bases its steps. */
 struct jt_zone_view jt_membership_zone(const struct jt_membership *membership,
 				       uint64_t now_ms);
--- a/src/label/jt_membership_digest.c
+++ b/src/label/jt_membership_digest.c
@@ -14,8 +14,8 @@
 	digest->started = own->started;
 	digest->leaving = own->leaving;
 	digest->ready = own->ready;
-	digest->places = own->places;
-	digest->weight = own->weight;
+	digest->places = own->accepts_flows;
+	digest->weight = own->reader_capacity;
 	digest->store_age_ms = jt_own_store_age_ms(own, now_ms);
 	digest->store_reader = own->store_reader;
 }
@@ -41,7 +41,7 @@
 		.port = peer->address.port,
 		.zone = peer->zone_id,
 		.age_ms = (uint32_t)(now_ms - peer->heard_ms),
-		.weight = peer->weight,
+		.weight = peer->reader_capacity,
 	};
 }
 
--- a/src/label/jt_membership_flow.c
+++ b/src/label/jt_membership_flow.c
@@ -7,7 +7,8 @@
 	RANK_OWN_ZONE_UNUSED, /* this node's zone, not used by routers */
 	RANK_OWN_ZONE,
 	RANK_OTHER_ZONE_UNUSED, /* another zone, not used by routers */
-	/* Another zone; only up to JT_FLOW_FANOUT_FAR targets in total. */
+	/* Another zone; only up to JT_FLOW_LOOKUP_FANOUT_OTHER_ZONES targets in
+	   total. */
 	RANK_OTHER_ZONE,
 	RANK_COUNT,
 };
@@ -22,8 +23,9 @@
 	return own_zone ? RANK_OWN_ZONE : RANK_OTHER_ZONE;
 }
 
-size_t jt_membership_flow_targets(struct jt_membership *membership,
-				  struct jt_address targets[JT_FLOW_FANOUT])
+size_t jt_membership_flow_lookup_targets(
+	struct jt_membership *membership,
+	struct jt_address targets[JT_FLOW_LOOKUP_FANOUT])
 {
 	size_t start, count = 0;
 
@@ -31,8 +33,9 @@
 		return 0;
 	start = jt_random_next(&membership->random) % membership->count;
 	for (int rank = 0; rank < RANK_COUNT; rank++) {
-		size_t limit = rank == RANK_OTHER_ZONE ? JT_FLOW_FANOUT_FAR
-						       : JT_FLOW_FANOUT;
+		size_t limit = rank == RANK_OTHER_ZONE
+				       ? JT_FLOW_LOOKUP_FANOUT_OTHER_ZONES
+				       : JT_FLOW_LOOKUP_FANOUT;
 
 		for (size_t i = 0; i < membership->count && count < limit;
 		     i++) {
--- a/src/label/jt_membership_source.h
+++ b/src/label/jt_membership_source.h
@@ -19,7 +19,7 @@
 static inline bool jt_peer_started(const struct jt_peer *peer)
 {
 	return jt_peer_lives(peer) &&
-	       (peer->heard ? peer->started : peer->weight > 0);
+	       (peer->heard ? peer->started : peer->reader_capacity > 0);
 }
 
 /*
@@ -29,7 +29,7 @@
 static inline uint64_t jt_source_rank(const struct jt_peer *peer,
 				      uint32_t zone_id, uint64_t now_ms)
 {
-	uint64_t weight = peer->weight > 0 ? peer->weight : 1;
+	uint64_t weight = peer->reader_capacity > 0 ? peer->reader_capacity : 1;
 	uint64_t age_ms = now_ms - peer->heard_ms;
 
 	if (peer->zone_id == zone_id)
--- a/src/label/jt_outlier.c
+++ b/src/label/jt_outlier.c
@@ -224,13 +224,13 @@
 bool jt_outlier_overdue(struct jt_incarnation *incarnation, uint64_t now_ms)
 {
 	struct jt_outlier *outlier = &incarnation->outlier;
-	bool report = outlier->told_ms == 0 ||
-		      now_ms - outlier->told_ms >= REPORT_INTERVAL_MS;
+	bool report = outlier->reported_ms == 0 ||
+		      now_ms - outlier->reported_ms >= REPORT_INTERVAL_MS;
 
 	failure_record(incarnation, OVERDUE_WEIGHT, JT_FULL_SHARE_PERMILLE,
 		       HALF_LIFE_OVERDUE_MS, now_ms);
 	if (report)
-		outlier->told_ms = now_ms;
+		outlier->reported_ms = now_ms;
 	return report;
 }
 
@@ -239,7 +239,7 @@
 {
 	failure_record(incarnation, OVERDUE_WEIGHT, JT_FULL_SHARE_PERMILLE,
 		       HALF_LIFE_OVERDUE_MS, now_ms);
-	incarnation->outlier.told_ms = now_ms;
+	incarnation->outlier.reported_ms = now_ms;
 }
 
 bool jt_outlier_compare_due(const struct jt_service_pool *pool, uint64_t now_ms)
--- a/src/label/jt_outlier_state.h
+++ b/src/label/jt_outlier_state.h
@@ -16,7 +16,7 @@
 	uint64_t as_of_ms;     /* time of both counts */
 	uint32_t half_life_ms; /* of both counts; 0: no failure known */
 	uint64_t failed_ms;    /* last failure */
-	uint64_t told_ms;      /* last report to or from peers */
+	uint64_t reported_ms;  /* last report to or from peers */
 	uint64_t
 		/* When the share was first low, or the half-life last doubled;
 		 * 0: the share was not low. */
--- a/src/label/jt_peer_loads.c
+++ b/src/label/jt_peer_loads.c
@@ -85,7 +85,7 @@
 
 		if (report == NULL)
 			continue;
-		outdated_ms = report->told_ms + REPORT_MAX_AGE_MS + 1;
+		outdated_ms = report->received_ms + REPORT_MAX_AGE_MS + 1;
 		if (now_ms >= outdated_ms)
 			report_drop(peers, i);
 		else if (outdated_ms < peers->outdated_ms)
@@ -107,7 +107,7 @@
 		if (peers->reports[oldest] == NULL)
 			continue;
 		if (report == NULL ||
-		    report->told_ms < peers->reports[oldest]->told_ms)
+		    report->received_ms < peers->reports[oldest]->received_ms)
 			oldest = i;
 	}
 	return oldest;
@@ -127,7 +127,7 @@
 	if (count > JT_LOAD_LIMIT)
 		count = JT_LOAD_LIMIT;
 	report->peer = peer;
-	report->told_ms = now_ms;
+	report->received_ms = now_ms;
 	report->count = count;
 	if (count > 0)
 		memcpy(report->loads, loads, count * sizeof(*loads));
@@ -157,8 +157,8 @@
 			   : 0;
 }
 
-double jt_peer_loads_work(struct jt_peer_loads *peers, uint32_t label,
-			  uint64_t now_ms)
+double jt_peer_loads_mean_load(struct jt_peer_loads *peers, uint32_t label,
+			       uint64_t now_ms)
 {
 	const struct jt_load_sum *sum = current_sum(peers, label, now_ms);
 
--- a/src/label/jt_peer_loads.h
+++ b/src/label/jt_peer_loads.h
@@ -19,7 +19,7 @@
 /* The latest report of one peer. */
 struct jt_peer_report {
 	uint64_t peer;
-	uint64_t told_ms; /* when it was received */
+	uint64_t received_ms; /* when it was received */
 	size_t count;
 	struct jt_endpoint_load loads[JT_LOAD_LIMIT];
 };
@@ -53,7 +53,7 @@
 double jt_peer_loads_mean(struct jt_peer_loads *peers, uint32_t label,
 			  uint64_t now_ms);
 /* The same for the recent load of the endpoint, in requests. */
-double jt_peer_loads_work(struct jt_peer_loads *peers, uint32_t label,
-			  uint64_t now_ms);
+double jt_peer_loads_mean_load(struct jt_peer_loads *peers, uint32_t label,
+			       uint64_t now_ms);
 
 #endif
--- a/src/label/jt_reader.c
+++ b/src/label/jt_reader.c
@@ -62,27 +62,28 @@
 		reader->own_ms = as_of_ms;
 }
 
-void jt_reader_heard(struct jt_reader *reader, uint64_t as_of_ms, uint64_t from)
+void jt_reader_record_peer(struct jt_reader *reader, uint64_t as_of_ms,
+			   uint64_t from)
 {
-	if (as_of_ms <= reader->heard_ms)
+	if (as_of_ms <= reader->peers_as_of_ms)
 		return;
-	reader->heard_ms = as_of_ms;
-	reader->heard_from = from;
+	reader->peers_as_of_ms = as_of_ms;
+	reader->peers_reader = from;
 }
 
-void jt_reader_told(struct jt_reader *reader, uint64_t as_of_ms, uint64_t from,
-		    uint64_t now_ms)
+void jt_reader_record_report(struct jt_reader *reader, uint64_t as_of_ms,
+			     uint64_t from, uint64_t now_ms)
 {
-	if (as_of_ms <= reader->heard_ms)
-		reader->as_old_ms = now_ms;
-	jt_reader_heard(reader, as_of_ms, from);
+	if (as_of_ms <= reader->peers_as_of_ms)
+		reader->peers_no_newer_ms = now_ms;
+	jt_reader_record_peer(reader, as_of_ms, from);
 }
 
 /* Returns true if peers recently reported no newer state than this node has. */
 static bool peers_are_no_newer(const struct jt_reader *reader, uint64_t now_ms)
 {
-	return reader->as_old_ms != 0 &&
-	       now_ms - reader->as_old_ms < PEERS_NO_NEWER_MS;
+	return reader->peers_no_newer_ms != 0 &&
+	       now_ms - reader->peers_no_newer_ms < PEERS_NO_NEWER_MS;
 }
 
 void jt_reader_failed(struct jt_reader *reader, size_t nodes, uint64_t now_ms)
@@ -93,7 +94,7 @@
 	 * whichever node is preferred now. A store that compacts its history
 	 * ends all watches, and its revision checks lag by seconds meanwhile;
 	 * only a new watch shows that. */
-	if (now_ms - reader->heard_ms <= reader->limit_ms) {
+	if (now_ms - reader->peers_as_of_ms <= reader->limit_ms) {
 		reader->hold_until_ms = now_ms + MIN_READING_MS;
 		return;
 	}
@@ -106,41 +107,40 @@
 }
 
 static bool should_read(const struct jt_reader *reader,
-			enum jt_reading_turn turn, bool started,
-			uint64_t now_ms)
+			enum jt_reader_rank rank, bool started, uint64_t now_ms)
 {
-	uint64_t age_ms = now_ms - reader->heard_ms;
+	uint64_t age_ms = now_ms - reader->peers_as_of_ms;
 
-	if (turn != JT_TURN_NONE || !started)
+	if (rank != JT_READER_RANK_NONE || !started)
 		return true;
 	if (now_ms < reader->try_after_ms && peers_are_no_newer(reader, now_ms))
 		return false;
-	if (reader->reading == JT_READING_NOT)
+	if (reader->read_mode == JT_READ_MODE_NONE)
 		return age_ms > reader->limit_ms + reader->jitter_ms;
 	return age_ms > reader->limit_ms / FRESH_DIVISOR ||
 	       now_ms - reader->began_ms < MIN_READING_MS;
 }
 
-enum jt_reading jt_reader_decide(struct jt_reader *reader,
-				 enum jt_reading_turn turn, bool started,
-				 uint64_t now_ms)
+enum jt_read_mode jt_reader_decide(struct jt_reader *reader,
+				   enum jt_reader_rank rank, bool started,
+				   uint64_t now_ms)
 {
-	if (reader->reading == JT_READING_WATCHES &&
+	if (reader->read_mode == JT_READ_MODE_WATCH &&
 	    now_ms < reader->hold_until_ms)
-		return reader->reading;
-	if (!should_read(reader, turn, started, now_ms)) {
-		reader->reading = JT_READING_NOT;
-		return reader->reading;
+		return reader->read_mode;
+	if (!should_read(reader, rank, started, now_ms)) {
+		reader->read_mode = JT_READ_MODE_NONE;
+		return reader->read_mode;
 	}
-	if (reader->reading == JT_READING_NOT) {
+	if (reader->read_mode == JT_READ_MODE_NONE) {
 		reader->began_ms = now_ms;
 		jitter_draw(reader);
 	}
-	reader->reading = JT_READING_CHECKS;
-	if (turn == JT_TURN_OF_ALL &&
+	reader->read_mode = JT_READ_MODE_CHECK;
+	if (rank == JT_READER_RANK_WATCHER &&
 	    now_ms - reader->began_ms >= reader->watch_after_ms)
-		reader->reading = JT_READING_WATCHES;
-	return reader->reading;
+		reader->read_mode = JT_READ_MODE_WATCH;
+	return reader->read_mode;
 }
 
 uint64_t jt_reader_start_wait_ms(uint32_t weight)
@@ -170,8 +170,8 @@
 	       jt_random_next(&reader->random) % FIRST_START_MS;
 }
 
-bool jt_reader_list_waits(struct jt_reader *reader, size_t nodes,
-			  uint64_t now_ms)
+bool jt_reader_waits_for_listing(struct jt_reader *reader, size_t nodes,
+				 uint64_t now_ms)
 {
 	uint64_t spread_ms = (uint64_t)nodes * RETRY_INTERVAL_MS;
 
@@ -189,21 +189,21 @@
 uint64_t jt_reader_as_of(const struct jt_reader *reader, uint64_t own_id,
 			 uint64_t *from)
 {
-	if (reader->own_ms >= reader->heard_ms) {
+	if (reader->own_ms >= reader->peers_as_of_ms) {
 		*from = own_id;
 		return reader->own_ms;
 	}
-	*from = reader->heard_from;
-	return reader->heard_ms;
+	*from = reader->peers_reader;
+	return reader->peers_as_of_ms;
 }
 
-const char *jt_reading_name(enum jt_reading reading)
+const char *jt_read_mode_name(enum jt_read_mode mode)
 {
 	static const char *const names[] = {
-		[JT_READING_NOT] = "not",
-		[JT_READING_CHECKS] = "checks",
-		[JT_READING_WATCHES] = "watches",
+		[JT_READ_MODE_NONE] = "not",
+		[JT_READ_MODE_CHECK] = "checks",
+		[JT_READ_MODE_WATCH] = "watches",
 	};
 
-	return names[reading];
+	return names[mode];
 }
--- a/src/label/jt_reader.h
+++ b/src/label/jt_reader.h
@@ -24,24 +24,25 @@
 #include <stdint.h>
 
 /* Rank of a node among those that can read the store. */
-enum jt_reading_turn {
-	JT_TURN_NONE,
-	JT_TURN_OF_ZONE, /* one of the preferred readers of its zone */
-	JT_TURN_OF_ALL,	 /* the preferred watcher */
+enum jt_reader_rank {
+	JT_READER_RANK_NONE,
+	JT_READER_RANK_ZONE,	/* one of the preferred readers of its zone */
+	JT_READER_RANK_WATCHER, /* the preferred watcher */
 };
 
 struct jt_reader {
 	uint64_t limit_ms;	 /* maximum age of the state */
 	uint64_t jitter_ms;	 /* random addition to limit_ms */
 	uint64_t own_ms;	 /* as of when this node has read the store */
-	uint64_t heard_ms;	 /* as of when peers have read the store */
-	uint64_t heard_from;	 /* id of the node that read it at heard_ms */
+	uint64_t peers_as_of_ms; /* as of when peers have read the store */
+	uint64_t peers_reader;	 /* id of the node that read it then */
 	uint64_t began_ms;	 /* when this node began to read */
 	uint64_t watch_after_ms; /* initial time without a watch */
-	uint64_t as_old_ms;	 /* when a peer last reported no newer state */
-	uint64_t hold_until_ms;	 /* keep watching until then */
-	uint64_t try_after_ms;	 /* don't read before then */
-	enum jt_reading reading;
+	uint64_t peers_no_newer_ms; /* when a peer last reported no newer state
+				     */
+	uint64_t hold_until_ms;	    /* keep watching until then */
+	uint64_t try_after_ms;	    /* don't read before then */
+	enum jt_read_mode read_mode;
 	/* A node that knows some endpoints doesn't list the store before
 	 * list_after_ms; list_spread is set once that time is randomized over
 	 * all nodes. */
@@ -57,12 +58,12 @@
 void jt_reader_read(struct jt_reader *reader, uint64_t as_of_ms);
 /* Records a report of a peer that is not ahead of this node: this node has
  * all that @from had read as of @as_of_ms. */
-void jt_reader_heard(struct jt_reader *reader, uint64_t as_of_ms,
-		     uint64_t from);
+void jt_reader_record_peer(struct jt_reader *reader, uint64_t as_of_ms,
+			   uint64_t from);
 /* The same for a report that a peer sends at @now_ms. A report that is not
  * newer shows that peers are no more up to date than this node. */
-void jt_reader_told(struct jt_reader *reader, uint64_t as_of_ms, uint64_t from,
-		    uint64_t now_ms);
+void jt_reader_record_report(struct jt_reader *reader, uint64_t as_of_ms,
+			     uint64_t from, uint64_t now_ms);
 /*
  * Records that the store did not answer. While its state is fresh, a watching
  * node keeps watching for some time. If the state is old and peers have no
@@ -71,12 +72,12 @@
  */
 void jt_reader_failed(struct jt_reader *reader, size_t nodes, uint64_t now_ms);
 /*
- * Decides how to read the store now. @turn: the rank of this node among the
+ * Decides how to read the store now. @rank: the rank of this node among the
  * readers; @started: it knows the routing and the endpoints.
  */
-enum jt_reading jt_reader_decide(struct jt_reader *reader,
-				 enum jt_reading_turn turn, bool started,
-				 uint64_t now_ms);
+enum jt_read_mode jt_reader_decide(struct jt_reader *reader,
+				   enum jt_reader_rank rank, bool started,
+				   uint64_t now_ms);
 /*
  * Returns the time in milliseconds that a starting node waits for peers that
  * have the full state before it lists the store. A full listing costs a weak
@@ -92,7 +93,7 @@
 uint64_t jt_reader_first_wait_ms(struct jt_reader *reader, uint32_t weight,
 				 bool first_start, bool is_seed);
 /* Returns "not", "checks" or "watches". */
-const char *jt_reading_name(enum jt_reading reading);
+const char *jt_read_mode_name(enum jt_read_mode mode);
 /* Returns the time as of which this node knows the store's content, and sets
  * @from to the id of the node that read it. */
 uint64_t jt_reader_as_of(const struct jt_reader *reader, uint64_t own_id,
@@ -103,7 +104,7 @@
  * peers, still waits for peers to list the store. After that time the nodes,
  * @nodes in number, list it at random times.
  */
-bool jt_reader_list_waits(struct jt_reader *reader, size_t nodes,
-			  uint64_t now_ms);
+bool jt_reader_waits_for_listing(struct jt_reader *reader, size_t nodes,
+				 uint64_t now_ms);
 
 #endif
--- a/src/label/jt_knowledge.c
+++ b/src/label/jt_snapshot.c
@@ -1,4 +1,4 @@
-#include "jt_knowledge.h"
+#include "jt_snapshot.h"
 #include "jt_director_private.h"
 
 #include <stdio.h>
@@ -166,7 +166,7 @@
 static bool entries_write(TALLOC_CTX *mem_ctx,
 			  const struct jt_endpoint_table *table, uint32_t first,
 			  uint64_t since, uint64_t now_ms,
-			  jt_wire_knowledge *knowledge, uint32_t *end)
+			  jt_wire_knowledge *snapshot, uint32_t *end)
 {
 	jt_wire_entry *entries;
 	size_t max_count, count = 0;
@@ -178,8 +178,8 @@
 	for (uint32_t i = first; i < *end; i++)
 		count += slice_write(&table->slices[i], since, now_ms,
 				     &entries[count]);
-	knowledge->entries.entries_val = entries;
-	knowledge->entries.entries_len = (u_int)count;
+	snapshot->entries.entries_val = entries;
+	snapshot->entries.entries_len = (u_int)count;
 	return true;
 }
 
@@ -188,17 +188,17 @@
  * few, at least half of them. */
 static bool partial_entries_write(TALLOC_CTX *mem_ctx,
 				  const struct jt_director *director,
-				  uint64_t now_ms, jt_wire_knowledge *knowledge)
+				  uint64_t now_ms, jt_wire_knowledge *snapshot)
 {
 	uint32_t first = (uint32_t)(now_ms % (JT_DIRECTOR_SLICES / 2)), end;
 
-	knowledge->slice_next = knowledge->slice;
+	snapshot->slice_next = snapshot->slice;
 	return entries_write(mem_ctx, director->endpoints, first, 0, now_ms,
-			     knowledge, &end);
+			     snapshot, &end);
 }
 
 static bool zones_write(TALLOC_CTX *mem_ctx, const struct jt_zone_drains *zones,
-			jt_wire_knowledge *knowledge)
+			jt_wire_knowledge *snapshot)
 {
 	jt_wire_zone_drain *wire =
 		talloc_array(mem_ctx, jt_wire_zone_drain, zones->count + 1);
@@ -214,77 +214,76 @@
 			.draining = drain->draining,
 		};
 	}
-	knowledge->zones.zones_val = wire;
-	knowledge->zones.zones_len = (u_int)zones->count;
+	snapshot->zones.zones_val = wire;
+	snapshot->zones.zones_len = (u_int)zones->count;
 	return true;
 }
 
-bool jt_knowledge_write(TALLOC_CTX *mem_ctx, const struct jt_director *director,
-			const struct jt_knowledge_need *need, uint64_t now_ms,
-			jt_wire_knowledge *knowledge)
+bool jt_snapshot_write(TALLOC_CTX *mem_ctx, const struct jt_director *director,
+		       const struct jt_snapshot_request *request,
+		       uint64_t now_ms, jt_wire_knowledge *snapshot)
 {
 	const struct jt_routing *routing = jt_director_routing(director);
 	struct jt_listing_gap gap;
 
-	memset(knowledge, 0, sizeof(*knowledge));
-	knowledge->revision = jt_director_revision(director);
-	knowledge->initial_sync_ms =
+	memset(snapshot, 0, sizeof(*snapshot));
+	snapshot->revision = jt_director_revision(director);
+	snapshot->initial_sync_ms =
 		jt_director_initial_sync_ms(director, now_ms);
-	if (jt_list_gaps_know(&director->gaps, need->since))
-		knowledge->since = need->since;
-	gap = jt_list_gaps_after(&director->gaps, knowledge->since);
-	knowledge->gap_from = gap.from;
-	knowledge->gap_to = gap.to;
-	knowledge->forgotten = director->gaps.forgotten;
-	knowledge->complete = director->counters.entries_refused == 0;
-	knowledge->slice = need->slice < JT_DIRECTOR_SLICES
-				   ? need->slice
-				   : JT_DIRECTOR_SLICES;
-	if (routing != NULL && routing->version > need->version &&
-	    !routing_write(mem_ctx, routing, &knowledge->routing))
+	if (jt_listing_gaps_covers(&director->gaps, request->since))
+		snapshot->since = request->since;
+	gap = jt_listing_gaps_after(&director->gaps, snapshot->since);
+	snapshot->gap_from = gap.from;
+	snapshot->gap_to = gap.to;
+	snapshot->forgotten = director->gaps.incomplete_before;
+	snapshot->complete = director->counters.entries_refused == 0;
+	snapshot->slice = request->slice < JT_DIRECTOR_SLICES
+				  ? request->slice
+				  : JT_DIRECTOR_SLICES;
+	if (routing != NULL && routing->version > request->version &&
+	    !routing_write(mem_ctx, routing, &snapshot->routing))
 		return false;
-	if (!zones_write(mem_ctx, &director->zone_drains, knowledge))
+	if (!zones_write(mem_ctx, &director->zone_drains, snapshot))
 		return false;
 	return jt_director_started(director)
 		       ? entries_write(mem_ctx, director->endpoints,
-				       knowledge->slice, knowledge->since,
-				       now_ms, knowledge,
-				       &knowledge->slice_next)
+				       snapshot->slice, snapshot->since, now_ms,
+				       snapshot, &snapshot->slice_next)
 		       : partial_entries_write(mem_ctx, director, now_ms,
-					       knowledge);
+					       snapshot);
 }
 
-bool jt_knowledge_slices(TALLOC_CTX *mem_ctx,
-			 const jt_wire_knowledge *knowledge,
-			 struct jt_director_event *event)
+bool jt_snapshot_slices_event(TALLOC_CTX *mem_ctx,
+			      const jt_wire_knowledge *snapshot,
+			      struct jt_director_event *event)
 {
-	size_t count = knowledge->entries.entries_len;
+	size_t count = snapshot->entries.entries_len;
 	uint64_t *ids;
 
-	if (knowledge->since != 0 || !knowledge->complete ||
-	    knowledge->slice_next <= knowledge->slice ||
-	    knowledge->slice_next > JT_DIRECTOR_SLICES)
+	if (snapshot->since != 0 || !snapshot->complete ||
+	    snapshot->slice_next <= snapshot->slice ||
+	    snapshot->slice_next > JT_DIRECTOR_SLICES)
 		return false;
 	ids = talloc_array(mem_ctx, uint64_t, count + 1);
 	if (ids == NULL)
 		return false;
 	for (size_t i = 0; i < count; i++)
-		ids[i] = knowledge->entries.entries_val[i].id;
+		ids[i] = snapshot->entries.entries_val[i].id;
 	qsort(ids, count, sizeof(*ids), jt_endpoint_id_compare);
 	*event =
 		(struct jt_director_event){.kind = JT_DIRECTOR_SLICES_RECEIVED};
-	event->u.slices.first = knowledge->slice;
-	event->u.slices.end = knowledge->slice_next;
-	event->u.slices.revision = knowledge->revision;
+	event->u.slices.first = snapshot->slice;
+	event->u.slices.end = snapshot->slice_next;
+	event->u.slices.revision = snapshot->revision;
 	event->u.slices.ids = ids;
 	event->u.slices.count = count;
 	return true;
 }
 
-bool jt_knowledge_whole(const jt_wire_knowledge *knowledge)
+bool jt_snapshot_is_complete(const jt_wire_knowledge *snapshot)
 {
-	return knowledge->slice == 0 &&
-	       knowledge->slice_next == JT_DIRECTOR_SLICES;
+	return snapshot->slice == 0 &&
+	       snapshot->slice_next == JT_DIRECTOR_SLICES;
 }
 
 static bool route_read(const jt_wire_route *wire, struct jt_route *route)
@@ -338,8 +337,8 @@
 	return jt_routing_sort(routing) == NULL;
 }
 
-struct jt_routing *jt_knowledge_routing(TALLOC_CTX *mem_ctx,
-					const jt_wire_routing *wire)
+struct jt_routing *jt_snapshot_read_routing(TALLOC_CTX *mem_ctx,
+					    const jt_wire_routing *wire)
 {
 	struct jt_routing *routing;
 
@@ -355,9 +354,9 @@
 	return routing;
 }
 
-struct jt_zone_drain *jt_knowledge_zones(TALLOC_CTX *mem_ctx,
-					 const jt_wire_zone_drain *wire,
-					 size_t count)
+struct jt_zone_drain *
+jt_snapshot_read_zone_drains(TALLOC_CTX *mem_ctx,
+			     const jt_wire_zone_drain *wire, size_t count)
 {
 	struct jt_zone_drain *drains =
 		talloc_zero_array(mem_ctx, struct jt_zone_drain, count + 1);
@@ -371,8 +370,8 @@
 	return drains;
 }
 
-bool jt_knowledge_entry(const jt_wire_entry *wire,
-			struct jt_director_event *event)
+bool jt_snapshot_entry_event(const jt_wire_entry *wire,
+			     struct jt_director_event *event)
 {
 	if (wire->id == 0 || wire->port == 0 || wire->port > UINT16_MAX)
 		return false;
--- a/src/label/jt_knowledge_fetch.h
+++ b/src/label/jt_snapshot_fetch.h
@@ -7,35 +7,36 @@
  *
  * This module does no I/O: the driver queries peers and reports their answers.
  */
-#ifndef JT_KNOWLEDGE_FETCH_H
-#define JT_KNOWLEDGE_FETCH_H
+#ifndef JT_SNAPSHOT_FETCH_H
+#define JT_SNAPSHOT_FETCH_H
 
-#include "jt_knowledge.h"
+#include "jt_snapshot.h"
 #include "jt_membership.h"
 
 /* Progress and combined result of a transfer. */
-struct jt_knowledge_fetch {
+struct jt_snapshot_fetch {
 	bool begun;
 	uint64_t since;	   /* all changes up to it were known at the start */
 	uint32_t slice;	   /* next slice to request */
 	uint64_t revision; /* lowest revision of the answers */
-	uint32_t initial_sync_ms;  /* longest one of the answers */
-	struct jt_listing_gap gap; /* union of the senders' listing gaps */
-	uint64_t forgotten; /* before this revision a sender may lack changes */
-	uint64_t store_as_of_ms; /* oldest time of the senders' state */
-	uint64_t store_reader;	 /* id of the node that read it then */
+	uint32_t initial_sync_ms;   /* longest one of the answers */
+	struct jt_listing_gap gap;  /* union of the senders' listing gaps */
+	uint64_t incomplete_before; /* before this revision a sender may lack
+				       changes */
+	uint64_t store_as_of_ms;    /* oldest time of the senders' state */
+	uint64_t store_reader;	    /* id of the node that read it then */
 };
 
 /* Returns the request for the next peer. Restarts the transfer if its result
  * would be outdated. */
-struct jt_knowledge_need
-jt_knowledge_fetch_need(struct jt_knowledge_fetch *fetch,
-			const struct jt_own_state *own);
+struct jt_snapshot_request
+jt_snapshot_fetch_request(struct jt_snapshot_fetch *fetch,
+			  const struct jt_own_state *own);
 /* Records an answer received at @now_ms. Returns true if it completes the
  * snapshot; @fetch then describes the result until the next call of
- * jt_knowledge_fetch_need. Ignores an answer to another request. */
-bool jt_knowledge_fetch_took(struct jt_knowledge_fetch *fetch,
-			     const jt_wire_knowledge *knowledge,
-			     uint64_t now_ms);
+ * jt_snapshot_fetch_request. Ignores an answer to another request. */
+bool jt_snapshot_fetch_record(struct jt_snapshot_fetch *fetch,
+			      const jt_wire_knowledge *snapshot,
+			      uint64_t now_ms);
 
 #endif
--- a/src/label/jt_target.c
+++ b/src/label/jt_target.c
@@ -32,7 +32,7 @@
 {
 	if (!jt_mechanism_on(target->without, JT_MECHANISM_PEER_WORK))
 		return 0;
-	return jt_peer_loads_work(target->peer_loads, in->label, now_ms);
+	return jt_peer_loads_mean_load(target->peer_loads, in->label, now_ms);
 }
 
 /* Returns the estimated recent requests of all nodes at the endpoint. */
--- a/tests/director_fixture.h
+++ b/tests/director_fixture.h
@@ -6,7 +6,7 @@
 #include "test.h"
 
 #include "jaspertrack/director.h"
-#include "jt_knowledge.h"
+#include "jt_snapshot.h"
 #include "jt_routing.h"
 
 #include <stdlib.h>
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -433,7 +433,7 @@
 	struct fixture *fixture = fixture_create(0);
 	struct model *model = model_create();
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
-	struct jt_knowledge_need need = {0};
+	struct jt_snapshot_request request = {0};
 	struct jt_routing *routing;
 	jt_wire_knowledge snapshot;
 
@@ -441,9 +441,9 @@
 	event.u.routing = model->routing;
 	fixture_handle(fixture, &event);
 	fixture_end_listing(fixture, 1);
-	assert_true(jt_knowledge_write(fixture, fixture->director, &need,
-				       fixture->now_ms, &snapshot));
-	routing = jt_knowledge_routing(fixture, &snapshot.routing);
+	assert_true(jt_snapshot_write(fixture, fixture->director, &request,
+				      fixture->now_ms, &snapshot));
+	routing = jt_snapshot_read_routing(fixture, &snapshot.routing);
 	assert_int_equal(routing->routes[0].target_ms, MODEL_TARGET_MS);
 	assert_int_equal(routing->routes[0].priority, 1);
 	talloc_free(fixture);
--- a/tests/test_director.c
+++ b/tests/test_director.c
@@ -389,9 +389,9 @@
 	entry.address = make_entry(0x101, 0, 0, 0).address;
 	fixture_set_entry(fixture, entry);
 	fixture_remove_entry(fixture, 0x101, 12);
-	assert_true(jt_knowledge_write(fixture, fixture->director,
-				       &(struct jt_knowledge_need){0},
-				       fixture->now_ms, &snapshot));
+	assert_true(jt_snapshot_write(fixture, fixture->director,
+				      &(struct jt_snapshot_request){0},
+				      fixture->now_ms, &snapshot));
 	for (int pass = 0; pass < 2; pass++) {
 		for (u_int i = 0; i < snapshot.entries.entries_len; i++) {
 			u_int at = pass == 0 ? i
@@ -399,7 +399,7 @@
 						       1 - i;
 			struct jt_director_event event;
 
-			if (jt_knowledge_entry(
+			if (jt_snapshot_entry_event(
 				    &snapshot.entries.entries_val[at], &event))
 				fixture_handle(receiver, &event);
 		}
@@ -417,9 +417,9 @@
 				    jt_wire_knowledge *snapshot)
 {
 	assert_true(
-		jt_knowledge_write(fixture, fixture->director,
-				   &(struct jt_knowledge_need){.since = since},
-				   fixture->now_ms, snapshot));
+		jt_snapshot_write(fixture, fixture->director,
+				  &(struct jt_snapshot_request){.since = since},
+				  fixture->now_ms, snapshot));
 	return snapshot->entries.entries_len;
 }
 
@@ -439,9 +439,9 @@
 	assert_int_equal(snapshot_entries_since(fixture, 30, &snapshot), 0);
 	/* The routing is sent only to a node that lacks its version. */
 	assert_int_equal(snapshot.routing.number, version);
-	assert_true(jt_knowledge_write(
+	assert_true(jt_snapshot_write(
 		fixture, fixture->director,
-		&(struct jt_knowledge_need){.since = 30, .version = version},
+		&(struct jt_snapshot_request){.since = 30, .version = version},
 		fixture->now_ms, &snapshot));
 	assert_int_equal(snapshot.routing.number, 0);
 	talloc_free(fixture);
--- a/tests/test_endpoint_health.c
+++ b/tests/test_endpoint_health.c
@@ -3,7 +3,7 @@
  */
 #include "director_fixture.h"
 #include "jt_answer_profile.h"
-#include "jt_failure_news.h"
+#include "jt_failure_reports.h"
 #include "jt_random.h"
 
 #include <string.h>
@@ -523,29 +523,30 @@
 /* Failure reports are bounded in size and in datagrams per second. */
 static void test_failure_reports_are_bounded(void **state)
 {
-	struct jt_failure_news news = {0};
+	struct jt_failure_reports reports = {0};
 	struct jt_endpoint_failure reported[JT_FAILURE_LIMIT];
 	uint64_t now_ms = 100000, datagrams = 0;
 	size_t peers;
 
 	(void)state;
-	jt_failure_news_served(&news, 1);
-	assert_false(jt_failure_news_due(&news, 68, now_ms));
-	jt_failure_news_failed(&news, 1, 0.5);
-	assert_false(jt_failure_news_due(&news, 1, now_ms));
-	assert_true(jt_failure_news_due(&news, 68, now_ms));
+	jt_failure_reports_add_served(&reports, 1);
+	assert_false(jt_failure_reports_due(&reports, 68, now_ms));
+	jt_failure_reports_add_failed(&reports, 1, 0.5);
+	assert_false(jt_failure_reports_due(&reports, 1, now_ms));
+	assert_true(jt_failure_reports_due(&reports, 68, now_ms));
 	assert_int_equal(
-		jt_failure_news_take(&news, 68, now_ms, reported, &peers), 1);
+		jt_failure_reports_take(&reports, 68, now_ms, reported, &peers),
+		1);
 	assert_int_equal(peers, 67);
 	assert_int_equal(reported[0].failed_permille, 500);
 	assert_int_equal(reported[0].served_permille, 1000);
 	for (int i = 0; i < 10000; i++, now_ms++) {
 		for (uint32_t label = 1; label <= 100; label++)
-			jt_failure_news_failed(&news, label, 1);
-		if (!jt_failure_news_due(&news, 68, now_ms))
+			jt_failure_reports_add_failed(&reports, label, 1);
+		if (!jt_failure_reports_due(&reports, 68, now_ms))
 			continue;
-		assert_int_equal(jt_failure_news_take(&news, 68, now_ms,
-						      reported, &peers),
+		assert_int_equal(jt_failure_reports_take(&reports, 68, now_ms,
+							 reported, &peers),
 				 JT_FAILURE_LIMIT);
 		assert_in_range(peers, 1, 67);
 		datagrams += peers;
--- a/tests/test_flow_rate.c
+++ b/tests/test_flow_rate.c
@@ -263,15 +263,15 @@
 	(void)state;
 	cold.cold_left_ms = 2000;
 	fixture_set_entry(fixture, cold);
-	assert_true(jt_knowledge_write(
+	assert_true(jt_snapshot_write(
 		fixture, fixture->director,
-		&(struct jt_knowledge_need){.since = 19, .version = 1},
+		&(struct jt_snapshot_request){.since = 19, .version = 1},
 		fixture->now_ms + 1500, &snapshot));
 	assert_int_equal(snapshot.entries.entries_len, 1);
 	assert_int_equal(snapshot.entries.entries_val[0].cold_left_ms, 500);
-	assert_true(jt_knowledge_write(
+	assert_true(jt_snapshot_write(
 		fixture, fixture->director,
-		&(struct jt_knowledge_need){.since = 19, .version = 1},
+		&(struct jt_snapshot_request){.since = 19, .version = 1},
 		fixture->now_ms + 2500, &snapshot));
 	assert_int_equal(snapshot.entries.entries_val[0].cold_left_ms, 0);
 	talloc_free(fixture);
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -27,11 +27,11 @@
 	(void)state;
 	jt_follower_watched(&follower, JT_KV_OK, 11, true, 0);
 	normal_ms = follower.due_ms;
-	jt_follower_learning(&follower, true);
+	jt_follower_set_initial_sync(&follower, true);
 	jt_follower_watched(&follower, JT_KV_OK, 12, true, 0);
 	initial_sync_ms = follower.due_ms;
 	assert_true(initial_sync_ms > 0 && initial_sync_ms * 4 <= normal_ms);
-	jt_follower_learning(&follower, false);
+	jt_follower_set_initial_sync(&follower, false);
 	jt_follower_watched(&follower, JT_KV_OK, 13, true, 0);
 	assert_int_equal(follower.due_ms, normal_ms);
 }
@@ -56,11 +56,11 @@
 	(void)state;
 	jt_follower_init(&follower, 1);
 	assert_false(jt_follower_page(&follower, JT_KV_OK, 10, true, 0, 0));
-	assert_true(jt_follower_informed(&follower, 40, 0));
+	assert_true(jt_follower_record_snapshot(&follower, 40, 0));
 	assert_int_equal(jt_follower_next(&follower, 0), JT_FOLLOWER_WATCH);
 	assert_int_equal(follower.revision, 40);
 	/* A follower with a complete listing keeps its own revision. */
-	assert_false(jt_follower_informed(&follower, 60, 0));
+	assert_false(jt_follower_record_snapshot(&follower, 60, 0));
 	assert_int_equal(follower.revision, 40);
 }
 
@@ -89,7 +89,7 @@
 		jt_follower_page(&follower, JT_KV_OK, 10, true, 300, 1300);
 		assert_int_equal(jt_follower_next(&follower, 1300),
 				 JT_FOLLOWER_LIST);
-		assert_false(follower.gave_way);
+		assert_false(follower.yielded);
 	}
 }
 
@@ -179,7 +179,7 @@
 		bool gives_up;
 
 		jt_follower_init(&follower, node);
-		gives_up = jt_follower_gives_way(&follower, ASKED_MS);
+		gives_up = jt_follower_yields_listing(&follower, ASKED_MS);
 		gave_up += gives_up;
 		assert_int_equal(jt_follower_next(&follower, ASKED_MS),
 				 gives_up ? JT_FOLLOWER_WAIT
@@ -187,7 +187,8 @@
 		/* It asks again soon, and then waits for the answer. */
 		assert_int_equal(jt_follower_next(&follower, ASKED_MS + 900),
 				 JT_FOLLOWER_LIST);
-		assert_false(jt_follower_gives_way(&follower, ASKED_MS + 900));
+		assert_false(
+			jt_follower_yields_listing(&follower, ASKED_MS + 900));
 	}
 	assert_in_range(gave_up, NODES * 3 / 4, NODES * 19 / 20);
 }
@@ -205,7 +206,7 @@
 		jt_follower_watched(&follower, JT_KV_COMPACTED, 0, false, 2000);
 		assert_int_equal(jt_follower_next(&follower, 2000),
 				 JT_FOLLOWER_LIST);
-		assert_false(jt_follower_gives_way(&follower, 2150));
+		assert_false(jt_follower_yields_listing(&follower, 2150));
 	}
 }
 
@@ -220,7 +221,7 @@
 
 		jt_follower_init(&follower, node);
 		follower.strength_permille = 500;
-		gave_up += jt_follower_gives_way(&follower, 1000);
+		gave_up += jt_follower_yields_listing(&follower, 1000);
 	}
 	assert_in_range(gave_up, 160, 240);
 }
@@ -234,7 +235,7 @@
 	for (unsigned node = 0; node < 20; node++) {
 		jt_follower_init(&follower, node);
 		jt_follower_page(&follower, JT_KV_OK, 5, true, 10, 1000);
-		assert_false(jt_follower_gives_way(&follower, 1200));
+		assert_false(jt_follower_yields_listing(&follower, 1200));
 	}
 }
 
@@ -254,10 +255,12 @@
 	struct jt_follower follower = follower_watching(10);
 
 	(void)state;
-	assert_false(jt_follower_checked(&follower, JT_KV_OK, 10, 0, 700));
+	assert_false(jt_follower_record_watch_check(&follower, JT_KV_OK, 10, 0,
+						    700));
 	assert_int_equal(follower.as_of_ms, 700);
 	/* A stale answer reports no change. */
-	assert_false(jt_follower_checked(&follower, JT_KV_OK, 8, 0, 1200));
+	assert_false(jt_follower_record_watch_check(&follower, JT_KV_OK, 8, 0,
+						    1200));
 	assert_int_equal(follower.as_of_ms, 1200);
 }
 
@@ -267,9 +270,11 @@
 
 	(void)state;
 	/* The change may be in transit. */
-	assert_false(jt_follower_checked(&follower, JT_KV_OK, 11, 0, 700));
+	assert_false(jt_follower_record_watch_check(&follower, JT_KV_OK, 11, 0,
+						    700));
 	assert_int_equal(follower.as_of_ms, 0);
-	assert_true(jt_follower_checked(&follower, JT_KV_OK, 11, 0, 1200));
+	assert_true(jt_follower_record_watch_check(&follower, JT_KV_OK, 11, 0,
+						   1200));
 }
 
 static void test_watch_that_reports_changes_is_kept(void **state)
@@ -277,10 +282,13 @@
 	struct jt_follower follower = follower_watching(10);
 
 	(void)state;
-	assert_false(jt_follower_checked(&follower, JT_KV_OK, 11, 0, 700));
+	assert_false(jt_follower_record_watch_check(&follower, JT_KV_OK, 11, 0,
+						    700));
 	jt_follower_watched(&follower, JT_KV_OK, 11, true, 750);
-	assert_false(jt_follower_checked(&follower, JT_KV_OK, 12, 1150, 1200));
-	assert_false(jt_follower_checked(&follower, JT_KV_OK, 12, 1150, 1300));
+	assert_false(jt_follower_record_watch_check(&follower, JT_KV_OK, 12,
+						    1150, 1200));
+	assert_false(jt_follower_record_watch_check(&follower, JT_KV_OK, 12,
+						    1150, 1300));
 }
 
 static void test_failed_poll_ends_watch(void **state)
@@ -288,7 +296,8 @@
 	struct jt_follower follower = follower_watching(10);
 
 	(void)state;
-	assert_true(jt_follower_checked(&follower, JT_KV_LOST, 0, 0, 700));
+	assert_true(jt_follower_record_watch_check(&follower, JT_KV_LOST, 0, 0,
+						   700));
 	jt_follower_watched(&follower, JT_KV_LOST, 0, false, 700);
 	/* The next watch is short, so that an answer comes soon. */
 	assert_in_range(jt_follower_wait_ms(&follower), 100, 1000);
@@ -305,16 +314,16 @@
 	(void)state;
 	jt_follower_init(&follower, 1);
 	/* A store that answers, but slowly, is not asked twice. */
-	assert_false(jt_follower_page_checked(&follower, JT_KV_OK));
-	assert_false(jt_follower_page_checked(&follower, JT_KV_OK));
-	assert_false(jt_follower_page_checked(&follower, JT_KV_LOST));
-	assert_false(jt_follower_page_checked(&follower, JT_KV_LOST));
-	assert_true(jt_follower_page_checked(&follower, JT_KV_OK));
-	assert_false(jt_follower_page_checked(&follower, JT_KV_OK));
+	assert_false(jt_follower_record_page_check(&follower, JT_KV_OK));
+	assert_false(jt_follower_record_page_check(&follower, JT_KV_OK));
+	assert_false(jt_follower_record_page_check(&follower, JT_KV_LOST));
+	assert_false(jt_follower_record_page_check(&follower, JT_KV_LOST));
+	assert_true(jt_follower_record_page_check(&follower, JT_KV_OK));
+	assert_false(jt_follower_record_page_check(&follower, JT_KV_OK));
 	/* A received page clears the recorded failures. */
-	assert_false(jt_follower_page_checked(&follower, JT_KV_LOST));
+	assert_false(jt_follower_record_page_check(&follower, JT_KV_LOST));
 	jt_follower_page(&follower, JT_KV_OK, 10, true, 0, 0);
-	assert_false(jt_follower_page_checked(&follower, JT_KV_OK));
+	assert_false(jt_follower_record_page_check(&follower, JT_KV_OK));
 }
 
 static void test_resumes_at_revision_from_peers(void **state)
@@ -337,7 +346,7 @@
 	struct jt_follower follower;
 
 	jt_follower_init(&follower, 1);
-	jt_follower_read(&follower, JT_READING_CHECKS, 0);
+	jt_follower_set_read_mode(&follower, JT_READ_MODE_CHECK, 0);
 	jt_follower_page(&follower, JT_KV_OK, revision, false, 0, 0);
 	return follower;
 }
@@ -350,7 +359,7 @@
 	assert_int_equal(jt_follower_next(&follower, 0), JT_FOLLOWER_WAIT);
 	assert_int_equal(jt_follower_next(&follower, 1000), JT_FOLLOWER_CHECK);
 	/* Peers have reported revision 12 meanwhile. */
-	jt_follower_asked(&follower, JT_KV_OK, 12, 12, 1000);
+	jt_follower_record_check(&follower, JT_KV_OK, 12, 12, 1000);
 	assert_int_equal(follower.as_of_ms, 1000);
 	assert_int_equal(jt_follower_next(&follower, 1000), JT_FOLLOWER_WAIT);
 	assert_int_equal(jt_follower_next(&follower, 2000), JT_FOLLOWER_CHECK);
@@ -362,13 +371,13 @@
 	uint64_t now_ms = 1000;
 
 	(void)state;
-	jt_follower_asked(&follower, JT_KV_OK, 13, 10, now_ms);
+	jt_follower_record_check(&follower, JT_KV_OK, 13, 10, now_ms);
 	/* The change may be in transit. */
 	assert_int_equal(jt_follower_next(&follower, now_ms), JT_FOLLOWER_WAIT);
 	now_ms += 200;
 	assert_int_equal(jt_follower_next(&follower, now_ms),
 			 JT_FOLLOWER_CHECK);
-	jt_follower_asked(&follower, JT_KV_OK, 13, 10, now_ms);
+	jt_follower_record_check(&follower, JT_KV_OK, 13, 10, now_ms);
 	assert_int_equal(jt_follower_next(&follower, now_ms),
 			 JT_FOLLOWER_WATCH);
 	assert_in_range(jt_follower_wait_ms(&follower), 100, 1000);
@@ -389,7 +398,8 @@
 		uint64_t now_ms = at * 200;
 
 		/* Each change is reported by peers shortly after the poll. */
-		jt_follower_asked(&follower, JT_KV_OK, at, at - 1, now_ms);
+		jt_follower_record_check(&follower, JT_KV_OK, at, at - 1,
+					 now_ms);
 		assert_int_equal(jt_follower_next(&follower, now_ms + 150),
 				 JT_FOLLOWER_CHECK);
 	}
@@ -400,13 +410,13 @@
 	struct jt_follower follower = follower_polling(10);
 
 	(void)state;
-	jt_follower_asked(&follower, JT_KV_UNAVAILABLE, 0, 10, 1000);
+	jt_follower_record_check(&follower, JT_KV_UNAVAILABLE, 0, 10, 1000);
 	assert_int_equal(follower.failures, 1);
-	jt_follower_asked(&follower, JT_KV_LOST, 0, 10, 2000);
+	jt_follower_record_check(&follower, JT_KV_LOST, 0, 10, 2000);
 	assert_int_equal(follower.failures, 2);
 	assert_int_equal(jt_follower_next(&follower, 2000), JT_FOLLOWER_WAIT);
 	assert_int_equal(follower.as_of_ms, 0);
-	jt_follower_asked(&follower, JT_KV_OK, 10, 10, 4000);
+	jt_follower_record_check(&follower, JT_KV_OK, 10, 10, 4000);
 	assert_int_equal(follower.failures, 0);
 }
 
@@ -415,8 +425,8 @@
 	struct jt_follower follower = follower_polling(10);
 
 	(void)state;
-	jt_follower_asked(&follower, JT_KV_OK, 13, 10, 1000);
-	jt_follower_asked(&follower, JT_KV_OK, 13, 10, 1200);
+	jt_follower_record_check(&follower, JT_KV_OK, 13, 10, 1000);
+	jt_follower_record_check(&follower, JT_KV_OK, 13, 10, 1200);
 	jt_follower_watched(&follower, JT_KV_COMPACTED, 0, false, 1200);
 	assert_int_equal(jt_follower_next(&follower, 1200), JT_FOLLOWER_LIST);
 }
@@ -426,8 +436,8 @@
 	struct jt_follower follower = follower_polling(10);
 
 	(void)state;
-	jt_follower_asked(&follower, JT_KV_OK, 10, 10, 1000);
-	jt_follower_read(&follower, JT_READING_WATCHES, 1100);
+	jt_follower_record_check(&follower, JT_KV_OK, 10, 10, 1000);
+	jt_follower_set_read_mode(&follower, JT_READ_MODE_WATCH, 1100);
 	assert_int_equal(jt_follower_next(&follower, 1100), JT_FOLLOWER_WATCH);
 }
 
--- a/tests/test_incarnations.c
+++ b/tests/test_incarnations.c
@@ -686,20 +686,20 @@
 {
 	struct fixture *fixture = fixture_with_started_endpoints(),
 		       *peer = fixture_create(0);
-	const struct jt_knowledge_need need = {0};
+	const struct jt_snapshot_request request = {0};
 	jt_wire_knowledge snapshot;
 	struct jt_director_event event;
 
 	(void)state;
 	restart(fixture, 10);
 	mark_unreadable(fixture, OTHER, 11);
-	assert_true(jt_knowledge_write(fixture, fixture->director, &need,
-				       fixture->now_ms, &snapshot));
+	assert_true(jt_snapshot_write(fixture, fixture->director, &request,
+				      fixture->now_ms, &snapshot));
 	assert_int_equal(snapshot.entries.entries_len, 2);
 	fixture_set_routing(peer, 1, 50, 50);
 	for (u_int i = 0; i < snapshot.entries.entries_len; i++) {
-		assert_true(jt_knowledge_entry(&snapshot.entries.entries_val[i],
-					       &event));
+		assert_true(jt_snapshot_entry_event(
+			&snapshot.entries.entries_val[i], &event));
 		fixture_handle(peer, &event);
 	}
 	assert_int_equal(incarnation_of(peer, RESTARTED)->entry.start_time_ms,
--- a/tests/test_knowledge_fetch.c
+++ b/tests/test_knowledge_fetch.c
@@ -2,7 +2,7 @@
  * send budget of a serving node. */
 #include "test.h"
 
-#include "jt_knowledge_fetch.h"
+#include "jt_snapshot_fetch.h"
 #include "jt_serve_budget.h"
 
 enum { NOW_MS = 100000, ANSWER_BYTES = 25000 };
@@ -22,43 +22,43 @@
 static void test_fetch_continues_at_another_peer(void **state)
 {
 	struct jt_own_state own = {0};
-	struct jt_knowledge_fetch fetch = {0};
+	struct jt_snapshot_fetch fetch = {0};
 	jt_wire_knowledge part;
 
 	(void)state;
-	assert_int_equal(jt_knowledge_fetch_need(&fetch, &own).slice, 0);
+	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).slice, 0);
 	part = make_part(0, 300, 40);
-	assert_false(jt_knowledge_fetch_took(&fetch, &part, NOW_MS));
+	assert_false(jt_snapshot_fetch_record(&fetch, &part, NOW_MS));
 	/* The next peer is asked only for the remaining slices. */
-	assert_int_equal(jt_knowledge_fetch_need(&fetch, &own).slice, 300);
+	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).slice, 300);
 	part = make_part(300, 700, 30);
 	part.store_age_ms = 500;
 	part.store_reader = 6;
 	part.initial_sync_ms = 70;
-	assert_false(jt_knowledge_fetch_took(&fetch, &part, NOW_MS));
+	assert_false(jt_snapshot_fetch_record(&fetch, &part, NOW_MS));
 	part = make_part(700, JT_DIRECTOR_SLICES, 50);
-	assert_true(jt_knowledge_fetch_took(&fetch, &part, NOW_MS));
+	assert_true(jt_snapshot_fetch_record(&fetch, &part, NOW_MS));
 	/* The result has the revision and age of the least current peer. */
 	assert_int_equal(fetch.revision, 30);
 	assert_int_equal(fetch.initial_sync_ms, 70);
 	assert_int_equal(fetch.store_as_of_ms, NOW_MS - 500);
 	assert_int_equal(fetch.store_reader, 6);
 	/* The next fetch starts at the first slice. */
-	assert_int_equal(jt_knowledge_fetch_need(&fetch, &own).slice, 0);
+	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).slice, 0);
 }
 
 static void test_since_is_fixed_during_fetch(void **state)
 {
 	struct jt_own_state own = {.started = true, .revision = 20};
-	struct jt_knowledge_fetch fetch = {0};
+	struct jt_snapshot_fetch fetch = {0};
 	jt_wire_knowledge part = make_part(0, 300, 40);
 
 	(void)state;
 	part.since = 20;
-	assert_int_equal(jt_knowledge_fetch_need(&fetch, &own).since, 20);
-	assert_false(jt_knowledge_fetch_took(&fetch, &part, NOW_MS));
+	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).since, 20);
+	assert_false(jt_snapshot_fetch_record(&fetch, &part, NOW_MS));
 	own.revision = 25;
-	assert_int_equal(jt_knowledge_fetch_need(&fetch, &own).since, 20);
+	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).since, 20);
 }
 
 /* An interrupted fetch restarts if gossip updates have delivered its changes
@@ -66,37 +66,37 @@
 static void test_outdated_fetch_restarts(void **state)
 {
 	struct jt_own_state own = {.started = true, .revision = 20};
-	struct jt_knowledge_fetch fetch = {0};
+	struct jt_snapshot_fetch fetch = {0};
 	jt_wire_knowledge part = make_part(0, 300, 40);
 
 	(void)state;
 	part.since = 20;
-	(void)jt_knowledge_fetch_need(&fetch, &own);
-	assert_false(jt_knowledge_fetch_took(&fetch, &part, NOW_MS));
+	(void)jt_snapshot_fetch_request(&fetch, &own);
+	assert_false(jt_snapshot_fetch_record(&fetch, &part, NOW_MS));
 	own.revision = 39;
-	assert_int_equal(jt_knowledge_fetch_need(&fetch, &own).slice, 300);
+	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).slice, 300);
 	own.revision = 40;
-	assert_int_equal(jt_knowledge_fetch_need(&fetch, &own).slice, 0);
-	assert_int_equal(jt_knowledge_fetch_need(&fetch, &own).since, 40);
+	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).slice, 0);
+	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).since, 40);
 }
 
 static void test_unexpected_answers_are_ignored(void **state)
 {
 	const struct jt_own_state own = {0};
-	struct jt_knowledge_fetch fetch = {0};
+	struct jt_snapshot_fetch fetch = {0};
 	jt_wire_knowledge late = make_part(0, JT_DIRECTOR_SLICES, 40);
 	jt_wire_knowledge wrong_slice = make_part(300, JT_DIRECTOR_SLICES, 40);
 	jt_wire_knowledge empty = make_part(0, 0, 40);
 	jt_wire_knowledge wrong_since = make_part(0, JT_DIRECTOR_SLICES, 40);
 
 	(void)state;
-	assert_false(jt_knowledge_fetch_took(&fetch, &late, NOW_MS));
-	(void)jt_knowledge_fetch_need(&fetch, &own);
-	assert_false(jt_knowledge_fetch_took(&fetch, &wrong_slice, NOW_MS));
-	assert_false(jt_knowledge_fetch_took(&fetch, &empty, NOW_MS));
+	assert_false(jt_snapshot_fetch_record(&fetch, &late, NOW_MS));
+	(void)jt_snapshot_fetch_request(&fetch, &own);
+	assert_false(jt_snapshot_fetch_record(&fetch, &wrong_slice, NOW_MS));
+	assert_false(jt_snapshot_fetch_record(&fetch, &empty, NOW_MS));
 	wrong_since.since = 1;
-	assert_false(jt_knowledge_fetch_took(&fetch, &wrong_since, NOW_MS));
-	assert_int_equal(jt_knowledge_fetch_need(&fetch, &own).slice, 0);
+	assert_false(jt_snapshot_fetch_record(&fetch, &wrong_since, NOW_MS));
+	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).slice, 0);
 }
 
 /* Half of a 20 Mbit/s link is available: an answer takes 20 ms. */
--- a/tests/test_learning.c
+++ b/tests/test_learning.c
@@ -125,9 +125,9 @@
 
 	(void)state;
 	from->now_ms += 500;
-	assert_true(jt_knowledge_write(from, from->director,
-				       &(struct jt_knowledge_need){0},
-				       from->now_ms, &snapshot));
+	assert_true(jt_snapshot_write(from, from->director,
+				      &(struct jt_snapshot_request){0},
+				      from->now_ms, &snapshot));
 	assert_int_equal(snapshot.initial_sync_ms, INITIAL_SYNC_MS - 500);
 	fixture_set_routing(to, 1, 50, 50);
 	fixture_end_snapshot(to, 2, snapshot.initial_sync_ms);
--- a/tests/test_leave.c
+++ b/tests/test_leave.c
@@ -35,7 +35,7 @@
 static enum jt_leave_stage step_alone(struct jt_leave *leave, size_t elsewhere,
 				      uint64_t now_ms)
 {
-	const struct jt_zone_view zone = {.elsewhere = elsewhere};
+	const struct jt_zone_view zone = {.serving_other_zones = elsewhere};
 
 	return jt_leave_step(leave, &zone, LIMIT_MS, now_ms);
 }
@@ -194,7 +194,7 @@
 	for (size_t before = 0; before < 3; before++) {
 		struct jt_leave leave = leave_create();
 		const struct jt_zone_view zone = {
-			.nodes = 2, .waiting = 2, .before = before};
+			.nodes = 2, .waiting = 2, .waiting_before = before};
 
 		if (jt_leave_step(&leave, &zone, LIMIT_MS, SETTLED_MS) ==
 		    JT_LEAVE_UNREADY)
@@ -208,7 +208,7 @@
 {
 	struct jt_leave leave = leave_create();
 	const struct jt_zone_view zone = {
-		.nodes = 2, .serving = 1, .waiting = 1, .before = 1};
+		.nodes = 2, .serving = 1, .waiting = 1, .waiting_before = 1};
 
 	(void)state;
 	step(&leave, 2, 2, SETTLED_MS);
@@ -253,8 +253,8 @@
 	assert_int_equal(zone.nodes, 5);
 	assert_int_equal(zone.serving, 1);
 	assert_int_equal(zone.waiting, 2);
-	assert_int_equal(zone.before, 1);
-	assert_int_equal(zone.elsewhere, 1);
+	assert_int_equal(zone.waiting_before, 1);
+	assert_int_equal(zone.serving_other_zones, 1);
 	assert_int_equal(zone.removed, 0);
 	talloc_free(membership);
 }
--- a/tests/test_list_gaps.c
+++ b/tests/test_list_gaps.c
@@ -2,49 +2,49 @@
  * before: guards against keeping removed endpoints that such a node's peers
  * still know. */
 #include "director_fixture.h"
-#include "jt_knowledge_fetch.h"
-#include "jt_list_gaps.h"
+#include "jt_snapshot_fetch.h"
+#include "jt_listing_gaps.h"
 
 enum { REMOVED = 0x101, KEPT = 0x102, ADDED = 0x103, LISTED_AT = 19 };
 
 static void test_gap_tracking(void **state)
 {
-	struct jt_list_gaps gaps = {0};
+	struct jt_listing_gaps gaps = {0};
 
 	(void)state;
-	assert_true(jt_list_gaps_know(&gaps, 0));
-	jt_list_gaps_add(&gaps, (struct jt_listing_gap){10, 20});
-	assert_true(jt_list_gaps_know(&gaps, 0));
-	assert_true(jt_list_gaps_know(&gaps, 10));
-	assert_false(jt_list_gaps_know(&gaps, 11));
-	assert_false(jt_list_gaps_know(&gaps, 19));
-	assert_true(jt_list_gaps_know(&gaps, 20));
+	assert_true(jt_listing_gaps_covers(&gaps, 0));
+	jt_listing_gaps_add(&gaps, (struct jt_listing_gap){10, 20});
+	assert_true(jt_listing_gaps_covers(&gaps, 0));
+	assert_true(jt_listing_gaps_covers(&gaps, 10));
+	assert_false(jt_listing_gaps_covers(&gaps, 11));
+	assert_false(jt_listing_gaps_covers(&gaps, 19));
+	assert_true(jt_listing_gaps_covers(&gaps, 20));
 	/* There is no gap between adjacent revisions. */
-	jt_list_gaps_add(&gaps, (struct jt_listing_gap){20, 21});
+	jt_listing_gaps_add(&gaps, (struct jt_listing_gap){20, 21});
 	assert_int_equal(gaps.newest.to, 20);
 	/* Only the newest of several gaps is kept exactly. */
-	jt_list_gaps_add(&gaps, (struct jt_listing_gap){25, 30});
-	assert_false(jt_list_gaps_know(&gaps, 10));
-	assert_true(jt_list_gaps_know(&gaps, 20));
-	assert_false(jt_list_gaps_know(&gaps, 29));
+	jt_listing_gaps_add(&gaps, (struct jt_listing_gap){25, 30});
+	assert_false(jt_listing_gaps_covers(&gaps, 10));
+	assert_true(jt_listing_gaps_covers(&gaps, 20));
+	assert_false(jt_listing_gaps_covers(&gaps, 29));
 	/* An earlier gap reported by a peer. */
-	jt_list_gaps_add(&gaps, (struct jt_listing_gap){21, 24});
-	assert_false(jt_list_gaps_know(&gaps, 22));
-	assert_true(jt_list_gaps_know(&gaps, 24));
-	jt_list_gaps_forget(&gaps, 50);
-	assert_false(jt_list_gaps_know(&gaps, 40));
-	assert_true(jt_list_gaps_know(&gaps, 50));
+	jt_listing_gaps_add(&gaps, (struct jt_listing_gap){21, 24});
+	assert_false(jt_listing_gaps_covers(&gaps, 22));
+	assert_true(jt_listing_gaps_covers(&gaps, 24));
+	jt_listing_gaps_discard_before(&gaps, 50);
+	assert_false(jt_listing_gaps_covers(&gaps, 40));
+	assert_true(jt_listing_gaps_covers(&gaps, 50));
 }
 
 static void test_gap_after_revision(void **state)
 {
-	struct jt_list_gaps gaps = {.newest = {10, 20}};
+	struct jt_listing_gaps gaps = {.newest = {10, 20}};
 
 	(void)state;
-	assert_int_equal(jt_list_gaps_after(&gaps, 5).from, 10);
-	assert_int_equal(jt_list_gaps_after(&gaps, 15).from, 15);
-	assert_int_equal(jt_list_gaps_after(&gaps, 15).to, 20);
-	assert_int_equal(jt_list_gaps_after(&gaps, 20).to, 0);
+	assert_int_equal(jt_listing_gaps_after(&gaps, 5).from, 10);
+	assert_int_equal(jt_listing_gaps_after(&gaps, 15).from, 15);
+	assert_int_equal(jt_listing_gaps_after(&gaps, 15).to, 20);
+	assert_int_equal(jt_listing_gaps_after(&gaps, 20).to, 0);
 }
 
 /* Creates a node that has watched all changes up to the revision before the
@@ -76,34 +76,36 @@
 static void write_snapshot(struct fixture *fixture, uint64_t since,
 			   jt_wire_knowledge *snapshot)
 {
-	const struct jt_knowledge_need need = {.since = since, .version = 1};
+	const struct jt_snapshot_request request = {.since = since,
+						    .version = 1};
 
-	assert_true(jt_knowledge_write(fixture, fixture->director, &need,
-				       fixture->now_ms, snapshot));
+	assert_true(jt_snapshot_write(fixture, fixture->director, &request,
+				      fixture->now_ms, snapshot));
 }
 
 /* Applies a peer's snapshot as the driver does. */
 static void apply_snapshot(struct fixture *fixture,
 			   const jt_wire_knowledge *snapshot, uint64_t since)
 {
-	struct jt_knowledge_fetch fetch = {0};
+	struct jt_snapshot_fetch fetch = {0};
 	const struct jt_own_state own = {
 		.started = since > 0, .revision = since, .routing_version = 1};
 	struct jt_director_event event;
 
-	(void)jt_knowledge_fetch_need(&fetch, &own);
+	(void)jt_snapshot_fetch_request(&fetch, &own);
 	for (u_int i = 0; i < snapshot->entries.entries_len; i++) {
-		if (jt_knowledge_entry(&snapshot->entries.entries_val[i],
-				       &event))
+		if (jt_snapshot_entry_event(&snapshot->entries.entries_val[i],
+					    &event))
 			fixture_handle(fixture, &event);
 	}
-	if (jt_knowledge_slices(fixture, snapshot, &event))
+	if (jt_snapshot_slices_event(fixture, snapshot, &event))
 		fixture_handle(fixture, &event);
-	assert_true(jt_knowledge_fetch_took(&fetch, snapshot, fixture->now_ms));
+	assert_true(
+		jt_snapshot_fetch_record(&fetch, snapshot, fixture->now_ms));
 	event = (struct jt_director_event){.kind = JT_DIRECTOR_PEER_SNAPSHOT};
 	event.u.listed.revision = fetch.revision;
 	event.u.listed.gap = fetch.gap;
-	event.u.listed.incomplete_before = fetch.forgotten;
+	event.u.listed.incomplete_before = fetch.incomplete_before;
 	fixture_handle(fixture, &event);
 }
 
@@ -206,11 +208,11 @@
 	(void)state;
 	write_snapshot(listing, 18, &snapshot);
 	snapshot.complete = FALSE;
-	assert_false(jt_knowledge_slices(watching, &snapshot, &event));
+	assert_false(jt_snapshot_slices_event(watching, &snapshot, &event));
 	/* A partial snapshot doesn't either. */
 	snapshot.complete = TRUE;
 	snapshot.slice_next = snapshot.slice;
-	assert_false(jt_knowledge_slices(watching, &snapshot, &event));
+	assert_false(jt_snapshot_slices_event(watching, &snapshot, &event));
 	talloc_free(watching);
 	talloc_free(listing);
 }
@@ -226,7 +228,7 @@
 	(void)state;
 	fixture_add_endpoint(watching, ADDED, SERVICE_BOARD, ZONE_A, 30);
 	write_snapshot(listing, 18, &snapshot);
-	assert_true(jt_knowledge_slices(watching, &snapshot, &event));
+	assert_true(jt_snapshot_slices_event(watching, &snapshot, &event));
 	fixture_handle(watching, &event);
 	assert_int_equal(endpoint_state(watching, ADDED), JT_INCARNATION_READY);
 	assert_int_equal(endpoint_state(watching, REMOVED),
--- a/tests/test_many_endpoints.c
+++ b/tests/test_many_endpoints.c
@@ -1,7 +1,7 @@
 /* Tests a large number of endpoints, and endpoint ids that share a label. */
 #include "director_fixture.h"
 #include "jt_director_private.h"
-#include "jt_knowledge_fetch.h"
+#include "jt_snapshot_fetch.h"
 
 #include <math.h>
 
@@ -51,7 +51,7 @@
 {
 	struct fixture *from = fixture_with_endpoints(ENDPOINTS);
 	struct fixture *to = fixture_create(0);
-	struct jt_knowledge_fetch fetch = {0};
+	struct jt_snapshot_fetch fetch = {0};
 	const struct jt_own_state own = {0};
 	struct jt_director_event event;
 	jt_wire_knowledge snapshot;
@@ -61,20 +61,20 @@
 	(void)state;
 	fixture_set_routing(to, 1, 50, 50);
 	while (!complete) {
-		const struct jt_knowledge_need need =
-			jt_knowledge_fetch_need(&fetch, &own);
+		const struct jt_snapshot_request request =
+			jt_snapshot_fetch_request(&fetch, &own);
 
-		assert_true(jt_knowledge_write(to, from->director, &need,
-					       from->now_ms, &snapshot));
+		assert_true(jt_snapshot_write(to, from->director, &request,
+					      from->now_ms, &snapshot));
 		for (u_int i = 0; i < snapshot.entries.entries_len; i++) {
-			assert_true(jt_knowledge_entry(
+			assert_true(jt_snapshot_entry_event(
 				&snapshot.entries.entries_val[i], &event));
 			fixture_handle(to, &event);
 		}
 		if (snapshot.entries.entries_len > most)
 			most = snapshot.entries.entries_len;
-		complete = jt_knowledge_fetch_took(&fetch, &snapshot,
-						   from->now_ms);
+		complete = jt_snapshot_fetch_record(&fetch, &snapshot,
+						    from->now_ms);
 	}
 	assert_in_range(most, 1, ENDPOINTS / 20);
 	assert_int_equal(fetch.revision, 2 + ENDPOINTS);
@@ -90,22 +90,22 @@
 static void test_starting_node_sends_some_endpoints(void **state)
 {
 	struct fixture *from = fixture_create(0);
-	struct jt_knowledge_fetch fetch = {0};
+	struct jt_snapshot_fetch fetch = {0};
 	const struct jt_own_state own = {0};
-	const struct jt_knowledge_need need =
-		jt_knowledge_fetch_need(&fetch, &own);
+	const struct jt_snapshot_request request =
+		jt_snapshot_fetch_request(&fetch, &own);
 	jt_wire_knowledge snapshot;
 
 	(void)state;
 	fixture_set_routing(from, 1, 50, 50);
 	for (uint32_t i = 0; i < 2000; i++)
 		fixture_set_entry(from, make_numbered_entry(i));
-	assert_true(jt_knowledge_write(from, from->director, &need,
-				       from->now_ms, &snapshot));
+	assert_true(jt_snapshot_write(from, from->director, &request,
+				      from->now_ms, &snapshot));
 	assert_in_range(snapshot.entries.entries_len, 1, 600);
 	assert_int_equal(snapshot.routing.number, 1);
-	assert_false(jt_knowledge_fetch_took(&fetch, &snapshot, from->now_ms));
-	assert_int_equal(jt_knowledge_fetch_need(&fetch, &own).slice, 0);
+	assert_false(jt_snapshot_fetch_record(&fetch, &snapshot, from->now_ms));
+	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).slice, 0);
 	talloc_free(from);
 }
 
@@ -114,7 +114,7 @@
 {
 	enum { FEW = 200 };
 	struct fixture *from = fixture_create(0);
-	const struct jt_knowledge_need need = {0};
+	const struct jt_snapshot_request request = {0};
 	jt_wire_knowledge snapshot;
 	u_int least = FEW;
 
@@ -123,8 +123,8 @@
 	for (uint32_t i = 0; i < FEW; i++)
 		fixture_set_entry(from, make_numbered_entry(i));
 	for (uint64_t ms = 0; ms < 2 * JT_DIRECTOR_SLICES; ms++) {
-		assert_true(jt_knowledge_write(from, from->director, &need,
-					       from->now_ms + ms, &snapshot));
+		assert_true(jt_snapshot_write(from, from->director, &request,
+					      from->now_ms + ms, &snapshot));
 		if (snapshot.entries.entries_len < least)
 			least = snapshot.entries.entries_len;
 	}
--- a/tests/test_mechanisms.c
+++ b/tests/test_mechanisms.c
@@ -354,7 +354,8 @@
 
 		for (int i = 0; i < 200; i++) {
 			struct jt_address targets[JT_DIGEST_FANOUT];
-			size_t count = jt_membership_round(membership, targets);
+			size_t count = jt_membership_digest_targets(membership,
+								    targets);
 
 			for (size_t t = 0; t < count; t++)
 				nearby[off] += targets[t].ip % 5 == 0;
@@ -371,15 +372,15 @@
 		uint32_t disabled_features;
 		uint64_t peers;
 		uint32_t weight;
-		enum jt_reading_turn turn;
+		enum jt_reader_rank rank;
 	} cases[] = {
-		{0, 12, 500, JT_TURN_NONE},
-		{JT_MECHANISM_FEW_READERS, 12, 500, JT_TURN_OF_ALL},
-		{0, 12, 1000, JT_TURN_OF_ZONE},
-		{JT_MECHANISM_ONE_WATCHER, 12, 1000, JT_TURN_OF_ALL},
+		{0, 12, 500, JT_READER_RANK_NONE},
+		{JT_MECHANISM_FEW_READERS, 12, 500, JT_READER_RANK_WATCHER},
+		{0, 12, 1000, JT_READER_RANK_ZONE},
+		{JT_MECHANISM_ONE_WATCHER, 12, 1000, JT_READER_RANK_WATCHER},
 		/* With many nodes each zone has its own reader. */
-		{0, 40, 500, JT_TURN_NONE},
-		{0, 40, 1000, JT_TURN_OF_ALL},
+		{0, 40, 500, JT_READER_RANK_NONE},
+		{0, 40, 1000, JT_READER_RANK_WATCHER},
 	};
 
 	(void)state;
@@ -394,8 +395,8 @@
 		membership->id = 1;
 		jt_membership_digest(membership, 7, stronger, &digest, 1000);
 		assert_int_equal(
-			jt_membership_reading_turn(membership, cases[i].weight),
-			cases[i].turn);
+			jt_membership_reader_rank(membership, cases[i].weight),
+			cases[i].rank);
 		talloc_free(membership);
 	}
 }
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -51,7 +51,8 @@
 		while (jt_membership_next_lost(members[i].membership, now_ms) !=
 		       NULL)
 			continue;
-		count = jt_membership_round(members[i].membership, targets);
+		count = jt_membership_digest_targets(members[i].membership,
+						     targets);
 		jt_membership_own_digest(members[i].membership, frame,
 					 &members[i].own, now_ms, &digest);
 		for (size_t t = 0; t < count; t++) {
@@ -137,8 +138,9 @@
 	unsigned other_zone = 0;
 
 	for (int update = 0; update < 1000; update++) {
-		struct jt_address targets[JT_NEWS_FANOUT];
-		size_t count = jt_membership_news_targets(membership, targets);
+		struct jt_address targets[JT_UPDATE_FANOUT];
+		size_t count =
+			jt_membership_update_targets(membership, targets);
 
 		for (size_t t = 0; t < count; t++)
 			other_zone += (targets[t].ip - 0x0a000000) % 4 != 0;
@@ -166,7 +168,8 @@
 	(void)state;
 	for (int round = 0; round < 400; round++) {
 		struct jt_address targets[JT_DIGEST_FANOUT];
-		size_t count = jt_membership_round(membership, targets);
+		size_t count =
+			jt_membership_digest_targets(membership, targets);
 
 		for (size_t t = 0; t < count; t++) {
 			same_zone += (targets[t].ip - 0x0a000000) % 4 == 0;
@@ -312,7 +315,7 @@
 			     uint64_t now_ms)
 {
 	const struct jt_own_state own = {
-		.started = true, .revision = 12, .weight = WEAK};
+		.started = true, .revision = 12, .reader_capacity = WEAK};
 	TALLOC_CTX *frame = talloc_new(seed);
 	jt_wire_digest digest;
 
@@ -342,7 +345,7 @@
 		source = jt_membership_fetch(starting_node, &own, 1101);
 		assert_non_null(source);
 		from_seed += source->id == seed->id;
-		from_strong += source->weight == STRONG;
+		from_strong += source->reader_capacity == STRONG;
 		talloc_free(starting_node);
 	}
 	assert_in_range(from_seed, 0, 10);
@@ -422,24 +425,26 @@
 		jt_membership_create(NULL, 1, address_of(0), 1);
 	const struct jt_own_state own = {.started = true, .revision = 11};
 	jt_wire_digest digest = {.revision = 12, .started = TRUE};
-	const jt_wire_standing standing = {
+	const jt_wire_standing availability = {
 		.zone = 1, .started = TRUE, .ready = TRUE};
 
 	(void)state;
-	assert_true(jt_membership_standing(membership, 2, address_of(1),
-					   &standing, 1000));
-	assert_false(jt_membership_standing(membership, 2, address_of(1),
-					    &standing, 1001));
+	assert_true(jt_membership_record_availability(
+		membership, 2, address_of(1), &availability, 1000));
+	assert_false(jt_membership_record_availability(
+		membership, 2, address_of(1), &availability, 1001));
 	assert_int_equal(jt_membership_zone(membership, 1001).serving, 1);
 	assert_null(jt_membership_fetch(membership, &own, 2000));
 	assert_null(jt_membership_fetch(membership, &own, 3000));
 	/* A digest counts as long as the incarnation that sent it. */
 	jt_membership_digest(membership, 2, address_of(1), &digest, 3001);
-	jt_membership_standing(membership, 2, address_of(1), &standing, 3002);
+	jt_membership_record_availability(membership, 2, address_of(1),
+					  &availability, 3002);
 	assert_null(jt_membership_fetch(membership, &own, 3002));
 	assert_non_null(jt_membership_fetch(membership, &own, 4000));
 	membership->fetching = false;
-	jt_membership_standing(membership, 3, address_of(1), &standing, 4001);
+	jt_membership_record_availability(membership, 3, address_of(1),
+					  &availability, 4001);
 	assert_null(jt_membership_fetch(membership, &own, 4500));
 	assert_null(jt_membership_fetch(membership, &own, 5500));
 	talloc_free(membership);
@@ -457,12 +462,15 @@
 		.zone = 1, .started = TRUE, .leaving = TRUE};
 
 	(void)state;
-	jt_membership_standing(membership, 2, address_of(1), &other_zone, 1000);
+	jt_membership_record_availability(membership, 2, address_of(1),
+					  &other_zone, 1000);
 	assert_int_equal(jt_membership_zone(membership, 7000).removed, 0);
 	assert_int_equal(jt_membership_zone(membership, 9500).removed, 1);
 	/* A node of the own zone would have reported meanwhile. */
-	jt_membership_standing(membership, 3, address_of(2), &same_zone, 10000);
-	jt_membership_standing(membership, 2, address_of(1), &same_zone, 10000);
+	jt_membership_record_availability(membership, 3, address_of(2),
+					  &same_zone, 10000);
+	jt_membership_record_availability(membership, 2, address_of(1),
+					  &same_zone, 10000);
 	assert_int_equal(jt_membership_zone(membership, 11000).removed, 0);
 	assert_int_equal(jt_membership_zone(membership, 11600).removed, 2);
 	talloc_free(membership);
@@ -473,8 +481,9 @@
 				int count, jt_wire_standing availability)
 {
 	for (int i = first; i < first + count; i++)
-		jt_membership_standing(membership, 100 + (uint64_t)i,
-				       address_of(i), &availability, 1000);
+		jt_membership_record_availability(membership, 100 + (uint64_t)i,
+						  address_of(i), &availability,
+						  1000);
 }
 
 static bool is_target(const struct jt_address *targets, size_t count, int index)
@@ -499,16 +508,17 @@
 	const jt_wire_standing starting = {.zone = 1};
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
-	struct jt_address targets[JT_FLOW_FANOUT];
+	struct jt_address targets[JT_FLOW_LOOKUP_FANOUT];
 	size_t count;
 
 	(void)state;
-	assert_int_equal(jt_membership_flow_targets(membership, targets), 0);
+	assert_int_equal(jt_membership_flow_lookup_targets(membership, targets),
+			 0);
 	report_availability(membership, 1, 10, serving);
 	report_availability(membership, 11, 10, other_zone);
 	report_availability(membership, 21, 1, other_zone_leaving);
 	report_availability(membership, 22, 1, starting);
-	count = jt_membership_flow_targets(membership, targets);
+	count = jt_membership_flow_lookup_targets(membership, targets);
 	assert_int_equal(count, 11);
 	for (int i = 1; i <= 10; i++)
 		assert_true(is_target(targets, count, i));
@@ -523,12 +533,12 @@
 		.zone = 2, .started = TRUE, .ready = TRUE};
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
-	struct jt_address targets[JT_FLOW_FANOUT];
+	struct jt_address targets[JT_FLOW_LOOKUP_FANOUT];
 
 	(void)state;
 	report_availability(membership, 1, 20, other_zone);
-	assert_int_equal(jt_membership_flow_targets(membership, targets),
-			 JT_FLOW_FANOUT_FAR);
+	assert_int_equal(jt_membership_flow_lookup_targets(membership, targets),
+			 JT_FLOW_LOOKUP_FANOUT_OTHER_ZONES);
 	talloc_free(membership);
 }
 
@@ -542,17 +552,18 @@
 		.zone = 1, .started = TRUE, .leaving = TRUE};
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
-	struct jt_address targets[JT_FLOW_FANOUT];
+	struct jt_address targets[JT_FLOW_LOOKUP_FANOUT];
 
 	(void)state;
 	report_availability(membership, 1, 2000, serving);
 	report_availability(membership, 2001, 3, leaving);
 	for (int i = 0; i < 20; i++) {
 		assert_int_equal(
-			jt_membership_flow_targets(membership, targets),
-			JT_FLOW_FANOUT);
+			jt_membership_flow_lookup_targets(membership, targets),
+			JT_FLOW_LOOKUP_FANOUT);
 		for (int node = 2001; node <= 2003; node++)
-			assert_true(is_target(targets, JT_FLOW_FANOUT, node));
+			assert_true(is_target(targets, JT_FLOW_LOOKUP_FANOUT,
+					      node));
 	}
 	talloc_free(membership);
 }
@@ -598,7 +609,7 @@
 	assert_non_null(peer);
 	assert_int_equal(peer->id, 1002);
 	jt_membership_fetched(membership, JT_FETCH_BUSY, 1010);
-	own.places = true;
+	own.accepts_flows = true;
 	assert_null(jt_membership_fetch(membership, &own, 2000));
 	digest.started = true;
 	jt_membership_digest(membership, 1003, address_of(3), &digest, 2000);
--- a/tests/test_peer_loads.c
+++ b/tests/test_peer_loads.c
@@ -66,7 +66,7 @@
 			report_random(&random, peers, reports, now_ms);
 		assert_true(jt_peer_loads_mean(peers, label + 1, now_ms) ==
 			    reference_mean(reports, label, now_ms));
-		assert_true(jt_peer_loads_work(peers, label + 1, now_ms) ==
+		assert_true(jt_peer_loads_mean_load(peers, label + 1, now_ms) ==
 			    2 * reference_mean(reports, label, now_ms));
 	}
 	talloc_free(peers);
--- a/tests/test_reader.c
+++ b/tests/test_reader.c
@@ -12,7 +12,7 @@
 	struct jt_reader reader;
 
 	jt_reader_init(&reader, LIMIT_MS, 7);
-	jt_reader_heard(&reader, now_ms, OTHER);
+	jt_reader_record_peer(&reader, now_ms, OTHER);
 	return reader;
 }
 
@@ -38,7 +38,7 @@
 
 	(void)state;
 	for (uint64_t now_ms = 1000; now_ms < 20000; now_ms += 100) {
-		jt_reader_heard(&reader, now_ms - 400, OTHER);
+		jt_reader_record_peer(&reader, now_ms - 400, OTHER);
 		assert_false(jt_reader_decide(&reader, false, true, now_ms));
 	}
 }
@@ -55,7 +55,7 @@
 	jt_reader_read(&reader, 6000);
 	assert_true(jt_reader_decide(&reader, false, true, 6000));
 	/* A report from another reader stops it. */
-	jt_reader_heard(&reader, 5900, OTHER);
+	jt_reader_record_peer(&reader, 5900, OTHER);
 	assert_false(jt_reader_decide(&reader, false, true, 6000));
 }
 
@@ -68,7 +68,7 @@
 		struct jt_reader reader;
 
 		jt_reader_init(&reader, LIMIT_MS, seed);
-		jt_reader_heard(&reader, 1000, OTHER);
+		jt_reader_record_peer(&reader, 1000, OTHER);
 		reading += jt_reader_decide(&reader, false, true,
 					    1000 + LIMIT_MS + LIMIT_MS / 8);
 	}
@@ -83,7 +83,7 @@
 	(void)state;
 	assert_int_equal(jt_reader_as_of(&reader, SELF, &from), 1000);
 	assert_int_equal(from, OTHER);
-	jt_reader_heard(&reader, 900, 3); /* arrives late */
+	jt_reader_record_peer(&reader, 900, 3); /* arrives late */
 	jt_reader_read(&reader, 1200);
 	assert_int_equal(jt_reader_as_of(&reader, SELF, &from), 1200);
 	assert_int_equal(from, SELF);
@@ -138,18 +138,23 @@
 	struct jt_reader reader = reader_at(1000);
 
 	(void)state;
-	assert_int_equal(jt_reader_decide(&reader, JT_TURN_OF_ALL, true, 1000),
-			 JT_READING_CHECKS);
-	assert_int_equal(jt_reader_decide(&reader, JT_TURN_OF_ALL, true, 3000),
-			 JT_READING_WATCHES);
-	assert_int_equal(jt_reader_decide(&reader, JT_TURN_OF_ZONE, true, 4000),
-			 JT_READING_CHECKS);
+	assert_int_equal(
+		jt_reader_decide(&reader, JT_READER_RANK_WATCHER, true, 1000),
+		JT_READ_MODE_CHECK);
+	assert_int_equal(
+		jt_reader_decide(&reader, JT_READER_RANK_WATCHER, true, 3000),
+		JT_READ_MODE_WATCH);
+	assert_int_equal(
+		jt_reader_decide(&reader, JT_READER_RANK_ZONE, true, 4000),
+		JT_READ_MODE_CHECK);
 	/* A node with stale state polls; it does not watch. */
-	assert_int_equal(jt_reader_decide(&reader, JT_TURN_NONE, true, 5000),
-			 JT_READING_CHECKS);
-	jt_reader_heard(&reader, 9000, OTHER);
-	assert_int_equal(jt_reader_decide(&reader, JT_TURN_NONE, true, 9000),
-			 JT_READING_NOT);
+	assert_int_equal(
+		jt_reader_decide(&reader, JT_READER_RANK_NONE, true, 5000),
+		JT_READ_MODE_CHECK);
+	jt_reader_record_peer(&reader, 9000, OTHER);
+	assert_int_equal(
+		jt_reader_decide(&reader, JT_READER_RANK_NONE, true, 9000),
+		JT_READ_MODE_NONE);
 }
 
 enum { MANY_NODES = 300 };
@@ -165,17 +170,18 @@
 		uint64_t now_ms = 1000 + 2 * LIMIT_MS;
 
 		jt_reader_init(&reader, LIMIT_MS, seed);
-		jt_reader_heard(&reader, 1000, OTHER);
+		jt_reader_record_peer(&reader, 1000, OTHER);
 		if (peers)
-			jt_reader_told(&reader, 1000, OTHER, now_ms);
-		assert_int_equal(
-			jt_reader_decide(&reader, JT_TURN_NONE, true, now_ms),
-			JT_READING_CHECKS);
+			jt_reader_record_report(&reader, 1000, OTHER, now_ms);
+		assert_int_equal(jt_reader_decide(&reader, JT_READER_RANK_NONE,
+						  true, now_ms),
+				 JT_READ_MODE_CHECK);
 		jt_reader_failed(&reader, MANY_NODES, now_ms);
 		if (peers)
-			jt_reader_told(&reader, 1000, OTHER, now_ms + 900);
-		retries += jt_reader_decide(&reader, JT_TURN_NONE, true,
-					    now_ms + 1000) != JT_READING_NOT;
+			jt_reader_record_report(&reader, 1000, OTHER,
+						now_ms + 900);
+		retries += jt_reader_decide(&reader, JT_READER_RANK_NONE, true,
+					    now_ms + 1000) != JT_READ_MODE_NONE;
 	}
 	return retries;
 }
@@ -195,21 +201,26 @@
 	struct jt_reader reader = reader_at(1000);
 
 	(void)state;
-	assert_int_equal(jt_reader_decide(&reader, JT_TURN_OF_ALL, true, 1000),
-			 JT_READING_CHECKS);
+	assert_int_equal(
+		jt_reader_decide(&reader, JT_READER_RANK_WATCHER, true, 1000),
+		JT_READ_MODE_CHECK);
 	for (uint64_t now_ms = 1000; now_ms <= 9000; now_ms += 100) {
-		jt_reader_heard(&reader, now_ms - 300, OTHER);
-		jt_reader_told(&reader, now_ms - 300, OTHER, now_ms);
-		(void)jt_reader_decide(&reader, JT_TURN_OF_ALL, true, now_ms);
+		jt_reader_record_peer(&reader, now_ms - 300, OTHER);
+		jt_reader_record_report(&reader, now_ms - 300, OTHER, now_ms);
+		(void)jt_reader_decide(&reader, JT_READER_RANK_WATCHER, true,
+				       now_ms);
 	}
 	jt_reader_failed(&reader, MANY_NODES, 9000);
-	assert_int_equal(jt_reader_decide(&reader, JT_TURN_NONE, true, 9100),
-			 JT_READING_WATCHES);
-	assert_int_equal(jt_reader_decide(&reader, JT_TURN_NONE, true, 9900),
-			 JT_READING_WATCHES);
-	jt_reader_heard(&reader, 10000, OTHER);
-	assert_int_equal(jt_reader_decide(&reader, JT_TURN_NONE, true, 10100),
-			 JT_READING_NOT);
+	assert_int_equal(
+		jt_reader_decide(&reader, JT_READER_RANK_NONE, true, 9100),
+		JT_READ_MODE_WATCH);
+	assert_int_equal(
+		jt_reader_decide(&reader, JT_READER_RANK_NONE, true, 9900),
+		JT_READ_MODE_WATCH);
+	jt_reader_record_peer(&reader, 10000, OTHER);
+	assert_int_equal(
+		jt_reader_decide(&reader, JT_READER_RANK_NONE, true, 10100),
+		JT_READ_MODE_NONE);
 }
 
 /* A node without peers always retries: no other node does it instead. */
@@ -249,14 +260,14 @@
 	receive_digest(membership, 60, 1, WEIGHT);
 	receive_digest(membership, 61, 2, WEIGHT);
 	receive_digest(membership, 62, 3, WEIGHT);
-	assert_true(jt_membership_reads_first(membership, WEIGHT));
+	assert_true(jt_membership_is_preferred_reader(membership, WEIGHT));
 	receive_digest(membership, 40, 1, WEIGHT);
-	assert_false(jt_membership_reads_first(membership, WEIGHT));
+	assert_false(jt_membership_is_preferred_reader(membership, WEIGHT));
 	/* The reader before it loses the store, or leaves. */
 	receive_digest(membership, 40, 1, 0);
-	assert_true(jt_membership_reads_first(membership, WEIGHT));
+	assert_true(jt_membership_is_preferred_reader(membership, WEIGHT));
 	/* A node that can't read the store is not chosen. */
-	assert_false(jt_membership_reads_first(membership, 0));
+	assert_false(jt_membership_is_preferred_reader(membership, 0));
 	talloc_free(membership);
 }
 
@@ -267,14 +278,14 @@
 	(void)state;
 	receive_digest(membership, 61, 2, WEIGHT);
 	receive_digest(membership, 62, 3, WEIGHT);
-	assert_int_equal(jt_membership_reading_turn(membership, WEIGHT),
-			 JT_TURN_OF_ALL);
+	assert_int_equal(jt_membership_reader_rank(membership, WEIGHT),
+			 JT_READER_RANK_WATCHER);
 	receive_digest(membership, 30, 3, WEIGHT);
-	assert_int_equal(jt_membership_reading_turn(membership, WEIGHT),
-			 JT_TURN_OF_ZONE);
+	assert_int_equal(jt_membership_reader_rank(membership, WEIGHT),
+			 JT_READER_RANK_ZONE);
 	receive_digest(membership, 31, 1, WEIGHT);
-	assert_int_equal(jt_membership_reading_turn(membership, WEIGHT),
-			 JT_TURN_NONE);
+	assert_int_equal(jt_membership_reader_rank(membership, WEIGHT),
+			 JT_READER_RANK_NONE);
 	talloc_free(membership);
 }
 
@@ -285,9 +296,9 @@
 	(void)state;
 	receive_digest(membership, 10, 1, WEIGHT);
 	receive_digest(membership, 11, 1, WEIGHT);
-	assert_true(jt_membership_reads_first(membership, WEIGHT));
+	assert_true(jt_membership_is_preferred_reader(membership, WEIGHT));
 	receive_digest(membership, 12, 1, WEIGHT);
-	assert_false(jt_membership_reads_first(membership, WEIGHT));
+	assert_false(jt_membership_is_preferred_reader(membership, WEIGHT));
 	talloc_free(membership);
 }
 
@@ -299,8 +310,8 @@
 	receive_digest(membership, 61, 2, WEIGHT);
 	receive_digest(membership, 62, 3, WEIGHT);
 	receive_digest(membership, 90, 1, WEIGHT * 10);
-	assert_false(jt_membership_reads_first(membership, WEIGHT));
-	assert_true(jt_membership_reads_first(membership, WEIGHT * 20));
+	assert_false(jt_membership_is_preferred_reader(membership, WEIGHT));
+	assert_true(jt_membership_is_preferred_reader(membership, WEIGHT * 20));
 	talloc_free(membership);
 }
 
@@ -312,26 +323,27 @@
 	receive_digest(membership, 61, 2, WEIGHT);
 	receive_digest(membership, 62, 3, WEIGHT);
 	receive_digest(membership, 40, 1, WEIGHT);
-	assert_false(jt_membership_reads_first(membership, WEIGHT));
+	assert_false(jt_membership_is_preferred_reader(membership, WEIGHT));
 	while (jt_membership_next_lost(membership, 6000) != NULL)
 		continue;
-	assert_true(jt_membership_reads_first(membership, WEIGHT));
+	assert_true(jt_membership_is_preferred_reader(membership, WEIGHT));
 	talloc_free(membership);
 }
 
 static void test_updates_go_to_few_peers_mostly_in_zone(void **state)
 {
 	struct jt_membership *membership = membership_create(1);
-	struct jt_address targets[JT_NEWS_FANOUT];
+	struct jt_address targets[JT_UPDATE_FANOUT];
 	unsigned same_zone = 0, sent = 0;
 
 	(void)state;
 	for (uint64_t id = 2; id < 62; id++)
 		receive_digest(membership, id, id % 3 == 0 ? 1 : 2, WEIGHT);
 	for (int i = 0; i < 200; i++) {
-		size_t count = jt_membership_news_targets(membership, targets);
+		size_t count =
+			jt_membership_update_targets(membership, targets);
 
-		assert_in_range(count, 1, JT_NEWS_FANOUT);
+		assert_in_range(count, 1, JT_UPDATE_FANOUT);
 		for (size_t t = 0; t < count; t++)
 			same_zone += (targets[t].ip - 0x0a000000) % 3 == 0;
 		sent += (unsigned)count;
@@ -357,15 +369,17 @@
 		struct jt_reader reader;
 
 		jt_reader_init(&reader, 3000, seed);
-		assert_true(jt_reader_list_waits(&reader, NODES, START_MS));
-		assert_true(jt_reader_list_waits(&reader, NODES,
-						 START_MS + PEERS_MS - 1));
-		(void)jt_reader_list_waits(&reader, NODES, START_MS + PEERS_MS);
-		at_once += !jt_reader_list_waits(&reader, NODES,
-						 START_MS + PEERS_MS + 1000);
-		in_time += !jt_reader_list_waits(&reader, NODES,
-						 START_MS + PEERS_MS +
-							 NODES * INTERVAL_MS);
+		assert_true(
+			jt_reader_waits_for_listing(&reader, NODES, START_MS));
+		assert_true(jt_reader_waits_for_listing(
+			&reader, NODES, START_MS + PEERS_MS - 1));
+		(void)jt_reader_waits_for_listing(&reader, NODES,
+						  START_MS + PEERS_MS);
+		at_once += !jt_reader_waits_for_listing(
+			&reader, NODES, START_MS + PEERS_MS + 1000);
+		in_time += !jt_reader_waits_for_listing(
+			&reader, NODES,
+			START_MS + PEERS_MS + NODES * INTERVAL_MS);
 	}
 	/* 40 a second, independent of the number of nodes. */
 	assert_in_range(at_once, 20, 60);
--- a/tests/test_zone_drains.c
+++ b/tests/test_zone_drains.c
@@ -293,13 +293,13 @@
 	fixture_set_zone_drain(fixture, "a", 11, true);
 	fixture_set_zone_drain(fixture, "b", 12, true);
 	fixture_set_zone_drain(fixture, "b", 13, false);
-	assert_true(jt_knowledge_write(
+	assert_true(jt_snapshot_write(
 		fixture, fixture->director,
-		&(struct jt_knowledge_need){.since = 12, .version = 1},
+		&(struct jt_snapshot_request){.since = 12, .version = 1},
 		fixture->now_ms, &snapshot));
 	assert_int_equal(snapshot.zones.zones_len, 2);
-	drains = jt_knowledge_zones(fixture, snapshot.zones.zones_val,
-				    snapshot.zones.zones_len);
+	drains = jt_snapshot_read_zone_drains(fixture, snapshot.zones.zones_val,
+					      snapshot.zones.zones_len);
 	fixture_set_zone_drain(other, "b", 12, true);
 	fixture_set_zone_drains(other, drains, 2, true, 13);
 	assert_int_equal(count_flows_to(other, 40, IN_B), 40);
