--- a/fuzz/fuzz_document.c
+++ b/fuzz/fuzz_document.c
@@ -126,7 +126,7 @@
 	char *body = json_dumps(page, 0);
 	const struct jt_change *last;
 
-	jt_platform_answer(answer, body);
+	jt_platform_answer_parse(answer, body);
 	if (answer->status != JT_KV_OK || answer->change_count < 2 ||
 	    strcmp(answer->last_key, "servers/i-a2") != 0)
 		abort();
@@ -149,7 +149,7 @@
 	char *body = talloc_strndup(answer, (const char *)input->data,
 				    input->remaining);
 
-	jt_platform_answer(answer, body);
+	jt_platform_answer_parse(answer, body);
 	for (size_t i = 0; i < answer->change_count; i++)
 		check_change(&answer->changes[i]);
 	talloc_free(answer);
--- a/src/director/jt_director_log.c
+++ b/src/director/jt_director_log.c
@@ -113,9 +113,9 @@
 		    (unsigned long long)action->age_ms);
 }
 
-void jt_director_log_flow_told(const struct jt_log *log,
-			       const struct jt_flow_key *key, uint32_t label,
-			       uint64_t now_ms)
+void jt_director_log_flow_lookup_response(const struct jt_log *log,
+					  const struct jt_flow_key *key,
+					  uint32_t label, uint64_t now_ms)
 {
 	char flow[FLOW_TEXT];
 
@@ -174,8 +174,8 @@
 		    (unsigned long long)action->revision);
 }
 
-void jt_director_log_room(const struct jt_log *log,
-			  const struct jt_director_action *action)
+void jt_director_log_admission(const struct jt_log *log,
+			       const struct jt_director_action *action)
 {
 	const struct jt_admission_state *admission = &action->admission;
 	bool full = action->kind == JT_DIRECTOR_SERVICE_FULL;
--- a/src/director/jt_director_log.h
+++ b/src/director/jt_director_log.h
@@ -20,9 +20,9 @@
 			     const struct jt_director_action *action,
 			     const char *request, uint64_t now_ms);
 /* Logs a peer's answer to a flow query; @label 0: unknown to the peer. */
-void jt_director_log_flow_told(const struct jt_log *log,
-			       const struct jt_flow_key *key, uint32_t label,
-			       uint64_t now_ms);
+void jt_director_log_flow_lookup_response(const struct jt_log *log,
+					  const struct jt_flow_key *key,
+					  uint32_t label, uint64_t now_ms);
 /* Logs a change in the state of an endpoint. */
 void jt_director_log_endpoint(const struct jt_log *log,
 			      const struct jt_director_action *action,
@@ -36,8 +36,8 @@
 void jt_director_log_zone(const struct jt_log *log,
 			  const struct jt_director_action *action);
 /* Logs that the admission limit of a service was set or lifted. */
-void jt_director_log_room(const struct jt_log *log,
-			  const struct jt_director_action *action);
+void jt_director_log_admission(const struct jt_log *log,
+			       const struct jt_director_action *action);
 /* Logs the number of lines left out or lost, when that is due, and flushes
  * the log. */
 void jt_director_log_flush(const struct jt_log *log, uint64_t now_ms);
--- a/src/director/jt_director_node.c
+++ b/src/director/jt_director_node.c
@@ -41,14 +41,14 @@
 {
 	struct jt_director_node *node = private_data;
 
-	jt_director_node_watch_ready(node);
+	jt_director_node_ready_update(node);
 	if (!node->was_ready) {
 		jt_leave_refused(&node->leave);
 		return false;
 	}
-	if (!node->told_ready) {
-		node->told_ready = true;
-		jt_peer_exchange_tell_all(node->peers);
+	if (!node->ready_reported) {
+		node->ready_reported = true;
+		jt_peer_exchange_availability_send(node->peers);
 	}
 	return true;
 }
@@ -104,8 +104,8 @@
 			      now_ms);
 	if (stage == before)
 		return;
-	jt_director_node_watch_ready(node);
-	jt_peer_exchange_tell_all(node->peers);
+	jt_director_node_ready_update(node);
+	jt_peer_exchange_availability_send(node->peers);
 	if (stage != JT_LEAVE_ENDS) {
 		leave_stage_log(node, "leave_unready", &zone, now_ms);
 		return;
@@ -137,7 +137,7 @@
 	uint64_t late_ms = now_ms - node->tick_due_ms;
 
 	if (node->tick_due_ms != 0 && late_ms >= LATE_TICK_MS) {
-		node->traffic.stood_still_ms += late_ms;
+		node->traffic.tick_delay_ms += late_ms;
 		jt_log_line(node->log, LOG_NOTICE,
 			    "event=stood_still late_ms=%llu log_ms=%llu",
 			    (unsigned long long)late_ms,
@@ -159,14 +159,14 @@
 	event.u.tick.nodes = event.u.tick.peer_count + 1;
 	event.u.tick.node_id = jt_peer_exchange_id(node->peers);
 	event.u.tick.store_age_ms = store_age_ms(node);
-	jt_director_node_event(node, &event);
+	jt_director_node_event_handle(node, &event);
 	talloc_free(peers);
-	jt_director_node_started_look(node);
-	jt_director_node_reader_look(node, event.now_ms);
+	jt_director_node_progress_update(node);
+	jt_director_node_read_mode_update(node, event.now_ms);
 	leave_advance(node, event.now_ms);
 	jt_director_log_flush(node->log, event.now_ms);
 	node->tick_due_ms = event.now_ms + TICK_MS;
-	jt_timer_set(node->tick, TICK_MS);
+	jt_timer_set(node->tick_timer, TICK_MS);
 }
 
 void jt_director_node_leave(struct jt_director_node *node)
@@ -176,7 +176,7 @@
 	jt_leave_begin(&node->leave, jt_clock_ms());
 	jt_log_line(node->log, LOG_NOTICE, "event=leaving limit_ms=%u",
 		    node->settings->leave_limit_ms);
-	jt_peer_exchange_tell_all(node->peers);
+	jt_peer_exchange_availability_send(node->peers);
 }
 
 void jt_director_node_reload(struct jt_director_node *node,
@@ -186,7 +186,7 @@
 
 	node->settings = talloc_steal(node, settings);
 	node->reader.limit_ms = settings->store_age_limit_ms;
-	jt_directory_sync_move(node->sync, settings->store);
+	jt_directory_sync_set_address(node->sync, settings->store);
 	jt_peer_exchange_reload(node->peers, settings);
 	talloc_free(old);
 }
@@ -197,11 +197,11 @@
 {
 	struct jt_director_node *node = private_data;
 
-	node->lookup_set = node->lookup_again;
+	node->lookup_pending = node->lookup_again;
 	node->lookup_again = false;
-	if (node->lookup_set)
-		jt_timer_set(node->lookup, JT_FLOW_LOOKUP_MS);
-	jt_director_node_release(node);
+	if (node->lookup_pending)
+		jt_timer_set(node->lookup_timer, JT_FLOW_LOOKUP_MS);
+	jt_director_node_held_retry(node);
 }
 
 /* Probes */
@@ -214,7 +214,7 @@
 	event.u.probed.id = endpoint_id;
 	event.u.probed.start_time_ms = start_time_ms;
 	event.u.probed.outcome = outcome;
-	jt_director_node_event(private_data, &event);
+	jt_director_node_event_handle(private_data, &event);
 }
 
 static void on_identified(uint64_t endpoint_id, uint64_t start_time_ms,
@@ -225,7 +225,7 @@
 	event.u.identified.id = endpoint_id;
 	event.u.identified.start_time_ms = start_time_ms;
 	event.u.identified.found = found;
-	jt_director_node_event(private_data, &event);
+	jt_director_node_event_handle(private_data, &event);
 }
 
 /* Start */
@@ -288,7 +288,7 @@
 	struct jt_directory_watcher watcher;
 	struct jt_peer_handler handler;
 
-	jt_director_node_handlers(node, &watcher, &handler);
+	jt_director_node_callbacks_init(node, &watcher, &handler);
 	node->client = jt_http_client_create(node, node->loop);
 	if (node->client == NULL)
 		return false;
@@ -306,10 +306,11 @@
 		node, node->loop, node->client, node->environment->directory,
 		node->settings->store, &watcher, first_listing_delay_ms(node),
 		node->settings->reader_weight, seed);
-	node->tick = jt_timer_create(node, node->loop, on_tick, node);
-	node->lookup =
+	node->tick_timer = jt_timer_create(node, node->loop, on_tick, node);
+	node->lookup_timer =
 		jt_timer_create(node, node->loop, on_lookup_timeout, node);
-	if (node->sync == NULL || node->tick == NULL || node->lookup == NULL)
+	if (node->sync == NULL || node->tick_timer == NULL ||
+	    node->lookup_timer == NULL)
 		return false;
 	node->pages = jt_director_pages_create(
 		node, node->loop, node->log, node->settings, node->director,
@@ -371,7 +372,7 @@
 	    !open_data(node, error) ||
 	    !components_start(node, options.seed, error))
 		goto fail;
-	jt_timer_set(node->tick, 0);
+	jt_timer_set(node->tick_timer, 0);
 	return node;
 fail:
 	talloc_free(node);
--- a/src/director/jt_director_node_packets.c
+++ b/src/director/jt_director_node_packets.c
@@ -35,9 +35,9 @@
 			      char request[JT_REQUEST_ID_SIZE])
 {
 	request[0] = '\0';
-	node->environment->codec->request(node->buffer + JT_HEADROOM_MAX,
-					  node->packet_length, request,
-					  JT_REQUEST_ID_SIZE);
+	node->environment->codec->request_id(node->buffer + JT_HEADROOM_MAX,
+					     node->packet_length, request,
+					     JT_REQUEST_ID_SIZE);
 }
 
 static void log_request(const struct jt_director_node *node,
@@ -137,7 +137,8 @@
 					    failures, &peers);
 
 	if (count > 0)
-		jt_peer_exchange_failures(node->peers, failures, count, peers);
+		jt_peer_exchange_failures_send(node->peers, failures, count,
+					       peers);
 }
 
 /* Queries peers about a flow. A running timer is not restarted, so that
@@ -145,17 +146,17 @@
 static void act_flow_query(struct jt_director_node *node,
 			   const struct jt_director_action *action)
 {
-	size_t peers = jt_peer_exchange_ask_flow(node->peers, &action->key,
-						 action->first_sequence);
+	size_t peers = jt_peer_exchange_flow_lookup_send(
+		node->peers, &action->key, action->first_sequence);
 
 	jt_director_flow_asked(node->director, &action->key, peers,
 			       node->event_ms);
-	if (node->lookup_set) {
+	if (node->lookup_pending) {
 		node->lookup_again = true;
 		return;
 	}
-	node->lookup_set = true;
-	jt_timer_set(node->lookup, peers > 0 ? JT_FLOW_LOOKUP_MS : 0);
+	node->lookup_pending = true;
+	jt_timer_set(node->lookup_timer, peers > 0 ? JT_FLOW_LOOKUP_MS : 0);
 }
 
 static void node_act(struct jt_director_node *node,
@@ -190,15 +191,15 @@
 	case JT_DIRECTOR_DEATH_REPORT:
 		jt_director_log_endpoint(node->log, action, "endpoint_dead");
 		if (!action->peers_know)
-			jt_peer_exchange_suspect(
+			jt_peer_exchange_suspicion_send(
 				node->peers, JT_WIRE_FOUND_DEAD,
 				action->endpoint_id, action->start_time_ms);
 		break;
 	case JT_DIRECTOR_OVERDUE_REPORT:
 		jt_director_log_endpoint(node->log, action, "endpoint_failing");
-		jt_peer_exchange_suspect(node->peers, JT_WIRE_ANSWERS_OVERDUE,
-					 action->endpoint_id,
-					 action->start_time_ms);
+		jt_peer_exchange_suspicion_send(
+			node->peers, JT_WIRE_ANSWERS_OVERDUE,
+			action->endpoint_id, action->start_time_ms);
 		break;
 	case JT_DIRECTOR_FAILURES:
 		act_failures(node);
@@ -230,7 +231,7 @@
 		break;
 	case JT_DIRECTOR_SERVICE_FULL:
 	case JT_DIRECTOR_SERVICE_FREE:
-		jt_director_log_room(node->log, action);
+		jt_director_log_admission(node->log, action);
 		break;
 	case JT_DIRECTOR_HOLD:
 		act_hold(node);
@@ -243,8 +244,8 @@
 	}
 }
 
-void jt_director_node_event(struct jt_director_node *node,
-			    struct jt_director_event *event)
+void jt_director_node_event_handle(struct jt_director_node *node,
+				   struct jt_director_event *event)
 {
 	event->now_ms = jt_clock_ms();
 	node->event_ms = event->now_ms;
@@ -277,7 +278,7 @@
 	if (node->held_since_ms != 0)
 		event.u.packet.held_ms = held_ms(node);
 	node->packet_length = length;
-	jt_director_node_event(node, &event);
+	jt_director_node_event_handle(node, &event);
 	/* A held packet doesn't show that routers still send to this node. */
 	if (node->held_since_ms == 0)
 		jt_leave_packet(&node->leave, event.now_ms);
@@ -294,7 +295,7 @@
 }
 
 /* Retries each held packet once if the node accepts new flows. */
-void jt_director_node_release(struct jt_director_node *node)
+void jt_director_node_held_retry(struct jt_director_node *node)
 {
 	size_t count = node->held_count;
 
@@ -339,20 +340,20 @@
 	       jt_director_started(node->director);
 }
 
-void jt_director_node_watch_ready(struct jt_director_node *node)
+void jt_director_node_ready_update(struct jt_director_node *node)
 {
 	bool ready = node_ready(node);
 
 	if (ready == node->was_ready)
 		return;
 	node->was_ready = ready;
-	node->told_ready = false;
+	node->ready_reported = false;
 	jt_log_line(node->log, LOG_NOTICE, "event=%s",
 		    ready ? "ready" : "not_ready");
 }
 
-void jt_director_node_started_look(struct jt_director_node *node)
+void jt_director_node_progress_update(struct jt_director_node *node)
 {
-	jt_director_node_watch_ready(node);
-	jt_director_node_release(node);
+	jt_director_node_ready_update(node);
+	jt_director_node_held_retry(node);
 }
--- a/src/director/jt_director_node_news.c
+++ b/src/director/jt_director_node_sync.c
@@ -12,14 +12,14 @@
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
 
 	event.u.routing = routing;
-	jt_director_node_event(node, &event);
+	jt_director_node_event_handle(node, &event);
 	if (jt_director_routing(node->director) != routing)
 		return;
 	jt_log_line(node->log, LOG_NOTICE,
 		    "event=routing version=%llu routes=%zu source=%s",
 		    (unsigned long long)routing->version, routing->route_count,
 		    source);
-	jt_peer_exchange_news(node->peers);
+	jt_peer_exchange_updates_schedule(node->peers);
 }
 
 static void endpoint_apply(struct jt_director_node *node,
@@ -28,7 +28,7 @@
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ENDPOINT};
 
 	event.u.endpoint = *entry;
-	jt_director_node_event(node, &event);
+	jt_director_node_event_handle(node, &event);
 }
 
 /* Applies the removal of an entry (JT_DIRECTOR_ENTRY_REMOVED), or an entry that
@@ -41,7 +41,7 @@
 
 	event.u.removed.id = change->endpoint.id;
 	event.u.removed.revision = change->endpoint.revision;
-	jt_director_node_event(node, &event);
+	jt_director_node_event_handle(node, &event);
 }
 
 /* Reports an invalid item of the store, once for each key and reason. */
@@ -68,7 +68,7 @@
 	event.u.zones.count = count;
 	event.u.zones.complete = complete;
 	event.u.zones.revision = revision;
-	jt_director_node_event(node, &event);
+	jt_director_node_event_handle(node, &event);
 }
 
 static void on_change(const struct jt_change *change, void *private_data)
@@ -82,7 +82,7 @@
 	case JT_CHANGE_ENDPOINT:
 		endpoint_apply(node, &change->endpoint);
 		break;
-	case JT_CHANGE_GONE:
+	case JT_CHANGE_REMOVED:
 		removal_apply(node, JT_DIRECTOR_ENTRY_REMOVED, change);
 		break;
 	case JT_CHANGE_ZONE:
@@ -102,10 +102,10 @@
 	uint64_t before = jt_director_revision(node->director);
 	uint64_t revision = event->u.listed.revision;
 
-	jt_director_node_event(node, event);
+	jt_director_node_event_handle(node, event);
 	if (revision > before)
-		jt_peer_exchange_news(node->peers);
-	jt_director_node_started_look(node);
+		jt_peer_exchange_updates_schedule(node->peers);
+	jt_director_node_progress_update(node);
 }
 
 static void on_caught_up(uint64_t revision, void *private_data)
@@ -120,7 +120,7 @@
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_LISTING};
 
-	jt_director_node_event(private_data, &event);
+	jt_director_node_event_handle(private_data, &event);
 }
 
 static void on_listed(uint64_t revision, void *private_data)
@@ -140,8 +140,8 @@
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PARTIAL_STATE};
 	struct jt_director_node *node = private_data;
 
-	jt_director_node_event(node, &event);
-	jt_director_node_started_look(node);
+	jt_director_node_event_handle(node, &event);
+	jt_director_node_progress_update(node);
 }
 
 static void on_reachable(bool reachable, enum jt_kv_status status,
@@ -163,26 +163,26 @@
 {
 	if (!jt_director_started(node->director) ||
 	    node->leave.stage != JT_LEAVE_STAYS ||
-	    jt_directory_sync_lost(node->sync))
+	    jt_directory_sync_unreachable(node->sync))
 		return 0;
 	return node->settings->reader_weight;
 }
 
-void jt_director_node_reader_look(struct jt_director_node *node,
-				  uint64_t now_ms)
+void jt_director_node_read_mode_update(struct jt_director_node *node,
+				       uint64_t now_ms)
 {
 	enum jt_read_mode previous = node->reader.read_mode, mode;
 	uint64_t failures = jt_directory_sync_failures(node->sync);
 	enum jt_reader_rank rank = jt_peer_exchange_reader_rank(
 		node->peers, reader_capacity(node));
 
-	jt_directory_sync_learning(
+	jt_directory_sync_set_initial_sync(
 		node->sync,
 		jt_director_initial_sync_ms(node->director, now_ms) > 0);
 	jt_reader_read(&node->reader, jt_directory_sync_as_of_ms(node->sync));
 	if (failures > node->store_failures)
 		jt_reader_failed(&node->reader,
-				 jt_peer_exchange_live(node->peers) + 1,
+				 jt_peer_exchange_live_count(node->peers) + 1,
 				 now_ms);
 	node->store_failures = failures;
 	mode = jt_reader_decide(&node->reader, rank,
@@ -195,7 +195,7 @@
 		    jt_read_mode_name(mode), rank,
 		    (unsigned long long)(now_ms - node->reader.peers_as_of_ms),
 		    (unsigned long long)jt_director_revision(node->director));
-	jt_directory_sync_read(node->sync, mode);
+	jt_directory_sync_set_read_mode(node->sync, mode);
 }
 
 static uint64_t on_revision_query(void *private_data)
@@ -205,22 +205,22 @@
 	return jt_director_revision(node->director);
 }
 
-static enum jt_peers_tell on_peer_sync_query(void *private_data)
+static enum jt_peer_sync_state on_peer_sync_query(void *private_data)
 {
 	struct jt_director_node *node = private_data;
 
 	/* A started node reads the store on behalf of others, too. */
 	if (jt_director_started(node->director))
-		return JT_PEERS_SILENT;
-	if (jt_peer_exchange_learns(node->peers))
-		return JT_PEERS_TELL;
+		return JT_PEER_SYNC_NONE;
+	if (jt_peer_exchange_receiving(node->peers))
+		return JT_PEER_SYNC_RECEIVING;
 	if (jt_director_accepts_flows(node->director) &&
-	    jt_reader_waits_for_listing(&node->reader,
-					jt_peer_exchange_live(node->peers) + 1,
-					jt_clock_ms()))
-		return JT_PEERS_TOLD_SOME;
-	return jt_peer_exchange_fetching(node->peers) ? JT_PEERS_ASKED
-						      : JT_PEERS_SILENT;
+	    jt_reader_waits_for_listing(
+		    &node->reader, jt_peer_exchange_live_count(node->peers) + 1,
+		    jt_clock_ms()))
+		return JT_PEER_SYNC_PARTIAL;
+	return jt_peer_exchange_fetching(node->peers) ? JT_PEER_SYNC_PENDING
+						      : JT_PEER_SYNC_NONE;
 }
 
 /* Peers */
@@ -235,7 +235,7 @@
 	own->started = jt_director_started(node->director);
 	own->accepts_flows = jt_director_accepts_flows(node->director);
 	own->leaving = node->leave.stage != JT_LEAVE_STAYS;
-	own->ready = node->told_ready;
+	own->ready = node->ready_reported;
 	own->reading = node->reader.read_mode == JT_READ_MODE_WATCH;
 	own->reader_capacity = reader_capacity(node);
 	own->store_as_of_ms =
@@ -261,7 +261,7 @@
 		struct jt_director_event event;
 
 		if (jt_snapshot_entry_event(&entries[i], &event))
-			jt_director_node_event(node, &event);
+			jt_director_node_event_handle(node, &event);
 	}
 }
 
@@ -286,7 +286,7 @@
 	struct jt_director_event event;
 
 	if (jt_snapshot_slices_event(frame, snapshot, &event))
-		jt_director_node_event(node, &event);
+		jt_director_node_event_handle(node, &event);
 	talloc_free(frame);
 }
 
@@ -338,7 +338,7 @@
 	    snapshot->store_as_of_ms > 0)
 		jt_reader_record_peer(&node->reader, snapshot->store_as_of_ms,
 				      snapshot->store_reader);
-	jt_directory_sync_informed(node->sync, snapshot->revision);
+	jt_directory_sync_snapshot_received(node->sync, snapshot->revision);
 }
 
 static void on_updates(const jt_wire_news *update, void *private_data)
@@ -359,10 +359,10 @@
 	event.u.updates.routing_version = update->digest.routing_version;
 	event.u.updates.gap =
 		(struct jt_listing_gap){update->gap_from, update->gap_to};
-	jt_director_node_event(node, &event);
+	jt_director_node_event_handle(node, &event);
 	if (jt_director_revision(node->director) > before)
-		jt_peer_exchange_news(node->peers);
-	jt_director_node_started_look(node);
+		jt_peer_exchange_updates_schedule(node->peers);
+	jt_director_node_progress_update(node);
 }
 
 static void on_store_age(uint64_t as_of_ms, uint64_t reader, void *private_data)
@@ -388,7 +388,7 @@
 	event.u.loads.peer = peer;
 	event.u.loads.loads = loads;
 	event.u.loads.count = count;
-	jt_director_node_event(private_data, &event);
+	jt_director_node_event_handle(private_data, &event);
 }
 
 static void on_suspicion(const jt_wire_suspicion *suspicion, void *private_data)
@@ -401,7 +401,7 @@
 		event.kind = JT_DIRECTOR_OVERDUE;
 	event.u.suspicion.id = suspicion->endpoint_id;
 	event.u.suspicion.start_time_ms = suspicion->start_time_ms;
-	jt_director_node_event(node, &event);
+	jt_director_node_event_handle(node, &event);
 	jt_log_line(node->log, LOG_NOTICE,
 		    "event=peer_suspects endpoint=%llx born_ms=%llu cause=%s",
 		    (unsigned long long)suspicion->endpoint_id,
@@ -416,7 +416,7 @@
 
 	event.u.failures.items = failures;
 	event.u.failures.count = count;
-	jt_director_node_event(private_data, &event);
+	jt_director_node_event_handle(private_data, &event);
 }
 
 static uint32_t on_flow_query(const struct jt_flow_key *key, uint32_t sequence,
@@ -427,8 +427,9 @@
 	return jt_director_flow_label(node->director, key, sequence);
 }
 
-static void on_flow_answer(const struct jt_flow_key *key, uint32_t sequence,
-			   uint32_t label, void *private_data)
+static void on_flow_lookup_response(const struct jt_flow_key *key,
+				    uint32_t sequence, uint32_t label,
+				    void *private_data)
 {
 	struct jt_director_event event = {
 		.kind = JT_DIRECTOR_FLOW_LOOKUP_RESPONSE};
@@ -437,33 +438,34 @@
 	event.u.flow_lookup_response.key = *key;
 	event.u.flow_lookup_response.sequence = sequence;
 	event.u.flow_lookup_response.label = label;
-	jt_director_log_flow_told(node->log, key, label, jt_clock_ms());
-	jt_director_node_event(node, &event);
-	jt_director_node_release(node);
+	jt_director_log_flow_lookup_response(node->log, key, label,
+					     jt_clock_ms());
+	jt_director_node_event_handle(node, &event);
+	jt_director_node_held_retry(node);
 }
 
-void jt_director_node_handlers(struct jt_director_node *node,
-			       struct jt_directory_watcher *watcher,
-			       struct jt_peer_handler *handler)
+void jt_director_node_callbacks_init(struct jt_director_node *node,
+				     struct jt_directory_watcher *watcher,
+				     struct jt_peer_handler *handler)
 {
 	*watcher = (struct jt_directory_watcher){
 		.changed = on_change,
 		.caught_up = on_caught_up,
 		.listing = on_listing,
-		.partly_told = on_partial_listing,
+		.partly_listed = on_partial_listing,
 		.listed = on_listed,
-		.known = on_revision_query,
-		.peers_tell = on_peer_sync_query,
+		.known_revision = on_revision_query,
+		.peer_sync = on_peer_sync_query,
 		.reachable = on_reachable,
 		.private_data = node,
 	};
 	*handler = (struct jt_peer_handler){
 		.own_state = on_own_state,
-		.knowledge = on_snapshot_query,
-		.learned = on_snapshot_part,
-		.learned_all = on_snapshot_complete,
-		.news = on_updates,
-		.store_heard = on_store_age,
+		.snapshot = on_snapshot_query,
+		.snapshot_part = on_snapshot_part,
+		.snapshot_complete = on_snapshot_complete,
+		.updates = on_updates,
+		.store_age = on_store_age,
 		.suspicion = on_suspicion,
 		.own_loads = on_load_query,
 		.loads = on_peer_loads,
@@ -471,7 +473,7 @@
 		.flows =
 			{
 				.label = on_flow_query,
-				.told = on_flow_answer,
+				.answered = on_flow_lookup_response,
 				.private_data = node,
 			},
 		.private_data = node,
--- a/src/director/jt_director_pages.c
+++ b/src/director/jt_director_pages.c
@@ -83,7 +83,7 @@
 	text = add_metric(text, "held_overflow_total", "counter",
 			  traffic->held_overflow);
 	text = add_metric(text, "stood_still_ms_total", "counter",
-			  traffic->stood_still_ms);
+			  traffic->tick_delay_ms);
 	return add_metric(text, "send_failed_total", "counter",
 			  traffic->send_failed);
 }
@@ -269,7 +269,7 @@
 					  jt_kv_status_name(i),
 					  counters->checks[i]);
 	text = add_metric(text, "store_watches_given_up_total", "counter",
-			  counters->watches_given_up);
+			  counters->watches_abandoned);
 	return add_metric(text, "store_items_invalid_total", "counter",
 			  counters->invalid_items);
 }
@@ -301,7 +301,8 @@
 	const struct jt_peer_counters *counters =
 		jt_peer_exchange_counters(peers);
 
-	text = add_metric(text, "peers", "gauge", jt_peer_exchange_live(peers));
+	text = add_metric(text, "peers", "gauge",
+			  jt_peer_exchange_live_count(peers));
 	text = add_messages(text, "sent", counters->sent);
 	text = add_messages(text, "received", counters->received);
 	text = add_metric(text, "knowledge_fetches_total", "counter",
--- a/src/director/jt_director_pages.h
+++ b/src/director/jt_director_pages.h
@@ -18,7 +18,7 @@
 	uint64_t resets;
 	uint64_t send_failed;
 	uint64_t held_overflow;
-	uint64_t stood_still_ms; /* sum of the delays of late ticks */
+	uint64_t tick_delay_ms; /* sum of the delays of late ticks */
 };
 
 /* Returns NULL on failure, with a message in @error if the readiness address
--- a/src/director/jt_directory_sync.c
+++ b/src/director/jt_directory_sync.c
@@ -133,8 +133,8 @@
 		TALLOC_FREE(sync->page_key);
 	if (answer->status == JT_KV_OK && answer->more)
 		sync->page_key = talloc_strdup(sync, answer->last_key);
-	if (answer->status == JT_KV_OK && answer->zones_told && !complete)
-		sync->watcher.partly_told(sync->watcher.private_data);
+	if (answer->status == JT_KV_OK && answer->zones_complete && !complete)
+		sync->watcher.partly_listed(sync->watcher.private_data);
 	if (complete)
 		sync->watcher.listed(sync->follower.listing,
 				     sync->watcher.private_data);
@@ -169,7 +169,7 @@
 {
 	TALLOC_FREE(sync->call);
 	sync->watching = false;
-	sync->counters.watches_given_up++;
+	sync->counters.watches_abandoned++;
 	jt_follower_watched(&sync->follower, status, 0, false, jt_clock_ms());
 	reachability_update(sync, status);
 	sync_step(sync);
@@ -202,7 +202,8 @@
 	sync->polling = false;
 	jt_follower_record_check(
 		&sync->follower, status, revision,
-		sync->watcher.known(sync->watcher.private_data), jt_clock_ms());
+		sync->watcher.known_revision(sync->watcher.private_data),
+		jt_clock_ms());
 	reachability_update(sync, status);
 	sync_step(sync);
 }
@@ -301,9 +302,10 @@
 
 	sync->watching = true;
 	sync->watch_ms = jt_clock_ms();
-	jt_follower_resume(&sync->follower,
-			   sync->watcher.known(sync->watcher.private_data),
-			   sync->watch_ms);
+	jt_follower_resume(
+		&sync->follower,
+		sync->watcher.known_revision(sync->watcher.private_data),
+		sync->watch_ms);
 	jt_timer_set(sync->check_timer, CHECK_MS);
 	sync->call = sync->directory->watch_send(
 		sync, sync->client, sync->store, sync->follower.revision,
@@ -315,12 +317,12 @@
 /* Returns true if peers may provide the state sooner than a listing. */
 static bool list_may_wait(const struct jt_directory_sync *sync, uint64_t now_ms)
 {
-	switch (sync->watcher.peers_tell(sync->watcher.private_data)) {
-	case JT_PEERS_ASKED:
+	switch (sync->watcher.peer_sync(sync->watcher.private_data)) {
+	case JT_PEER_SYNC_PENDING:
 		return now_ms < sync->peer_wait_until_ms;
-	case JT_PEERS_TOLD_SOME:
+	case JT_PEER_SYNC_PARTIAL:
 		return sync->follower.yielded || !sync->follower.paging;
-	case JT_PEERS_TELL:
+	case JT_PEER_SYNC_RECEIVING:
 		return true;
 	default:
 		return false;
@@ -391,8 +393,8 @@
 	return sync;
 }
 
-void jt_directory_sync_informed(struct jt_directory_sync *sync,
-				uint64_t revision)
+void jt_directory_sync_snapshot_received(struct jt_directory_sync *sync,
+					 uint64_t revision)
 {
 	if (!jt_follower_record_snapshot(&sync->follower, revision,
 					 jt_clock_ms()))
@@ -402,8 +404,8 @@
 	sync_step(sync);
 }
 
-void jt_directory_sync_read(struct jt_directory_sync *sync,
-			    enum jt_read_mode mode)
+void jt_directory_sync_set_read_mode(struct jt_directory_sync *sync,
+				     enum jt_read_mode mode)
 {
 	if (mode == sync->follower.read_mode)
 		return;
@@ -423,13 +425,13 @@
 		jt_timer_set(sync->check_timer, OUTAGE_CHECK_MS);
 }
 
-void jt_directory_sync_learning(struct jt_directory_sync *sync,
-				bool initial_sync)
+void jt_directory_sync_set_initial_sync(struct jt_directory_sync *sync,
+					bool initial_sync)
 {
 	jt_follower_set_initial_sync(&sync->follower, initial_sync);
 }
 
-bool jt_directory_sync_lost(const struct jt_directory_sync *sync)
+bool jt_directory_sync_unreachable(const struct jt_directory_sync *sync)
 {
 	return sync->is_unreachable;
 }
@@ -444,8 +446,8 @@
 	return sync->follower.as_of_ms;
 }
 
-void jt_directory_sync_move(struct jt_directory_sync *sync,
-			    struct jt_address store)
+void jt_directory_sync_set_address(struct jt_directory_sync *sync,
+				   struct jt_address store)
 {
 	if (jt_address_same(sync->store, store))
 		return;
--- a/src/director/jt_directory_sync.h
+++ b/src/director/jt_directory_sync.h
@@ -9,11 +9,11 @@
 #include "jt_log.h"
 
 /* What a node that has not started can expect from peers. */
-enum jt_peers_tell {
-	JT_PEERS_SILENT,
-	JT_PEERS_ASKED,	    /* a peer's answer is pending */
-	JT_PEERS_TOLD_SOME, /* a peer sent enough endpoints to accept flows */
-	JT_PEERS_TELL,	    /* a peer is sending a snapshot in parts */
+enum jt_peer_sync_state {
+	JT_PEER_SYNC_NONE,
+	JT_PEER_SYNC_PENDING, /* a peer's answer is pending */
+	JT_PEER_SYNC_PARTIAL, /* a peer sent enough endpoints to accept flows */
+	JT_PEER_SYNC_RECEIVING, /* a peer is sending a snapshot in parts */
 };
 
 /* Callbacks of the owner of a directory sync. */
@@ -28,12 +28,12 @@
 	 * of @revision. */
 	void (*listed)(uint64_t revision, void *private_data);
 	/* A page and all zone drains were reported; more pages follow. */
-	void (*partly_told)(void *private_data);
+	void (*partly_listed)(void *private_data);
 	/* Returns the revision up to which all changes are known, from any
 	 * source. */
-	uint64_t (*known)(void *private_data);
+	uint64_t (*known_revision)(void *private_data);
 	/* Returns whether peers may provide the state instead of a listing. */
-	enum jt_peers_tell (*peers_tell)(void *private_data);
+	enum jt_peer_sync_state (*peer_sync)(void *private_data);
 	/* The store became unreachable, or reachable again. */
 	void (*reachable)(bool reachable, enum jt_kv_status status,
 			  void *private_data);
@@ -44,7 +44,7 @@
 	uint64_t lists[JT_KV_STATUSES];
 	uint64_t watches[JT_KV_STATUSES];
 	uint64_t checks[JT_KV_STATUSES]; /* while a watch is open */
-	uint64_t watches_given_up;	 /* a check showed them to be dead */
+	uint64_t watches_abandoned;	 /* a check showed them to be dead */
 	uint64_t invalid_items;
 };
 
@@ -59,25 +59,25 @@
 	struct jt_address store, const struct jt_directory_watcher *watcher,
 	uint64_t start_wait_ms, uint32_t cpu_permille, uint64_t seed);
 /* A snapshot of a peer is complete up to @revision: no listing is needed. */
-void jt_directory_sync_informed(struct jt_directory_sync *sync,
-				uint64_t revision);
+void jt_directory_sync_snapshot_received(struct jt_directory_sync *sync,
+					 uint64_t revision);
 /* Sets how the store is read. A node that relies on peers and had found the
  * store unreachable checks it periodically. */
-void jt_directory_sync_read(struct jt_directory_sync *sync,
-			    enum jt_read_mode mode);
+void jt_directory_sync_set_read_mode(struct jt_directory_sync *sync,
+				     enum jt_read_mode mode);
 /* Sets whether this node is in its initial synchronisation, during which
  * changes are requested sooner, a few at a time. */
-void jt_directory_sync_learning(struct jt_directory_sync *sync,
-				bool initial_sync);
+void jt_directory_sync_set_initial_sync(struct jt_directory_sync *sync,
+					bool initial_sync);
 /* Returns true if the store is unreachable for this node. */
-bool jt_directory_sync_lost(const struct jt_directory_sync *sync);
+bool jt_directory_sync_unreachable(const struct jt_directory_sync *sync);
 /* Returns the number of failed calls since the start. */
 uint64_t jt_directory_sync_failures(const struct jt_directory_sync *sync);
 /* Returns when this node last knew all that the store held; 0: never. */
 uint64_t jt_directory_sync_as_of_ms(const struct jt_directory_sync *sync);
 /* Switches to another address of the store. */
-void jt_directory_sync_move(struct jt_directory_sync *sync,
-			    struct jt_address store);
+void jt_directory_sync_set_address(struct jt_directory_sync *sync,
+				   struct jt_address store);
 /* Returns the revision up to which this node has read the store. */
 uint64_t jt_directory_sync_revision(const struct jt_directory_sync *sync);
 /* Returns the milliseconds since the store's last valid answer. */
--- a/src/director/jt_environment.h
+++ b/src/director/jt_environment.h
@@ -31,8 +31,8 @@
 			uint8_t data[JT_RESET_MAX]);
 	/* Copies the id of the request that begins in @data. Leaves @id
 	 * unchanged if there is none, or if it does not fit. */
-	void (*request)(const uint8_t *data, size_t length, char *id,
-			size_t size);
+	void (*request_id)(const uint8_t *data, size_t length, char *id,
+			   size_t size);
 	/* Returns the address at which the flow's client receives datagrams.
 	 * @own is this node's address for packets. */
 	struct jt_address (*caller)(const struct jt_flow_key *key,
@@ -43,8 +43,8 @@
 enum jt_change_kind {
 	JT_CHANGE_ROUTING,
 	JT_CHANGE_ENDPOINT,
-	JT_CHANGE_GONE, /* sets only endpoint.id and endpoint.revision */
-	JT_CHANGE_ZONE, /* a zone drain began or ended */
+	JT_CHANGE_REMOVED, /* sets only endpoint.id and endpoint.revision */
+	JT_CHANGE_ZONE,	   /* a zone drain began or ended */
 	JT_CHANGE_INVALID,
 };
 
@@ -65,7 +65,7 @@
 	uint64_t revision;
 	bool more;
 	const char *last_key; /* of this page; the next page starts after it */
-	bool zones_told;      /* all zone drains are in the pages so far */
+	bool zones_complete;  /* all zone drains are in the pages so far */
 	struct jt_change *changes;
 	size_t change_count;
 };
--- a/src/director/jt_peer_exchange.c
+++ b/src/director/jt_peer_exchange.c
@@ -3,7 +3,7 @@
 #include "jt_mechanism.h"
 #include "jt_net.h"
 #include "jt_peer_flows.h"
-#include "jt_peer_knowledge.h"
+#include "jt_peer_snapshots.h"
 #include "jt_peer_sender.h"
 #include "jt_timer.h"
 
@@ -30,7 +30,7 @@
 	struct jt_peer_handler handler;
 	struct jt_peer_sender sender;
 	struct jt_membership *membership;
-	struct jt_peer_knowledge *snapshots;
+	struct jt_peer_snapshots *snapshots;
 	struct jt_http_server *server;
 	struct jt_timer *timer;
 	struct jt_timer *update_timer;
@@ -144,7 +144,7 @@
 	jt_peer_sender_send_all(&exchange->sender, &message, only_zone);
 }
 
-void jt_peer_exchange_tell_all(struct jt_peer_exchange *exchange)
+void jt_peer_exchange_availability_send(struct jt_peer_exchange *exchange)
 {
 	availability_send(exchange, false);
 }
@@ -191,8 +191,8 @@
 	/* An update without entries makes the receivers request a snapshot. */
 	update->since = own->revision;
 	if (exchange->sent_revision == 0 ||
-	    !exchange->handler.knowledge(frame, &snapshot_request, &snapshot,
-					 exchange->handler.private_data) ||
+	    !exchange->handler.snapshot(frame, &snapshot_request, &snapshot,
+					exchange->handler.private_data) ||
 	    !jt_snapshot_is_complete(&snapshot) ||
 	    snapshot.since != exchange->sent_revision ||
 	    snapshot.entries.entries_len > JT_DIRECTOR_MAX_NEWS ||
@@ -231,7 +231,7 @@
 	talloc_free(frame);
 }
 
-void jt_peer_exchange_news(struct jt_peer_exchange *exchange)
+void jt_peer_exchange_updates_schedule(struct jt_peer_exchange *exchange)
 {
 	if (exchange->update_pending ||
 	    !jt_mechanism_on(exchange->membership->without, JT_MECHANISM_NEWS))
@@ -240,9 +240,10 @@
 	jt_timer_set(exchange->update_timer, UPDATE_DELAY_MS);
 }
 
-void jt_peer_exchange_suspect(struct jt_peer_exchange *exchange,
-			      jt_wire_suspicion_kind kind, uint64_t endpoint_id,
-			      uint64_t start_time_ms)
+void jt_peer_exchange_suspicion_send(struct jt_peer_exchange *exchange,
+				     jt_wire_suspicion_kind kind,
+				     uint64_t endpoint_id,
+				     uint64_t start_time_ms)
 {
 	jt_wire_director_message message = {
 		.from = exchange->membership->id,
@@ -257,9 +258,9 @@
 	jt_peer_sender_send_all(&exchange->sender, &message, false);
 }
 
-void jt_peer_exchange_failures(struct jt_peer_exchange *exchange,
-			       const struct jt_endpoint_failure *failures,
-			       size_t count, size_t peers)
+void jt_peer_exchange_failures_send(struct jt_peer_exchange *exchange,
+				    const struct jt_endpoint_failure *failures,
+				    size_t count, size_t peers)
 {
 	jt_wire_failure wire[JT_FAILURE_LIMIT];
 	jt_wire_director_message message = {
@@ -276,7 +277,7 @@
 					    failures[i].share_permille};
 	report->failures.failures_val = wire;
 	report->failures.failures_len = (u_int)count;
-	jt_peer_sender_send_some(&exchange->sender, &message, peers);
+	jt_peer_sender_send_rotating(&exchange->sender, &message, peers);
 }
 
 /* Datagrams */
@@ -309,10 +310,10 @@
 	    digest->routing_version <= own.routing_version &&
 	    digest->store_reader != exchange->membership->id &&
 	    digest->store_age_ms < now_ms)
-		exchange->handler.store_heard(now_ms - digest->store_age_ms,
-					      digest->store_reader,
-					      exchange->handler.private_data);
-	jt_peer_knowledge_look(exchange->snapshots, now_ms);
+		exchange->handler.store_age(now_ms - digest->store_age_ms,
+					    digest->store_reader,
+					    exchange->handler.private_data);
+	jt_peer_snapshots_fetch_if_due(exchange->snapshots, now_ms);
 }
 
 static void failures_receive(struct jt_peer_exchange *exchange,
@@ -343,7 +344,8 @@
 		break;
 	case JT_WIRE_NEWS:
 		update = &message->body.jt_wire_director_body_u.news;
-		exchange->handler.news(update, exchange->handler.private_data);
+		exchange->handler.updates(update,
+					  exchange->handler.private_data);
 		digest_receive(exchange, message->from, from, &update->digest);
 		break;
 	case JT_WIRE_STANDING:
@@ -373,7 +375,7 @@
 			&message->body.jt_wire_director_body_u.flow_question);
 		break;
 	case JT_WIRE_FLOW_ANSWER:
-		jt_peer_flows_take(
+		jt_peer_flows_response_handle(
 			&exchange->handler.flows,
 			&message->body.jt_wire_director_body_u.flow_answer);
 		break;
@@ -441,7 +443,7 @@
 	/* Repeated against datagram loss: the leaving order relies on it. */
 	if (own.leaving)
 		availability_send(exchange, true);
-	jt_peer_knowledge_look(exchange->snapshots, now_ms);
+	jt_peer_snapshots_fetch_if_due(exchange->snapshots, now_ms);
 	jt_timer_set(exchange->timer,
 		     now_ms - exchange->created_ms < FAST_ROUNDS_TOTAL_MS
 			     ? FAST_ROUND_MS
@@ -472,7 +474,7 @@
 			     const struct jt_director_settings *settings)
 {
 	exchange->sender.frames.keys = settings->keys;
-	jt_peer_knowledge_set_link(exchange->snapshots, settings->link_mbps);
+	jt_peer_snapshots_set_link(exchange->snapshots, settings->link_mbps);
 	if (settings->leave_limit_ms > 0)
 		exchange->membership->leave_limit_ms = settings->leave_limit_ms;
 	seeds_add(exchange, settings);
@@ -488,18 +490,18 @@
 	if (exchange->sender.fd < 0)
 		return false;
 	exchange->server = jt_http_server_create(
-		exchange, exchange->loop, &options, jt_peer_knowledge_request,
-		exchange->snapshots);
+		exchange, exchange->loop, &options,
+		jt_peer_snapshots_request_serve, exchange->snapshots);
 	return exchange->server != NULL &&
 	       tevent_add_fd(exchange->loop, exchange, exchange->sender.fd,
 			     TEVENT_FD_READ, on_datagrams, exchange) != NULL;
 }
 
-static struct jt_peer_knowledge *
+static struct jt_peer_snapshots *
 snapshots_create(struct jt_peer_exchange *exchange,
 		 struct jt_http_client *client)
 {
-	const struct jt_peer_knowledge_options options = {
+	const struct jt_peer_snapshots_options options = {
 		.loop = exchange->loop,
 		.client = client,
 		.log = exchange->log,
@@ -508,14 +510,16 @@
 		.handler =
 			{
 				.own_state = exchange->handler.own_state,
-				.knowledge = exchange->handler.knowledge,
-				.learned = exchange->handler.learned,
-				.learned_all = exchange->handler.learned_all,
+				.snapshot = exchange->handler.snapshot,
+				.snapshot_part =
+					exchange->handler.snapshot_part,
+				.snapshot_complete =
+					exchange->handler.snapshot_complete,
 				.private_data = exchange->handler.private_data,
 			},
 	};
 
-	return jt_peer_knowledge_create(exchange, &options);
+	return jt_peer_snapshots_create(exchange, &options);
 }
 
 struct jt_peer_exchange *
@@ -575,12 +579,12 @@
 
 bool jt_peer_exchange_fetching(const struct jt_peer_exchange *exchange)
 {
-	return jt_peer_knowledge_fetching(exchange->snapshots);
+	return jt_peer_snapshots_fetching(exchange->snapshots);
 }
 
-bool jt_peer_exchange_learns(const struct jt_peer_exchange *exchange)
+bool jt_peer_exchange_receiving(const struct jt_peer_exchange *exchange)
 {
-	return jt_peer_knowledge_learns(exchange->snapshots);
+	return jt_peer_snapshots_receiving(exchange->snapshots);
 }
 
 uint64_t jt_peer_exchange_id(const struct jt_peer_exchange *exchange)
@@ -588,15 +592,15 @@
 	return exchange->membership->id;
 }
 
-size_t jt_peer_exchange_ask_flow(struct jt_peer_exchange *exchange,
-				 const struct jt_flow_key *key,
-				 uint32_t sequence)
+size_t jt_peer_exchange_flow_lookup_send(struct jt_peer_exchange *exchange,
+					 const struct jt_flow_key *key,
+					 uint32_t sequence)
 {
-	return jt_peer_flows_ask(&exchange->sender, exchange->membership, key,
-				 sequence);
+	return jt_peer_flows_lookup_send(&exchange->sender,
+					 exchange->membership, key, sequence);
 }
 
-size_t jt_peer_exchange_live(const struct jt_peer_exchange *exchange)
+size_t jt_peer_exchange_live_count(const struct jt_peer_exchange *exchange)
 {
 	return jt_membership_live(exchange->membership);
 }
--- a/src/director/jt_peer_exchange.h
+++ b/src/director/jt_peer_exchange.h
@@ -20,20 +20,21 @@
 	void (*own_state)(struct jt_own_state *own, void *private_data);
 	/* Writes the state that @snapshot_request asks for, as talloc children
 	 * of @mem_ctx. Returns false if memory runs out. */
-	bool (*knowledge)(TALLOC_CTX *mem_ctx,
-			  const struct jt_snapshot_request *snapshot_request,
-			  jt_wire_knowledge *snapshot, void *private_data);
+	bool (*snapshot)(TALLOC_CTX *mem_ctx,
+			 const struct jt_snapshot_request *snapshot_request,
+			 jt_wire_knowledge *snapshot, void *private_data);
 	/* A part of a state snapshot was received. */
-	void (*learned)(const jt_wire_knowledge *snapshot, void *private_data);
+	void (*snapshot_part)(const jt_wire_knowledge *snapshot,
+			      void *private_data);
 	/* The snapshot is complete; @whole summarises its parts. */
-	void (*learned_all)(const struct jt_snapshot_fetch *whole,
-			    void *private_data);
+	void (*snapshot_complete)(const struct jt_snapshot_fetch *whole,
+				  void *private_data);
 	/* Gossip updates were received. */
-	void (*news)(const jt_wire_news *update, void *private_data);
+	void (*updates)(const jt_wire_news *update, void *private_data);
 	/* A peer with no newer state than this node has all that the store
 	 * held at @as_of_ms, when @reader read it. */
-	void (*store_heard)(uint64_t as_of_ms, uint64_t reader,
-			    void *private_data);
+	void (*store_age)(uint64_t as_of_ms, uint64_t reader,
+			  void *private_data);
 	/* Returns this node's load on each endpoint. */
 	size_t (*own_loads)(struct jt_endpoint_load loads[JT_LOAD_LIMIT],
 			    void *private_data);
@@ -61,25 +62,26 @@
 			const struct jt_director_settings *settings,
 			const struct jt_peer_handler *handler, char **error);
 /* Reports a suspected endpoint to all live peers. */
-void jt_peer_exchange_suspect(struct jt_peer_exchange *exchange,
-			      jt_wire_suspicion_kind kind, uint64_t endpoint_id,
-			      uint64_t start_time_ms);
+void jt_peer_exchange_suspicion_send(struct jt_peer_exchange *exchange,
+				     jt_wire_suspicion_kind kind,
+				     uint64_t endpoint_id,
+				     uint64_t start_time_ms);
 /* Reports failed requests to @peers peers of the zone, in rotation. */
-void jt_peer_exchange_failures(struct jt_peer_exchange *exchange,
-			       const struct jt_endpoint_failure *failures,
-			       size_t count, size_t peers);
+void jt_peer_exchange_failures_send(struct jt_peer_exchange *exchange,
+				    const struct jt_endpoint_failure *failures,
+				    size_t count, size_t peers);
 /* Queries peers about a flow whose first packet, with @sequence, was
  * retransmitted to this node. Returns the number of peers queried. */
-size_t jt_peer_exchange_ask_flow(struct jt_peer_exchange *exchange,
-				 const struct jt_flow_key *key,
-				 uint32_t sequence);
+size_t jt_peer_exchange_flow_lookup_send(struct jt_peer_exchange *exchange,
+					 const struct jt_flow_key *key,
+					 uint32_t sequence);
 /* Sends this node's availability to all live peers at once. */
-void jt_peer_exchange_tell_all(struct jt_peer_exchange *exchange);
+void jt_peer_exchange_availability_send(struct jt_peer_exchange *exchange);
 /* Returns the state of the zone's other nodes, for a node that leaves. */
 struct jt_zone_view
 jt_peer_exchange_zone(const struct jt_peer_exchange *exchange);
 /* Schedules gossip updates after a change of this node's state. */
-void jt_peer_exchange_news(struct jt_peer_exchange *exchange);
+void jt_peer_exchange_updates_schedule(struct jt_peer_exchange *exchange);
 /* Applies reloaded settings: keys, seeds and limits may have changed. */
 void jt_peer_exchange_reload(struct jt_peer_exchange *exchange,
 			     const struct jt_director_settings *settings);
@@ -91,11 +93,11 @@
 /* Returns true while a snapshot request to a peer is pending. */
 bool jt_peer_exchange_fetching(const struct jt_peer_exchange *exchange);
 /* Returns true if that peer has already sent a part of its snapshot. */
-bool jt_peer_exchange_learns(const struct jt_peer_exchange *exchange);
+bool jt_peer_exchange_receiving(const struct jt_peer_exchange *exchange);
 /* Returns this process's random id in the membership. */
 uint64_t jt_peer_exchange_id(const struct jt_peer_exchange *exchange);
 /* Returns the number of live peers. */
-size_t jt_peer_exchange_live(const struct jt_peer_exchange *exchange);
+size_t jt_peer_exchange_live_count(const struct jt_peer_exchange *exchange);
 /* Allocates the ids of the live peers below @mem_ctx. Returns their number. */
 size_t jt_peer_exchange_ids(const struct jt_peer_exchange *exchange,
 			    TALLOC_CTX *mem_ctx, uint64_t **ids);
--- a/src/director/jt_peer_flows.c
+++ b/src/director/jt_peer_flows.c
@@ -23,9 +23,10 @@
 	};
 }
 
-size_t jt_peer_flows_ask(struct jt_peer_sender *sender,
-			 struct jt_membership *membership,
-			 const struct jt_flow_key *key, uint32_t sequence)
+size_t jt_peer_flows_lookup_send(struct jt_peer_sender *sender,
+				 struct jt_membership *membership,
+				 const struct jt_flow_key *key,
+				 uint32_t sequence)
 {
 	struct jt_address targets[JT_FLOW_LOOKUP_FANOUT];
 	size_t count = jt_membership_flow_lookup_targets(membership, targets);
@@ -60,11 +61,11 @@
 	jt_peer_sender_send(sender, to, &message);
 }
 
-void jt_peer_flows_take(const struct jt_peer_flow_handler *handler,
-			const jt_wire_flow_answer *answer)
+void jt_peer_flows_response_handle(const struct jt_peer_flow_handler *handler,
+				   const jt_wire_flow_answer *answer)
 {
 	struct jt_flow_key key = flow_key(&answer->flow);
 
-	handler->told(&key, answer->flow.sequence, answer->label,
-		      handler->private_data);
+	handler->answered(&key, answer->flow.sequence, answer->label,
+			  handler->private_data);
 }
--- a/src/director/jt_peer_flows.h
+++ b/src/director/jt_peer_flows.h
@@ -15,22 +15,23 @@
 	uint32_t (*label)(const struct jt_flow_key *key, uint32_t sequence,
 			  void *private_data);
 	/* A peer answered a query of this node; @label as above. */
-	void (*told)(const struct jt_flow_key *key, uint32_t sequence,
-		     uint32_t label, void *private_data);
+	void (*answered)(const struct jt_flow_key *key, uint32_t sequence,
+			 uint32_t label, void *private_data);
 	void *private_data;
 };
 
 /* Queries the peers that may have assigned the flow. Returns their number. */
-size_t jt_peer_flows_ask(struct jt_peer_sender *sender,
-			 struct jt_membership *membership,
-			 const struct jt_flow_key *key, uint32_t sequence);
+size_t jt_peer_flows_lookup_send(struct jt_peer_sender *sender,
+				 struct jt_membership *membership,
+				 const struct jt_flow_key *key,
+				 uint32_t sequence);
 /* Answers a query of the peer at @to. */
 void jt_peer_flows_reply(struct jt_peer_sender *sender,
 			 const struct jt_peer_flow_handler *handler,
 			 struct jt_address to,
 			 const jt_wire_flow_question *question);
 /* Passes a peer's answer to the handler. */
-void jt_peer_flows_take(const struct jt_peer_flow_handler *handler,
-			const jt_wire_flow_answer *answer);
+void jt_peer_flows_response_handle(const struct jt_peer_flow_handler *handler,
+				   const jt_wire_flow_answer *answer);
 
 #endif
--- a/src/director/jt_peer_sender.c
+++ b/src/director/jt_peer_sender.c
@@ -41,16 +41,16 @@
 	}
 }
 
-void jt_peer_sender_send_some(struct jt_peer_sender *sender,
-			      const jt_wire_director_message *message,
-			      size_t peers)
+void jt_peer_sender_send_rotating(struct jt_peer_sender *sender,
+				  const jt_wire_director_message *message,
+				  size_t peers)
 {
 	const struct jt_membership *membership = sender->membership;
 	size_t sent = 0;
 
 	for (size_t i = 0; i < membership->count && sent < peers; i++) {
 		const struct jt_peer *peer =
-			&membership->peers[sender->some_next++ %
+			&membership->peers[sender->next_index++ %
 					   membership->count];
 
 		if (!is_recipient(membership, peer, true))
--- a/src/director/jt_peer_sender.h
+++ b/src/director/jt_peer_sender.h
@@ -12,7 +12,7 @@
 	int fd; /* -1: not open */
 	struct jt_peer_frames frames;
 	const struct jt_membership *membership;
-	size_t some_next; /* index of the next peer in the rotation */
+	size_t next_index; /* index of the next peer in the rotation */
 };
 
 /* Sends a datagram; a message that is too long is dropped and counted. */
@@ -24,8 +24,8 @@
 			     bool only_zone);
 /* Sends to the next @peers live peers of this node's zone. Other zones are
  * left out: their nodes send few flows to endpoints here. */
-void jt_peer_sender_send_some(struct jt_peer_sender *sender,
-			      const jt_wire_director_message *message,
-			      size_t peers);
+void jt_peer_sender_send_rotating(struct jt_peer_sender *sender,
+				  const jt_wire_director_message *message,
+				  size_t peers);
 
 #endif
--- a/src/director/jt_peer_knowledge.c
+++ b/src/director/jt_peer_snapshots.c
@@ -1,4 +1,4 @@
-#include "jt_peer_knowledge.h"
+#include "jt_peer_snapshots.h"
 #include "jt_net.h"
 #include "jt_serve_budget.h"
 #include "jt_timer.h"
@@ -19,12 +19,12 @@
 
 #define SNAPSHOT_PATH "/knowledge"
 
-struct jt_peer_knowledge {
+struct jt_peer_snapshots {
 	struct jt_http_client *client;
 	const struct jt_log *log;
 	struct jt_membership *membership;
 	struct jt_peer_frames *frames;
-	struct jt_knowledge_handler handler;
+	struct jt_snapshot_handler handler;
 	struct jt_timer *timer;	  /* runs until the next attempt */
 	struct tevent_req *fetch; /* NULL: no request is pending */
 	struct jt_address source; /* the peer that the request was sent to */
@@ -33,7 +33,7 @@
 	struct jt_serve_budget budget; /* for snapshots served to peers */
 };
 
-static void fetch_end(struct jt_peer_knowledge *snapshots,
+static void fetch_end(struct jt_peer_snapshots *snapshots,
 		      enum jt_fetch_end end)
 {
 	snapshots->fetch = NULL;
@@ -42,18 +42,18 @@
 	jt_membership_fetched(snapshots->membership, end, jt_clock_ms());
 }
 
-static void part_apply(struct jt_peer_knowledge *snapshots,
+static void part_apply(struct jt_peer_snapshots *snapshots,
 		       const jt_wire_knowledge *snapshot)
 {
 	struct jt_snapshot_fetch *fetched = &snapshots->fetched;
 	void *private_data = snapshots->handler.private_data;
 
-	snapshots->handler.learned(snapshot, private_data);
+	snapshots->handler.snapshot_part(snapshot, private_data);
 	if (jt_snapshot_fetch_record(fetched, snapshot, jt_clock_ms()))
-		snapshots->handler.learned_all(fetched, private_data);
+		snapshots->handler.snapshot_complete(fetched, private_data);
 }
 
-static bool response_apply(struct jt_peer_knowledge *snapshots,
+static bool response_apply(struct jt_peer_snapshots *snapshots,
 			   const char *body, size_t length)
 {
 	jt_wire_director_message message = {0};
@@ -71,7 +71,7 @@
 static void on_fetched(struct tevent_req *req);
 
 /* Requests the next part from the peer. */
-static void part_request(struct jt_peer_knowledge *snapshots)
+static void part_request(struct jt_peer_snapshots *snapshots)
 {
 	char own_text[JT_ADDRESS_TEXT], peer_text[JT_ADDRESS_TEXT];
 	struct jt_http_call call = {.method = "GET"};
@@ -108,8 +108,8 @@
 
 static void on_fetched(struct tevent_req *req)
 {
-	struct jt_peer_knowledge *snapshots =
-		tevent_req_callback_data(req, struct jt_peer_knowledge);
+	struct jt_peer_snapshots *snapshots =
+		tevent_req_callback_data(req, struct jt_peer_snapshots);
 	size_t length = 0;
 	long status = 0;
 	char *body = NULL;
@@ -134,7 +134,7 @@
 		fetch_end(snapshots, JT_FETCH_BUSY); /* no whole slice */
 }
 
-static void fetch_start(struct jt_peer_knowledge *snapshots,
+static void fetch_start(struct jt_peer_snapshots *snapshots,
 			const struct jt_peer *peer)
 {
 	char text[JT_ADDRESS_TEXT];
@@ -162,7 +162,7 @@
 }
 
 /* Sets the age of this node's store data, and the node that read it. */
-static void snapshot_set_age(const struct jt_peer_knowledge *snapshots,
+static void snapshot_set_age(const struct jt_peer_snapshots *snapshots,
 			     jt_wire_knowledge *snapshot)
 {
 	struct jt_own_state own = {0};
@@ -172,7 +172,7 @@
 	snapshot->store_reader = own.store_reader;
 }
 
-static void snapshot_reply(struct jt_peer_knowledge *snapshots,
+static void snapshot_reply(struct jt_peer_snapshots *snapshots,
 			   struct jt_http_request *request,
 			   struct jt_address to)
 {
@@ -192,8 +192,8 @@
 	uint8_t *body = NULL;
 	size_t size, length = 0;
 
-	if (snapshots->handler.knowledge(frame, &snapshot_request, snapshot,
-					 snapshots->handler.private_data)) {
+	if (snapshots->handler.snapshot(frame, &snapshot_request, snapshot,
+					snapshots->handler.private_data)) {
 		snapshot_set_age(snapshots, snapshot);
 		size = xdr_sizeof(encode, &message) + JT_FRAME_HEADER +
 		       JT_TAG_BYTES;
@@ -216,7 +216,7 @@
 }
 
 /* Refuses a request over the budget; the peer then tries another node. */
-static void snapshot_refuse(struct jt_peer_knowledge *snapshots,
+static void snapshot_refuse(struct jt_peer_snapshots *snapshots,
 			    struct jt_http_request *request)
 {
 	snapshots->frames->counters.fetches_refused++;
@@ -224,10 +224,10 @@
 		      "busy, ask another node\n");
 }
 
-void jt_peer_knowledge_request(struct jt_http_request *request,
-			       void *private_data)
+void jt_peer_snapshots_request_serve(struct jt_http_request *request,
+				     void *private_data)
 {
-	struct jt_peer_knowledge *snapshots = private_data;
+	struct jt_peer_snapshots *snapshots = private_data;
 	const char *to_text = jt_http_query(request, "to");
 	struct jt_address to;
 
@@ -242,8 +242,8 @@
 		snapshot_refuse(snapshots, request);
 }
 
-void jt_peer_knowledge_look(struct jt_peer_knowledge *snapshots,
-			    uint64_t now_ms)
+void jt_peer_snapshots_fetch_if_due(struct jt_peer_snapshots *snapshots,
+				    uint64_t now_ms)
 {
 	struct jt_own_state own = {0};
 	const struct jt_peer *peer;
@@ -258,31 +258,31 @@
 
 static void on_retry_due(void *private_data)
 {
-	jt_peer_knowledge_look(private_data, jt_clock_ms());
+	jt_peer_snapshots_fetch_if_due(private_data, jt_clock_ms());
 }
 
-bool jt_peer_knowledge_fetching(const struct jt_peer_knowledge *snapshots)
+bool jt_peer_snapshots_fetching(const struct jt_peer_snapshots *snapshots)
 {
 	return snapshots->fetch != NULL;
 }
 
-bool jt_peer_knowledge_learns(const struct jt_peer_knowledge *snapshots)
+bool jt_peer_snapshots_receiving(const struct jt_peer_snapshots *snapshots)
 {
 	return snapshots->fetch != NULL && snapshots->answered;
 }
 
-void jt_peer_knowledge_set_link(struct jt_peer_knowledge *snapshots,
+void jt_peer_snapshots_set_link(struct jt_peer_snapshots *snapshots,
 				uint32_t link_mbps)
 {
 	jt_serve_budget_init(&snapshots->budget, link_mbps);
 }
 
-struct jt_peer_knowledge *
-jt_peer_knowledge_create(TALLOC_CTX *mem_ctx,
-			 const struct jt_peer_knowledge_options *options)
+struct jt_peer_snapshots *
+jt_peer_snapshots_create(TALLOC_CTX *mem_ctx,
+			 const struct jt_peer_snapshots_options *options)
 {
-	struct jt_peer_knowledge *snapshots =
-		talloc_zero(mem_ctx, struct jt_peer_knowledge);
+	struct jt_peer_snapshots *snapshots =
+		talloc_zero(mem_ctx, struct jt_peer_snapshots);
 
 	if (snapshots == NULL)
 		return NULL;
--- a/src/director/jt_refusals.c
+++ b/src/director/jt_refusals.c
@@ -11,8 +11,9 @@
 
 	if (hash == 0)
 		hash = 1;
-	for (unsigned i = 0; i < JT_REFUSALS; i++) {
-		uint64_t *slot = &refusals->hashes[(hash + i) % JT_REFUSALS];
+	for (unsigned i = 0; i < JT_REFUSALS_LIMIT; i++) {
+		uint64_t *slot =
+			&refusals->hashes[(hash + i) % JT_REFUSALS_LIMIT];
 
 		if (*slot == hash)
 			return false;
--- a/src/director/jt_refusals.h
+++ b/src/director/jt_refusals.h
@@ -8,10 +8,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-enum { JT_REFUSALS = 1024 }; /* distinct refusals logged in a process */
+enum { JT_REFUSALS_LIMIT = 1024 }; /* distinct refusals logged in a process */
 
 struct jt_refusals {
-	uint64_t hashes[JT_REFUSALS]; /* of key and reason; 0: free */
+	uint64_t hashes[JT_REFUSALS_LIMIT]; /* of key and reason; 0: free */
 };
 
 /* Returns true for the first refusal of @key for @reason. Returns false, too,
--- a/src/label/jt_director.c
+++ b/src/label/jt_director.c
@@ -102,7 +102,7 @@
 	if (director->listed || !jt_mechanism_on(director->options.without,
 						 JT_MECHANISM_PARTLY_KNOWN))
 		return;
-	director->partly_told = true;
+	director->partly_listed = true;
 	director->chooser->initial_sync_until_ms = now_ms + INITIAL_SYNC_MS;
 }
 
@@ -447,8 +447,8 @@
 				     event->u.suspicion.start_time_ms, now_ms);
 		break;
 	case JT_DIRECTOR_FAILURE_REPORT:
-		jt_director_failures_told(director, event->u.failures.items,
-					  event->u.failures.count, now_ms);
+		jt_director_failures_received(director, event->u.failures.items,
+					      event->u.failures.count, now_ms);
 		break;
 	case JT_DIRECTOR_PROBED:
 		event_probed(director, event->u.probed.id,
--- a/src/label/jt_director_answers.c
+++ b/src/label/jt_director_answers.c
@@ -111,7 +111,7 @@
 	if (!jt_outlier_pending(incarnation))
 		return;
 	jt_outlier_served(incarnation, 1, now_ms);
-	jt_failure_reports_add_served(&director->failure_news,
+	jt_failure_reports_add_served(&director->failure_reports,
 				      incarnation->label);
 }
 
@@ -156,7 +156,7 @@
 		       now_ms);
 	jt_outlier_served(incarnation, served_weight, now_ms);
 	if (weight > JT_FAILURE_UNSURE)
-		jt_failure_reports_add_failed(&director->failure_news,
+		jt_failure_reports_add_failed(&director->failure_reports,
 					      incarnation->label, weight);
 }
 
@@ -164,7 +164,7 @@
 static void failure_report_check(struct jt_director *director, uint64_t now_ms,
 				 struct jt_director_actions *actions)
 {
-	if (jt_failure_reports_due(&director->failure_news, director->nodes,
+	if (jt_failure_reports_due(&director->failure_reports, director->nodes,
 				   now_ms))
 		jt_director_action_add(actions, JT_DIRECTOR_FAILURES, 0);
 }
@@ -212,9 +212,9 @@
 			  now_ms);
 }
 
-void jt_director_failures_told(struct jt_director *director,
-			       const struct jt_endpoint_failure *failures,
-			       size_t count, uint64_t now_ms)
+void jt_director_failures_received(struct jt_director *director,
+				   const struct jt_endpoint_failure *failures,
+				   size_t count, uint64_t now_ms)
 {
 	for (size_t i = 0; i < count; i++)
 		failure_receive(director, &failures[i], now_ms);
@@ -225,7 +225,7 @@
 		     struct jt_endpoint_failure failures[JT_FAILURE_LIMIT],
 		     size_t *peers)
 {
-	size_t count = jt_failure_reports_take(&director->failure_news,
+	size_t count = jt_failure_reports_take(&director->failure_reports,
 					       director->nodes, now_ms,
 					       failures, peers);
 
--- a/src/label/jt_director_answers.h
+++ b/src/label/jt_director_answers.h
@@ -22,9 +22,9 @@
 void jt_director_answers_look(struct jt_director *director, uint64_t now_ms,
 			      struct jt_director_actions *actions);
 /* Records failures reported by a peer. */
-void jt_director_failures_told(struct jt_director *director,
-			       const struct jt_endpoint_failure *failures,
-			       size_t count, uint64_t now_ms);
+void jt_director_failures_received(struct jt_director *director,
+				   const struct jt_endpoint_failure *failures,
+				   size_t count, uint64_t now_ms);
 /* Compares the endpoint with others of its service and reports when its traffic
  * share was reduced or restored. */
 void jt_director_share_check(struct jt_director *director,
--- a/src/label/jt_director_private.h
+++ b/src/label/jt_director_private.h
@@ -31,7 +31,7 @@
 	uint64_t revision; /* all changes up to it are known */
 	struct jt_listing_gaps gaps; /* listing gaps up to @revision */
 	bool listed;		     /* full state received at least once */
-	bool partly_told; /* partial state with all zone drains received */
+	bool partly_listed; /* partial state with all zone drains received */
 	struct jt_endpoint_table *endpoints;
 	struct jt_zone_drains zone_drains;
 	struct jt_flow_cache *flows;
@@ -42,11 +42,11 @@
 	struct jt_latency *latency;
 	struct jt_answer_profiles *answers;
 	uint64_t answers_ms; /* last check for complete responses */
-	struct jt_failure_reports failure_news;
+	struct jt_failure_reports failure_reports;
 	struct jt_peer_loads *peer_loads;
 	struct jt_random random;
 	/* Table index at which the next load report starts. */
-	size_t loads_told;
+	size_t loads_next;
 	struct jt_director_counters counters;
 };
 
--- a/src/label/jt_director_view.c
+++ b/src/label/jt_director_view.c
@@ -72,7 +72,7 @@
 bool jt_director_accepts_flows(const struct jt_director *director)
 {
 	return director->routing != NULL &&
-	       (director->listed || director->partly_told);
+	       (director->listed || director->partly_listed);
 }
 
 uint32_t jt_director_initial_sync_ms(const struct jt_director *director,
@@ -188,11 +188,11 @@
 
 	for (; in != NULL && count < JT_LOAD_LIMIT;
 	     in = jt_endpoint_table_next(in), index++) {
-		if (index >= director->loads_told &&
+		if (index >= director->loads_next &&
 		    load_fill(in, now_ms, &loads[count]))
 			count++;
 	}
-	director->loads_told = in != NULL ? index : 0;
+	director->loads_next = in != NULL ? index : 0;
 	return count;
 }
 
--- a/src/label/jt_endpoint_table.c
+++ b/src/label/jt_endpoint_table.c
@@ -213,17 +213,18 @@
 /* Makes room for one more member. */
 static bool pool_grow(struct jt_service_pool *pool)
 {
-	size_t capacity = pool->room ? pool->room * 2 : POOL_INITIAL_CAPACITY;
+	size_t capacity =
+		pool->capacity ? pool->capacity * 2 : POOL_INITIAL_CAPACITY;
 	struct jt_incarnation **members;
 
-	if (pool->count < pool->room)
+	if (pool->count < pool->capacity)
 		return true;
 	members = talloc_realloc(pool, pool->members, struct jt_incarnation *,
 				 capacity);
 	if (members == NULL)
 		return false;
 	pool->members = members;
-	pool->room = capacity;
+	pool->capacity = capacity;
 	return true;
 }
 
--- a/src/label/jt_endpoint_table.h
+++ b/src/label/jt_endpoint_table.h
@@ -106,7 +106,7 @@
 	uint32_t service_id;
 	struct jt_incarnation **members; /* unordered */
 	size_t count;
-	size_t room;
+	size_t capacity;
 	double response_time_ms; /* smoothed response time; 0: unknown */
 	/* Smoothed service time: without the network path, averaged over more
 	 * answers. */
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -24,7 +24,7 @@
 {
 	json_t *item = make_item(key, value);
 
-	assert_true(jt_platform_item(NULL, item, change));
+	assert_true(jt_platform_item_parse(NULL, item, change));
 	json_decref(item);
 	return change->kind;
 }
@@ -89,11 +89,11 @@
 
 	(void)state;
 	memcpy(data + 32, text, strlen(text) + 1);
-	jt_platform_codec.request(data, 32 + strlen(text), id, sizeof(id));
+	jt_platform_codec.request_id(data, 32 + strlen(text), id, sizeof(id));
 	assert_string_equal(id, "abc123");
 	id[0] = '\0';
 	/* The packet ends within the id. */
-	jt_platform_codec.request(data, 32 + 33, id, sizeof(id));
+	jt_platform_codec.request_id(data, 32 + 33, id, sizeof(id));
 	assert_string_equal(id, "");
 }
 
@@ -122,7 +122,7 @@
 static void test_zone(void **state)
 {
 	struct jt_change change;
-	json_t *gone =
+	json_t *removed =
 		json_pack("{s:s, s:i, s:b}", "tlsKey", "op/evacuate/scl-renca",
 			  "revision", 500, "gone", true);
 
@@ -132,11 +132,11 @@
 	assert_string_equal(change.zone.zone, "scl-renca");
 	assert_int_equal(change.zone.revision, 412);
 	assert_true(change.zone.draining);
-	assert_true(jt_platform_item(NULL, gone, &change));
+	assert_true(jt_platform_item_parse(NULL, removed, &change));
 	assert_int_equal(change.kind, JT_CHANGE_ZONE);
 	assert_int_equal(change.zone.revision, 500);
 	assert_false(change.zone.draining);
-	json_decref(gone);
+	json_decref(removed);
 	assert_int_equal(read_change("op/evacuate/", "{}", &change),
 			 JT_CHANGE_INVALID);
 	assert_string_equal(change.field, "zone");
@@ -340,10 +340,10 @@
 	/* Values that are not base64. */
 	item = json_pack("{s:s, s:s, s:i}", "tlsKey", "servers/i-1", "value",
 			 "*", "revision", 5);
-	assert_true(jt_platform_item(NULL, item, &change));
+	assert_true(jt_platform_item_parse(NULL, item, &change));
 	assert_int_equal(change.kind, JT_CHANGE_INVALID);
 	json_object_set_new(item, "value", json_integer(7));
-	assert_true(jt_platform_item(NULL, item, &change));
+	assert_true(jt_platform_item_parse(NULL, item, &change));
 	assert_int_equal(change.kind, JT_CHANGE_INVALID);
 	/* The id and the revision of the entry are still reported. */
 	assert_int_equal(change.endpoint.id, 1);
@@ -406,7 +406,7 @@
 	(void)state;
 	assert_non_null(page);
 	body = json_dumps(page, 0);
-	jt_platform_answer(answer, body);
+	jt_platform_answer_parse(answer, body);
 	assert_int_equal(answer->status, JT_KV_OK);
 	assert_int_equal(answer->revision, 500);
 	assert_true(answer->more);
@@ -458,7 +458,7 @@
 	struct jt_change change;
 
 	(void)state;
-	assert_false(jt_platform_item(NULL, item, &change));
+	assert_false(jt_platform_item_parse(NULL, item, &change));
 	json_decref(item);
 }
 
@@ -466,10 +466,10 @@
 static void test_keys_after_drains_of_zones(void **state)
 {
 	(void)state;
-	assert_false(jt_platform_past_zones("op/config"));
-	assert_false(jt_platform_past_zones("op/evacuate/scl-lampa"));
-	assert_true(jt_platform_past_zones("servers/planilla-7b3c"));
-	assert_true(jt_platform_past_zones("status/x"));
+	assert_false(jt_platform_key_after_zones("op/config"));
+	assert_false(jt_platform_key_after_zones("op/evacuate/scl-lampa"));
+	assert_true(jt_platform_key_after_zones("servers/planilla-7b3c"));
+	assert_true(jt_platform_key_after_zones("status/x"));
 }
 
 static void test_endpoint_ids(void **state)
