--- a/include/jaspertrack/director-t.h
+++ b/include/jaspertrack/director-t.h
@@ -427,9 +427,9 @@
 	/* Minimum part, in thousandths, of a full service's admitted requests
 	 * that each priority gets. */
 	uint32_t admission_floor_permille;
-	uint64_t seed;		  /* of the pseudo-random generator */
-	unsigned injected_faults; /* enum jt_director_fault; tests only */
-	uint32_t without;	  /* bit set of features that are off */
+	uint64_t seed;		    /* of the pseudo-random generator */
+	unsigned injected_faults;   /* enum jt_director_fault; tests only */
+	uint32_t disabled_features; /* bit set of features that are off */
 };
 
 struct jt_director_counters {
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -412,7 +412,7 @@
 	char *error = NULL;
 	void *settings;
 
-	if (jt_director_settings_wanted(name))
+	if (jt_director_settings_selected(name))
 		settings = jt_director_settings_load(NULL, name, &error);
 	else
 		settings = jt_settings_load(NULL, name, &error);
--- a/src/common/jt_mechanism.c
+++ b/src/common/jt_feature.c
@@ -1,4 +1,4 @@
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 
 #include <stddef.h>
 #include <string.h>
@@ -37,7 +37,7 @@
 	NULL,
 };
 
-uint32_t jt_mechanism_find(const char *name)
+uint32_t jt_feature_find(const char *name)
 {
 	for (unsigned bit = 0; feature_names[bit] != NULL; bit++) {
 		if (strcmp(feature_names[bit], name) == 0)
@@ -46,7 +46,7 @@
 	return 0;
 }
 
-const char *const *jt_mechanism_names(void)
+const char *const *jt_feature_names(void)
 {
 	return feature_names;
 }
--- a/src/common/jt_log_sink.c
+++ b/src/common/jt_log_sink.c
@@ -65,7 +65,7 @@
 	if (rate_usage->second != second)
 		*rate_usage = (struct rate_usage){.second = second};
 	if (rate_usage->used >= class_limit(class)) {
-		sink->counters.left_out[class]++;
+		sink->counters.suppressed[class]++;
 		return false;
 	}
 	rate_usage->used++;
@@ -119,12 +119,12 @@
 	}
 }
 
-bool jt_log_sink_shortened(struct jt_log_sink *sink, uint64_t now_ms)
+bool jt_log_sink_report_due(struct jt_log_sink *sink, uint64_t now_ms)
 {
 	uint64_t sum = sink->counters.lost;
 
 	for (int i = 0; i < JT_LOG_CLASSES; i++)
-		sum += sink->counters.left_out[i];
+		sum += sink->counters.suppressed[i];
 	if (sum == sink->reported_lines ||
 	    now_ms - sink->reported_ms < REPORT_INTERVAL_MS)
 		return false;
--- a/src/common/jt_log_sink.h
+++ b/src/common/jt_log_sink.h
@@ -24,7 +24,7 @@
 
 struct jt_log_counters {
 	uint64_t written;
-	uint64_t left_out[JT_LOG_CLASSES];
+	uint64_t suppressed[JT_LOG_CLASSES];
 	uint64_t lost;	   /* the buffer was full */
 	uint64_t write_us; /* time spent in write() */
 };
@@ -44,7 +44,7 @@
 void jt_log_sink_flush(struct jt_log_sink *sink);
 /* Returns true if lines were suppressed or lost since it last returned true, at
  * most once a second; the counters give the numbers. */
-bool jt_log_sink_shortened(struct jt_log_sink *sink, uint64_t now_ms);
+bool jt_log_sink_report_due(struct jt_log_sink *sink, uint64_t now_ms);
 /* Returns the counters, valid as long as @sink. */
 const struct jt_log_counters *
 jt_log_sink_counters(const struct jt_log_sink *sink);
--- a/src/common/jt_net.c
+++ b/src/common/jt_net.c
@@ -38,9 +38,9 @@
 }
 
 const char *jt_address_format(struct jt_address address,
-			      char text[JT_ADDRESS_TEXT])
+			      char text[JT_ADDRESS_TEXT_SIZE])
 {
-	snprintf(text, JT_ADDRESS_TEXT, "%u.%u.%u.%u:%u", address.ip >> 24,
+	snprintf(text, JT_ADDRESS_TEXT_SIZE, "%u.%u.%u.%u:%u", address.ip >> 24,
 		 address.ip >> 16 & 0xff, address.ip >> 8 & 0xff,
 		 address.ip & 0xff, address.port);
 	return text;
--- a/src/common/jt_share.c
+++ b/src/common/jt_share.c
@@ -1,7 +1,7 @@
 #include "jt_share.h"
 
-bool jt_share_admit(const struct jt_share_use *uses, size_t count, size_t index,
-		    uint64_t capacity, uint32_t reserve_permille)
+bool jt_share_admit(const struct jt_share_usage *uses, size_t count,
+		    size_t index, uint64_t capacity, uint32_t reserve_permille)
 {
 	uint64_t weight_sum = 0, open = 0, reserved = 0;
 	uint64_t own_share;
--- a/src/common/jt_share.h
+++ b/src/common/jt_share.h
@@ -14,14 +14,14 @@
 #include <stdint.h>
 
 /* Usage of a service by one group. */
-struct jt_share_use {
+struct jt_share_usage {
 	uint32_t weight;
 	uint32_t open; /* flows of the group at the service */
 };
 
 /* Returns true if group @index of @uses may open one more flow. @capacity is in
  * flows; @reserve_permille is the reserved part of unused shares. */
-bool jt_share_admit(const struct jt_share_use *uses, size_t count, size_t index,
-		    uint64_t capacity, uint32_t reserve_permille);
+bool jt_share_admit(const struct jt_share_usage *uses, size_t count,
+		    size_t index, uint64_t capacity, uint32_t reserve_permille);
 
 #endif
--- a/src/core/jt_placement.c
+++ b/src/core/jt_placement.c
@@ -36,7 +36,7 @@
 {
 	const struct jt_config *config = core->current->config;
 	uint32_t service_id = jt_service_id(core, address);
-	struct jt_share_use uses[SHARE_LIMIT];
+	struct jt_share_usage uses[SHARE_LIMIT];
 	size_t count = 0, index = SIZE_MAX;
 
 	if (core->options.injected_faults & JT_BREAK_NO_ADMISSION)
--- a/src/daemon/jt_api.c
+++ b/src/daemon/jt_api.c
@@ -64,9 +64,9 @@
 	json_t *root;
 
 	if (state != NULL)
-		document = jt_node_document(node, state->config->revision);
+		document = jt_node_find_document(node, state->config->revision);
 	if (document == NULL)
-		document = jt_node_newest(node);
+		document = jt_node_newest_document(node);
 	*revision = document ? document->revision : 0;
 	root = document ? json_loads(document->text, 0, NULL) : json_object();
 	json_object_del(root, "write_ids");
@@ -91,7 +91,7 @@
 {
 	struct api_write *write = private_data;
 
-	jt_config_write_forget(write->api->sync, write);
+	jt_config_write_cancel_callback(write->api->sync, write);
 	talloc_free(write);
 }
 
@@ -142,13 +142,15 @@
 
 	json_decref(current);
 	if (result != JT_CHANGE_OK) {
-		jt_api_reply_wrong(request, change_status(result), &error);
+		jt_api_reply_resource_error(request, change_status(result),
+					    &error);
 		return;
 	}
-	jt_api_reply_json(request, 200,
-			  json_pack("{s:s,s:I,s:o}", "outcome", "valid",
-				    "revision", (json_int_t)revision, "plan",
-				    jt_status_plan(api->node, new_document)));
+	jt_api_reply_json(
+		request, 200,
+		json_pack("{s:s,s:I,s:o}", "outcome", "valid", "revision",
+			  (json_int_t)revision, "plan",
+			  jt_status_dry_run(api->node, new_document)));
 	json_decref(new_document);
 }
 
@@ -173,9 +175,9 @@
 				"the token does not allow this change");
 			goto release;
 		}
-		if (jt_api_deletion_cuts(api->node->core, &changes[i],
-					 &error)) {
-			jt_api_reply_wrong(request, 409, &error);
+		if (jt_api_deletion_breaks_flows(api->node->core, &changes[i],
+						 &error)) {
+			jt_api_reply_resource_error(request, 409, &error);
 			goto release;
 		}
 	}
@@ -227,7 +229,7 @@
 		return;
 	if (jt_change_from_document(api, posted, &changes, &count, &error) !=
 	    0) {
-		jt_api_reply_wrong(request, 422, &error);
+		jt_api_reply_resource_error(request, 422, &error);
 		json_decref(posted);
 		return;
 	}
@@ -344,7 +346,7 @@
 	return state ? state->config->revision : 0;
 }
 
-void jt_api_changed(struct jt_api *api)
+void jt_api_answer_watches(struct jt_api *api)
 {
 	struct pending_watch *watch, *next;
 	uint64_t revision;
@@ -406,7 +408,7 @@
 	key.source_port = from.port;
 	key.destination = to.ip;
 	key.destination_port = to.port;
-	jt_api_reply_json(request, 200, jt_status_explain(api->node, &key));
+	jt_api_reply_json(request, 200, jt_status_lookup_flow(api->node, &key));
 }
 
 static void handle_resources(struct jt_api *api,
@@ -426,8 +428,7 @@
 	struct api_write *write = write_create(api, request, id);
 
 	if (write != NULL)
-		jt_config_write_outcome(api->sync, write->id, on_written,
-					write);
+		jt_config_write_query(api->sync, write->id, on_written, write);
 }
 
 /* Returns true if @path is a kind of resources or one resource; *name is NULL
--- a/src/daemon/jt_api.h
+++ b/src/daemon/jt_api.h
@@ -25,7 +25,7 @@
 struct jt_api *jt_api_create(TALLOC_CTX *mem_ctx, struct jt_node *node,
 			     struct jt_config_sync *sync);
 /* Answers the pending watch requests for which a newer revision is active. */
-void jt_api_changed(struct jt_api *api);
+void jt_api_answer_watches(struct jt_api *api);
 /* Answers watch requests that timed out; called periodically. */
 void jt_api_tick(struct jt_api *api);
 
--- a/src/daemon/jt_api_access.c
+++ b/src/daemon/jt_api_access.c
@@ -41,9 +41,9 @@
 	       strcmp(json_string_value(group), token->group) == 0;
 }
 
-bool jt_api_deletion_cuts(const struct jt_core *core,
-			  const struct jt_change *change,
-			  struct jt_resource_error *error)
+bool jt_api_deletion_breaks_flows(const struct jt_core *core,
+				  const struct jt_change *change,
+				  struct jt_resource_error *error)
 {
 	const struct jt_cell_state *state = jt_core_state(core);
 	const struct jt_config *config = state ? state->config : NULL;
--- a/src/daemon/jt_api_access.h
+++ b/src/daemon/jt_api_access.h
@@ -16,8 +16,8 @@
 			   const struct jt_change *change);
 /* Returns true, with @error set, if the change deletes a resource that has open
  * flows; the deletion would break them. */
-bool jt_api_deletion_cuts(const struct jt_core *core,
-			  const struct jt_change *change,
-			  struct jt_resource_error *error);
+bool jt_api_deletion_breaks_flows(const struct jt_core *core,
+				  const struct jt_change *change,
+				  struct jt_resource_error *error);
 
 #endif
--- a/src/daemon/jt_api_reply.c
+++ b/src/daemon/jt_api_reply.c
@@ -20,8 +20,9 @@
 	jt_api_reply_json(request, status, json_pack("{s:s}", "error", reason));
 }
 
-void jt_api_reply_wrong(struct jt_http_request *request, unsigned status,
-			const struct jt_resource_error *error)
+void jt_api_reply_resource_error(struct jt_http_request *request,
+				 unsigned status,
+				 const struct jt_resource_error *error)
 {
 	jt_api_reply_json(request, status,
 			  json_pack("{s:s,s:s,s:s}", "error", error->reason,
@@ -50,16 +51,16 @@
 				  "id", id));
 		break;
 	case JT_WRITE_CONFLICT:
-		jt_api_reply_wrong(request, 409, error);
+		jt_api_reply_resource_error(request, 409, error);
 		break;
 	case JT_WRITE_ABSENT:
-		jt_api_reply_wrong(request, 404, error);
+		jt_api_reply_resource_error(request, 404, error);
 		break;
 	case JT_WRITE_INVALID:
-		jt_api_reply_wrong(request, 422, error);
+		jt_api_reply_resource_error(request, 422, error);
 		break;
 	case JT_WRITE_FORBIDDEN:
-		jt_api_reply_wrong(request, 403, error);
+		jt_api_reply_resource_error(request, 403, error);
 		break;
 	case JT_WRITE_NOT_RUN:
 		jt_api_reply_json(request, 503,
--- a/src/daemon/jt_api_reply.h
+++ b/src/daemon/jt_api_reply.h
@@ -12,8 +12,9 @@
 void jt_api_reply_error(struct jt_http_request *request, unsigned status,
 			const char *reason);
 /* Sends an error of a resource, with its name and field. */
-void jt_api_reply_wrong(struct jt_http_request *request, unsigned status,
-			const struct jt_resource_error *error);
+void jt_api_reply_resource_error(struct jt_http_request *request,
+				 unsigned status,
+				 const struct jt_resource_error *error);
 /* Sends the outcome of the write @id; @error describes a rejected write. */
 void jt_api_reply_outcome(struct jt_http_request *request, const char *id,
 			  enum jt_write_outcome outcome, uint64_t revision,
--- a/src/daemon/jt_balancer.c
+++ b/src/daemon/jt_balancer.c
@@ -33,7 +33,7 @@
 
 	/* The node may change before the API is created. */
 	if (balancer->api != NULL)
-		jt_api_changed(balancer->api);
+		jt_api_answer_watches(balancer->api);
 }
 
 static void on_witness(const struct jt_witness_request *request,
@@ -41,7 +41,7 @@
 {
 	struct jt_balancer *balancer = private_data;
 
-	jt_witness_ask(balancer->witness, request);
+	jt_witness_request_vote(balancer->witness, request);
 }
 
 static void on_left(void *private_data)
@@ -73,7 +73,7 @@
 {
 	struct jt_balancer *balancer = talloc_zero(mem_ctx, struct jt_balancer);
 	struct jt_address api = options->settings->api;
-	char text[JT_ADDRESS_TEXT];
+	char text[JT_ADDRESS_TEXT_SIZE];
 	char *node_error = NULL;
 
 	balancer->left = options->left;
--- a/src/daemon/jt_config_sync.c
+++ b/src/daemon/jt_config_sync.c
@@ -103,7 +103,7 @@
 	struct jt_config_sync *sync = private_data;
 
 	store_state_set(sync, true);
-	jt_node_take_document(sync->node, value->mod_revision, value->value);
+	jt_node_add_document(sync->node, value->mod_revision, value->value);
 }
 
 static void on_watch_end(struct tevent_req *req)
@@ -134,8 +134,8 @@
 	store_state_set(sync, true);
 	sync->backoff_ms = RETRY_MIN_MS;
 	if (value.present)
-		jt_node_take_document(sync->node, value.mod_revision,
-				      value.value);
+		jt_node_add_document(sync->node, value.mod_revision,
+				     value.value);
 	talloc_free(frame);
 	sync->watching = jt_store_watch_send(
 		sync, sync->store, sync->key,
@@ -153,7 +153,7 @@
 		return;
 	}
 	if (sync->watching != NULL || sync->reading != NULL ||
-	    now < sync->read_due_ms || !jt_store_budget_take(&sync->budget))
+	    now < sync->read_due_ms || !jt_store_budget_consume(&sync->budget))
 		return;
 	sync->reading = jt_store_get_send(sync, sync->store, sync->key);
 	if (sync->reading != NULL)
@@ -234,7 +234,7 @@
 	switch (result) {
 	case JT_STORE_OK:
 		store_state_set(sync, true);
-		jt_node_take_document(sync->node, revision, write->put_text);
+		jt_node_add_document(sync->node, revision, write->put_text);
 		write_stored(write, revision);
 		break;
 	case JT_STORE_FAILED_COMPARE:
@@ -310,8 +310,7 @@
 		return;
 	}
 	if (jt_change_written(document, write->id)) {
-		jt_node_take_document(write->sync->node, revision,
-				      value->value);
+		jt_node_add_document(write->sync->node, revision, value->value);
 		write_stored(write, revision);
 	} else if (write->changes == NULL) {
 		write_finish(write, JT_WRITE_ABSENT, 0, NULL);
@@ -384,7 +383,7 @@
 		write_finish(write, JT_WRITE_UNKNOWN, 0, NULL);
 		return;
 	}
-	if (jt_store_budget_take(&write->sync->budget))
+	if (jt_store_budget_consume(&write->sync->budget))
 		write_get(write);
 }
 
@@ -425,7 +424,8 @@
 	write->posted = posted;
 }
 
-void jt_config_write_forget(struct jt_config_sync *sync, void *private_data)
+void jt_config_write_cancel_callback(struct jt_config_sync *sync,
+				     void *private_data)
 {
 	for (struct pending_write *w = sync->writes; w; w = w->next) {
 		if (w->private_data == private_data)
@@ -433,8 +433,8 @@
 	}
 }
 
-void jt_config_write_outcome(struct jt_config_sync *sync, const char *write_id,
-			     jt_write_callback callback, void *private_data)
+void jt_config_write_query(struct jt_config_sync *sync, const char *write_id,
+			   jt_write_callback callback, void *private_data)
 {
 	/* A write that is pending here is not absent. */
 	for (struct pending_write *w = sync->writes; w; w = w->next) {
@@ -463,9 +463,9 @@
 	return sync->store;
 }
 
-bool jt_config_sync_take(struct jt_config_sync *sync)
+bool jt_config_sync_consume_operation(struct jt_config_sync *sync)
 {
-	return jt_store_budget_take(&sync->budget);
+	return jt_store_budget_consume(&sync->budget);
 }
 
 uint64_t jt_config_sync_store_bytes(const struct jt_config_sync *sync)
@@ -478,7 +478,7 @@
 	return jt_store_operations(sync->store);
 }
 
-bool jt_config_sync_store_up(const struct jt_config_sync *sync)
+bool jt_config_sync_store_reachable(const struct jt_config_sync *sync)
 {
 	return sync->store_up;
 }
--- a/src/daemon/jt_config_sync.h
+++ b/src/daemon/jt_config_sync.h
@@ -49,22 +49,23 @@
 		     struct jt_change *changes, size_t count, json_t *posted,
 		     jt_write_callback callback, void *private_data);
 /* Cancels the callback of writes with @private_data; the writes continue. */
-void jt_config_write_forget(struct jt_config_sync *sync, void *private_data);
+void jt_config_write_cancel_callback(struct jt_config_sync *sync,
+				     void *private_data);
 /* Reports the outcome of an earlier write: accepted, stored, absent (it did not
  * run and never will) or unknown. May call @callback before it returns. */
-void jt_config_write_outcome(struct jt_config_sync *sync, const char *write_id,
-			     jt_write_callback callback, void *private_data);
+void jt_config_write_query(struct jt_config_sync *sync, const char *write_id,
+			   jt_write_callback callback, void *private_data);
 
 /* Returns the store, which @sync owns. */
 struct jt_store *jt_config_sync_store(struct jt_config_sync *sync);
 /* Consumes one operation of this node's part of the store's rate limit. Returns
  * false if none is left. */
-bool jt_config_sync_take(struct jt_config_sync *sync);
+bool jt_config_sync_consume_operation(struct jt_config_sync *sync);
 /* Return the bytes to and from the store, and the number of operations, since
  * the start. */
 uint64_t jt_config_sync_store_bytes(const struct jt_config_sync *sync);
 uint64_t jt_config_sync_store_operations(const struct jt_config_sync *sync);
 /* Returns true if the last operation reached the store. */
-bool jt_config_sync_store_up(const struct jt_config_sync *sync);
+bool jt_config_sync_store_reachable(const struct jt_config_sync *sync);
 
 #endif
--- a/src/daemon/jt_document.c
+++ b/src/daemon/jt_document.c
@@ -18,23 +18,23 @@
 }
 
 const struct jt_document *
-jt_document_find(const struct jt_document_memory *memory, uint64_t revision)
+jt_document_cache_find(const struct jt_document_cache *cache, uint64_t revision)
 {
-	for (int i = 0; i < JT_DOCUMENT_MEMORY; i++) {
-		if (memory->items[i] != NULL &&
-		    memory->items[i]->revision == revision)
-			return memory->items[i];
+	for (int i = 0; i < JT_DOCUMENT_CACHE_SIZE; i++) {
+		if (cache->items[i] != NULL &&
+		    cache->items[i]->revision == revision)
+			return cache->items[i];
 	}
 	return NULL;
 }
 
 const struct jt_document *
-jt_document_newest(const struct jt_document_memory *memory)
+jt_document_cache_newest(const struct jt_document_cache *cache)
 {
 	const struct jt_document *newest = NULL;
 
-	for (int i = 0; i < JT_DOCUMENT_MEMORY; i++) {
-		const struct jt_document *document = memory->items[i];
+	for (int i = 0; i < JT_DOCUMENT_CACHE_SIZE; i++) {
+		const struct jt_document *document = cache->items[i];
 
 		if (document != NULL &&
 		    (newest == NULL || document->revision > newest->revision))
@@ -44,28 +44,27 @@
 }
 
 /* Returns the index of an unused slot, or of the lowest revision. */
-static int slot_select(const struct jt_document_memory *memory)
+static int slot_select(const struct jt_document_cache *cache)
 {
 	int oldest = 0;
 
-	for (int i = 0; i < JT_DOCUMENT_MEMORY; i++) {
-		if (memory->items[i] == NULL)
+	for (int i = 0; i < JT_DOCUMENT_CACHE_SIZE; i++) {
+		if (cache->items[i] == NULL)
 			return i;
-		if (memory->items[i]->revision <
-		    memory->items[oldest]->revision)
+		if (cache->items[i]->revision < cache->items[oldest]->revision)
 			oldest = i;
 	}
 	return oldest;
 }
 
-void jt_document_keep(struct jt_document_memory *memory,
-		      struct jt_document *document)
+void jt_document_cache_add(struct jt_document_cache *cache,
+			   struct jt_document *document)
 {
-	int slot = slot_select(memory);
-	struct jt_document *oldest = memory->items[slot];
+	int slot = slot_select(cache);
+	struct jt_document *oldest = cache->items[slot];
 
 	/* Others may hold references to its configuration. */
 	if (oldest != NULL)
 		talloc_unlink(talloc_parent(oldest), oldest);
-	memory->items[slot] = document;
+	cache->items[slot] = document;
 }
--- a/src/daemon/jt_document.h
+++ b/src/daemon/jt_document.h
@@ -17,10 +17,11 @@
 	const struct jt_config *config;
 };
 
-enum { JT_DOCUMENT_MEMORY = 8 };
+enum { JT_DOCUMENT_CACHE_SIZE = 8 };
 
-struct jt_document_memory {
-	struct jt_document *items[JT_DOCUMENT_MEMORY]; /* NULL: unused slot */
+struct jt_document_cache {
+	struct jt_document
+		*items[JT_DOCUMENT_CACHE_SIZE]; /* NULL: unused slot */
 };
 
 /* Parses @text. If it is invalid, config is NULL and @error gives the reason.
@@ -30,13 +31,14 @@
 				       struct jt_resource_error *error);
 /* Returns the document of @revision, or NULL. */
 const struct jt_document *
-jt_document_find(const struct jt_document_memory *memory, uint64_t revision);
+jt_document_cache_find(const struct jt_document_cache *cache,
+		       uint64_t revision);
 /* Returns the document of the highest revision, or NULL. */
 const struct jt_document *
-jt_document_newest(const struct jt_document_memory *memory);
+jt_document_cache_newest(const struct jt_document_cache *cache);
 /* Stores @document; replaces the one of the lowest revision if the cache is
  * full. */
-void jt_document_keep(struct jt_document_memory *memory,
-		      struct jt_document *document);
+void jt_document_cache_add(struct jt_document_cache *cache,
+			   struct jt_document *document);
 
 #endif
--- a/src/daemon/jt_founding.c
+++ b/src/daemon/jt_founding.c
@@ -57,7 +57,7 @@
 	event.u.cell = founding->cell;
 	jt_log_line(founding->node->log, LOG_NOTICE,
 		    "event=cell_founded cell=%016" PRIx64, founding->cell);
-	jt_node_event(founding->node, &event);
+	jt_node_handle_event(founding->node, &event);
 }
 
 static void on_record_put(struct tevent_req *req)
@@ -161,11 +161,11 @@
 		return;
 	if (state == NULL &&
 	    (now < founding->node->started_ms + FOUND_DELAY_MS ||
-	     jt_node_newest(founding->node) == NULL))
+	     jt_node_newest_document(founding->node) == NULL))
 		return;
 	if (state != NULL && !jt_core_coordinator(founding->node->core))
 		return;
-	if (!jt_store_budget_take(founding->budget))
+	if (!jt_store_budget_consume(founding->budget))
 		return;
 	req = jt_store_get_send(founding, founding->store, founding->key);
 	if (req == NULL)
--- a/src/daemon/jt_health_probe.c
+++ b/src/daemon/jt_health_probe.c
@@ -123,7 +123,7 @@
 	}
 	talloc_free(req);
 	talloc_free(answer);
-	jt_node_event(probe->node, &event);
+	jt_node_handle_event(probe->node, &event);
 }
 
 static void probe_send(struct jt_health_probe *probe,
@@ -132,7 +132,7 @@
 	struct jt_http_call call = {.method = "GET",
 				    .timeout_ms = PROBE_TIMEOUT_MS};
 	struct probe_call *answer = talloc_zero(probe, struct probe_call);
-	char text[JT_ADDRESS_TEXT];
+	char text[JT_ADDRESS_TEXT_SIZE];
 	struct tevent_req *req;
 
 	answer->probe = probe;
@@ -181,7 +181,7 @@
 	json_decref(list);
 	event.u.candidates.addresses = addresses;
 	event.u.candidates.count = count;
-	jt_node_event(probe->node, &event);
+	jt_node_handle_event(probe->node, &event);
 }
 
 static void machines_request(struct jt_health_probe *probe)
--- a/src/daemon/jt_node.c
+++ b/src/daemon/jt_node.c
@@ -29,25 +29,25 @@
 
 /* Documents */
 
-const struct jt_document *jt_node_document(const struct jt_node *node,
-					   uint64_t revision)
+const struct jt_document *jt_node_find_document(const struct jt_node *node,
+						uint64_t revision)
 {
-	return jt_document_find(&node->documents, revision);
+	return jt_document_cache_find(&node->documents, revision);
 }
 
-const struct jt_document *jt_node_newest(const struct jt_node *node)
+const struct jt_document *jt_node_newest_document(const struct jt_node *node)
 {
-	return jt_document_newest(&node->documents);
+	return jt_document_cache_newest(&node->documents);
 }
 
-bool jt_node_take_document(struct jt_node *node, uint64_t revision,
-			   const char *text)
+bool jt_node_add_document(struct jt_node *node, uint64_t revision,
+			  const char *text)
 {
 	struct jt_event event = {.kind = JT_EVENT_CONFIG};
 	struct jt_resource_error error;
 	struct jt_document *document;
 
-	if (jt_node_document(node, revision) != NULL)
+	if (jt_node_find_document(node, revision) != NULL)
 		return true;
 	document = jt_document_create(node, revision, text, &error);
 	if (document == NULL)
@@ -62,8 +62,8 @@
 		return false;
 	}
 	event.u.config = document->config;
-	jt_node_event(node, &event);
-	jt_document_keep(&node->documents, document);
+	jt_node_handle_event(node, &event);
+	jt_document_cache_add(&node->documents, document);
 	jt_log_line(node->log, LOG_INFO, "event=config_known revision=%llu",
 		    (unsigned long long)revision);
 	node->handler.changed(node->handler.private_data);
@@ -125,7 +125,8 @@
 static void config_reply(struct jt_node *node, struct jt_address to,
 			 uint64_t revision)
 {
-	const struct jt_document *document = jt_node_document(node, revision);
+	const struct jt_document *document =
+		jt_node_find_document(node, revision);
 	jt_wire_message message = {
 		.from = jt_core_node_id(node->core),
 		.body.kind = JT_WIRE_CONFIG,
@@ -133,7 +134,7 @@
 	jt_wire_config *config = &message.body.jt_wire_body_u.config;
 
 	if (document == NULL)
-		document = jt_node_newest(node);
+		document = jt_node_newest_document(node);
 	if (document == NULL)
 		return;
 	config->revision = document->revision;
@@ -244,7 +245,7 @@
 		config_request_send(node, action);
 		break;
 	case JT_ACTION_PUBLISH:
-		node->publish = true;
+		node->publish_pending = true;
 		break;
 	case JT_ACTION_LEFT:
 		node->left = true;
@@ -272,7 +273,7 @@
 
 static void tables_publish(struct jt_node *node)
 {
-	node->publish = false;
+	node->publish_pending = false;
 	jt_traffic_publish(node->traffic, node->core);
 	log_state(node);
 	node->handler.changed(node->handler.private_data);
@@ -280,9 +281,9 @@
 
 static void left_report(struct jt_node *node)
 {
-	if (node->left_told)
+	if (node->left_reported)
 		return;
-	node->left_told = true;
+	node->left_reported = true;
 	node->handler.left(node->handler.private_data);
 }
 
@@ -297,14 +298,14 @@
 		    ready ? "ready" : "not_ready");
 }
 
-void jt_node_event(struct jt_node *node, struct jt_event *event)
+void jt_node_handle_event(struct jt_node *node, struct jt_event *event)
 {
 	event->now_ms = jt_clock_ms();
 	jt_core_handle(node->core, event, node->actions);
 	for (size_t i = 0; i < node->actions->count; i++)
 		action_execute(node, &node->actions->items[i]);
 	jt_actions_clear(node->actions);
-	if (node->publish)
+	if (node->publish_pending)
 		tables_publish(node);
 	jt_traffic_set_lease(node->traffic, jt_core_lease_until(node->core));
 	if (node->left)
@@ -328,7 +329,7 @@
 	event.u.packet.tcp_flags = parsed->tcp_flags;
 	event.u.packet.hops = hops;
 	event.u.packet.token = node->packet_token;
-	jt_node_event(node, &event);
+	jt_node_handle_event(node, &event);
 	node->packet = NULL;
 }
 
@@ -336,7 +337,7 @@
 		    uint16_t flags, void *private_data)
 {
 	struct jt_node *node = private_data;
-	struct jt_slow_packet *packet;
+	struct jt_control_packet *packet;
 	uint64_t value = 1;
 	int handled = 0;
 
@@ -345,7 +346,7 @@
 	(void)flags;
 	(void)!read(node->wake_fd, &value, sizeof(value));
 	while (handled < CONTROL_BATCH &&
-	       (packet = jt_traffic_next(node->traffic)) != NULL) {
+	       (packet = jt_traffic_dequeue(node->traffic)) != NULL) {
 		packet_event(node, JT_EVENT_PACKET, packet->data,
 			     packet->length, 0);
 		free(packet);
@@ -380,12 +381,12 @@
 		text = talloc_strndup(node, config->document.document_val,
 				      config->document.document_len);
 		if (text != NULL)
-			jt_node_take_document(node, config->revision, text);
+			jt_node_add_document(node, config->revision, text);
 		talloc_free(text);
 		break;
 	default:
 		event.u.message = message;
-		jt_node_event(node, &event);
+		jt_node_handle_event(node, &event);
 		break;
 	}
 }
@@ -404,8 +405,8 @@
 		node->counters.peer_rejected[error]++;
 		return;
 	}
-	if (jt_replay_table_take(node->replays, message.from, sequence,
-				 jt_clock_ms()))
+	if (jt_replay_table_accept(node->replay_table, message.from, sequence,
+				   jt_clock_ms()))
 		peer_message(node, from, &message);
 	else
 		node->counters.peer_rejected[JT_CODEC_REPLAY]++;
@@ -440,10 +441,10 @@
 	struct jt_node *node = private_data;
 	struct jt_event event = {.kind = JT_EVENT_TICK};
 
-	jt_node_event(node, &event);
+	jt_node_handle_event(node, &event);
 	ready_update(node);
 	node->handler.tick(node->handler.private_data);
-	jt_timer_set(node->tick, TICK_MS);
+	jt_timer_set(node->tick_timer, TICK_MS);
 }
 
 bool jt_node_ready(const struct jt_node *node)
@@ -456,7 +457,7 @@
 {
 	struct jt_node *node = private_data;
 
-	if (node->left_told)
+	if (node->left_reported)
 		return;
 	jt_log_line(node->log, LOG_WARNING, "event=leave_unconfirmed");
 	left_report(node);
@@ -466,7 +467,7 @@
 {
 	struct jt_event event = {.kind = JT_EVENT_LEAVE};
 
-	jt_node_event(private_data, &event);
+	jt_node_handle_event(private_data, &event);
 }
 
 void jt_node_leave(struct jt_node *node)
@@ -477,8 +478,8 @@
 		return;
 	node->draining = true;
 	jt_log_line(node->log, LOG_NOTICE, "event=leaving delay_ms=%u", delay);
-	jt_timer_set(node->leave, delay);
-	jt_timer_set(node->leave_limit, delay + LEAVE_LIMIT_S * 1000);
+	jt_timer_set(node->leave_timer, delay);
+	jt_timer_set(node->leave_limit_timer, delay + LEAVE_LIMIT_S * 1000);
 }
 
 static int node_destructor(struct jt_node *node)
@@ -507,7 +508,7 @@
 
 	event.u.candidates.addresses = node->settings->seeds;
 	event.u.candidates.count = node->settings->seed_count;
-	jt_node_event(node, &event);
+	jt_node_handle_event(node, &event);
 }
 
 struct jt_node *jt_node_create(TALLOC_CTX *mem_ctx, struct tevent_context *loop,
@@ -517,7 +518,7 @@
 			       char **error)
 {
 	struct jt_node *node = talloc_zero(mem_ctx, struct jt_node);
-	char text[JT_ADDRESS_TEXT];
+	char text[JT_ADDRESS_TEXT_SIZE];
 
 	node->loop = loop;
 	node->handler = *handler;
@@ -526,7 +527,7 @@
 	node->peer_fd = -1;
 	node->started_ms = jt_clock_ms();
 	talloc_set_destructor(node, node_destructor);
-	node->replays = jt_replay_table_create(node);
+	node->replay_table = jt_replay_table_create(node);
 	node->core = core_create(node);
 	node->actions = jt_actions_create(node);
 	node->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
@@ -547,18 +548,19 @@
 					strerror(errno));
 		goto fail;
 	}
-	node->tick = jt_timer_create(node, loop, on_tick, node);
-	node->leave = jt_timer_create(node, loop, on_leave, node);
-	node->leave_limit = jt_timer_create(node, loop, on_leave_limit, node);
-	if (node->tick == NULL || node->leave == NULL ||
-	    node->leave_limit == NULL) {
+	node->tick_timer = jt_timer_create(node, loop, on_tick, node);
+	node->leave_timer = jt_timer_create(node, loop, on_leave, node);
+	node->leave_limit_timer =
+		jt_timer_create(node, loop, on_leave_limit, node);
+	if (node->tick_timer == NULL || node->leave_timer == NULL ||
+	    node->leave_limit_timer == NULL) {
 		*error = talloc_strdup(mem_ctx, "out of file descriptors");
 		goto fail;
 	}
 	seeds_submit(node);
 	tevent_add_fd(loop, node, node->wake_fd, TEVENT_FD_READ, on_wake, node);
 	tevent_add_fd(loop, node, node->peer_fd, TEVENT_FD_READ, on_peer, node);
-	jt_timer_set(node->tick, 0);
+	jt_timer_set(node->tick_timer, 0);
 	return node;
 fail:
 	talloc_free(node);
--- a/src/daemon/jt_node.h
+++ b/src/daemon/jt_node.h
@@ -52,17 +52,18 @@
 	struct tevent_context *loop;
 	const struct jt_log *log;
 	struct jt_settings *settings;
-	struct jt_timer *tick;
-	struct jt_timer *leave;	      /* delay before the cell is left */
-	struct jt_timer *leave_limit; /* ends a leave that no peer confirms */
+	struct jt_timer *tick_timer;
+	struct jt_timer *leave_timer; /* delay before the cell is left */
+	struct jt_timer
+		*leave_limit_timer; /* ends a leave that no peer confirms */
 	struct jt_core *core;
 	struct jt_actions *actions;
 	struct jt_traffic *traffic;
 	int wake_fd;
 	int peer_fd;
 	uint64_t sequence;
-	struct jt_replay_table *replays;
-	struct jt_document_memory documents;
+	struct jt_replay_table *replay_table;
+	struct jt_document_cache documents;
 	struct jt_held_packet *held;
 	size_t held_count;
 	uint64_t next_token;
@@ -71,14 +72,14 @@
 	size_t packet_length;
 	uint64_t packet_token;
 	struct jt_parsed packet_parsed;
-	bool publish;
+	bool publish_pending;
 	bool draining; /* stopping: reports itself not ready */
 	bool left;
 	bool was_ready;
 	uint64_t started_ms;
 	struct jt_node_counters counters;
 	struct jt_node_handler handler;
-	bool left_told;
+	bool left_reported;
 };
 
 /* Creates a node and takes ownership of @settings. Returns NULL with a message
@@ -90,16 +91,16 @@
 			       const struct jt_node_handler *handler,
 			       char **error);
 /* Passes @event to the decision library and executes the returned actions. */
-void jt_node_event(struct jt_node *node, struct jt_event *event);
+void jt_node_handle_event(struct jt_node *node, struct jt_event *event);
 /* Stores a configuration document and passes it to the decision library.
  * Returns false if it is invalid; returns true for a known revision. */
-bool jt_node_take_document(struct jt_node *node, uint64_t revision,
-			   const char *text);
+bool jt_node_add_document(struct jt_node *node, uint64_t revision,
+			  const char *text);
 /* Returns the document of the highest revision, or NULL if there is none. */
-const struct jt_document *jt_node_newest(const struct jt_node *node);
+const struct jt_document *jt_node_newest_document(const struct jt_node *node);
 /* Returns the document of @revision, or NULL if it is not stored. */
-const struct jt_document *jt_node_document(const struct jt_node *node,
-					   uint64_t revision);
+const struct jt_document *jt_node_find_document(const struct jt_node *node,
+						uint64_t revision);
 /* Returns true if the node forwards packets and is not stopping. */
 bool jt_node_ready(const struct jt_node *node);
 /* Starts a planned stop: the node is not ready from now on and leaves the cell
--- a/src/daemon/jt_replay_table.c
+++ b/src/daemon/jt_replay_table.c
@@ -21,8 +21,8 @@
 	return talloc_zero(mem_ctx, struct jt_replay_table);
 }
 
-bool jt_replay_table_take(struct jt_replay_table *table, uint64_t sender,
-			  uint64_t sequence, uint64_t now_ms)
+bool jt_replay_table_accept(struct jt_replay_table *table, uint64_t sender,
+			    uint64_t sequence, uint64_t now_ms)
 {
 	struct sender_window *entry = NULL;
 	size_t oldest = 0;
--- a/src/daemon/jt_status.c
+++ b/src/daemon/jt_status.c
@@ -39,7 +39,7 @@
 {
 	const struct jt_cell_state *state = jt_core_state(node->core);
 	json_t *list = json_array();
-	char text[JT_ADDRESS_TEXT];
+	char text[JT_ADDRESS_TEXT_SIZE];
 	char id[20];
 
 	for (size_t i = 0; i < state->member_count; i++) {
@@ -59,7 +59,7 @@
 {
 	const struct jt_cell_state *state = jt_core_state(node->core);
 	json_t *list = json_array();
-	char text[JT_ADDRESS_TEXT];
+	char text[JT_ADDRESS_TEXT_SIZE];
 
 	for (size_t i = 0; i < state->endpoint_count; i++) {
 		const struct jt_cell_endpoint *e = &state->endpoints[i];
@@ -104,13 +104,13 @@
 		       const struct jt_config_sync *sync)
 {
 	const struct jt_cell_state *state = jt_core_state(node->core);
-	const struct jt_document *newest = jt_node_newest(node);
+	const struct jt_document *newest = jt_node_newest_document(node);
 	uint64_t active_on_all = jt_core_revision_everywhere(node->core);
 	json_t *status = json_pack(
 		"{s:s,s:s,s:b,s:b,s:b,s:I,s:I,s:I}", "node",
 		node->settings->name, "zone", node->settings->zone, "ready",
 		(int)jt_node_ready(node), "leaving", (int)node->draining,
-		"store_up", (int)jt_config_sync_store_up(sync),
+		"store_up", (int)jt_config_sync_store_reachable(sync),
 		"revision_known", (json_int_t)(newest ? newest->revision : 0),
 		"revision_in_force_everywhere", (json_int_t)active_on_all,
 		"flow_records", (json_int_t)jt_core_flow_count(node->core));
@@ -262,7 +262,8 @@
 }
 
 /* Compares the current tables with the endpoints of the new document. */
-json_t *jt_status_plan(const struct jt_node *node, const json_t *new_document)
+json_t *jt_status_dry_run(const struct jt_node *node,
+			  const json_t *new_document)
 {
 	const struct jt_cell_state *state = jt_core_state(node->core);
 	struct jt_resource_error error;
@@ -303,8 +304,8 @@
 	return list;
 }
 
-json_t *jt_status_explain(const struct jt_node *node,
-			  const struct jt_flow_key *key)
+json_t *jt_status_lookup_flow(const struct jt_node *node,
+			      const struct jt_flow_key *key)
 {
 	const struct jt_cell_state *state = jt_core_state(node->core);
 	const struct jt_address_config *address;
--- a/src/daemon/jt_status.h
+++ b/src/daemon/jt_status.h
@@ -14,10 +14,11 @@
 			const struct jt_config_sync *sync);
 /* Returns, for each service, how many buckets and flows the document
  * @new_document would affect; the caller owns the reference. */
-json_t *jt_status_plan(const struct jt_node *node, const json_t *new_document);
+json_t *jt_status_dry_run(const struct jt_node *node,
+			  const json_t *new_document);
 /* Returns how a packet of the flow @key is forwarded, or a reason why it is
  * not; the caller owns the reference. */
-json_t *jt_status_explain(const struct jt_node *node,
-			  const struct jt_flow_key *key);
+json_t *jt_status_lookup_flow(const struct jt_node *node,
+			      const struct jt_flow_key *key);
 
 #endif
--- a/src/daemon/jt_store_budget.c
+++ b/src/daemon/jt_store_budget.c
@@ -31,7 +31,7 @@
 		budget->tokens_milli = BURST_OPERATIONS * 1000;
 }
 
-bool jt_store_budget_take(struct jt_store_budget *budget)
+bool jt_store_budget_consume(struct jt_store_budget *budget)
 {
 	refill(budget);
 	if (budget->tokens_milli < 1000)
--- a/src/daemon/jt_store_budget.h
+++ b/src/daemon/jt_store_budget.h
@@ -18,7 +18,7 @@
 void jt_store_budget_init(struct jt_store_budget *budget,
 			  const struct jt_node *node);
 /* Consumes one operation; returns false if none is left. */
-bool jt_store_budget_take(struct jt_store_budget *budget);
+bool jt_store_budget_consume(struct jt_store_budget *budget);
 /* Returns a random time from half of @ms to @ms, which spreads the requests of
  * the nodes over time. */
 uint32_t jt_store_jitter(uint32_t ms);
--- a/src/daemon/jt_traffic.c
+++ b/src/daemon/jt_traffic.c
@@ -39,7 +39,7 @@
  * directly do not take the lock of the queue. */
 struct queue_entry {
 	STAILQ_ENTRY(queue_entry) next;
-	struct jt_slow_packet *packet;
+	struct jt_control_packet *packet;
 };
 STAILQ_HEAD(packet_queue, queue_entry);
 
@@ -124,7 +124,7 @@
 
 	if (entry == NULL)
 		return NULL;
-	entry->packet = malloc(sizeof(struct jt_slow_packet) + length);
+	entry->packet = malloc(sizeof(struct jt_control_packet) + length);
 	if (entry->packet == NULL) {
 		free(entry);
 		return NULL;
@@ -291,10 +291,10 @@
 
 static int traffic_destructor(struct jt_traffic *traffic)
 {
-	struct jt_slow_packet *packet;
+	struct jt_control_packet *packet;
 
 	jt_traffic_stop(traffic);
-	while ((packet = jt_traffic_next(traffic)) != NULL)
+	while ((packet = jt_traffic_dequeue(traffic)) != NULL)
 		free(packet);
 	for (unsigned i = 0; i < traffic->thread_count; i++) {
 		if (traffic->threads[i].fd >= 0)
@@ -408,9 +408,9 @@
 	atomic_store(&traffic->lease_until_ms, until_ms);
 }
 
-struct jt_slow_packet *jt_traffic_next(struct jt_traffic *traffic)
+struct jt_control_packet *jt_traffic_dequeue(struct jt_traffic *traffic)
 {
-	struct jt_slow_packet *packet = NULL;
+	struct jt_control_packet *packet = NULL;
 	struct queue_entry *entry;
 
 	pthread_mutex_lock(&traffic->queue_lock);
--- a/src/daemon/jt_traffic.h
+++ b/src/daemon/jt_traffic.h
@@ -15,7 +15,7 @@
 #include <talloc.h>
 
 /* A packet for the control thread. The receiver frees it with free(). */
-struct jt_slow_packet {
+struct jt_control_packet {
 	size_t length;
 	uint8_t data[];
 };
@@ -49,7 +49,7 @@
 void jt_traffic_set_lease(struct jt_traffic *traffic, uint64_t until_ms);
 /* Removes and returns the next queued packet, or NULL if there is none. Control
  * thread only. */
-struct jt_slow_packet *jt_traffic_next(struct jt_traffic *traffic);
+struct jt_control_packet *jt_traffic_dequeue(struct jt_traffic *traffic);
 /* Sends one packet to an endpoint or to the client gateway; callable from any
  * thread. */
 void jt_traffic_send(struct jt_traffic *traffic, struct jt_address to,
--- a/src/daemon/jt_witness.c
+++ b/src/daemon/jt_witness.c
@@ -115,7 +115,7 @@
 	witness->call = NULL;
 	if (replied) {
 		event.u.witness = &call->reply;
-		jt_node_event(witness->node, &event);
+		jt_node_handle_event(witness->node, &event);
 	}
 	talloc_free(call);
 }
@@ -163,15 +163,15 @@
 		tevent_req_set_callback(req, on_put, call);
 }
 
-void jt_witness_ask(struct jt_witness *witness,
-		    const struct jt_witness_request *request)
+void jt_witness_request_vote(struct jt_witness *witness,
+			     const struct jt_witness_request *request)
 {
 	struct jt_config_sync *sync = witness->sync;
 	struct witness_call *call;
 	struct tevent_req *req;
 
 	if (witness->call != NULL || request->proposal == NULL ||
-	    !jt_config_sync_take(sync))
+	    !jt_config_sync_consume_operation(sync))
 		return;
 	call = talloc_zero(witness, struct witness_call);
 	if (call == NULL)
--- a/src/daemon/jt_witness.h
+++ b/src/daemon/jt_witness.h
@@ -17,7 +17,7 @@
 /* Requests a vote and copies @request. The reply arrives as JT_EVENT_WITNESS;
  * there is none if a request is pending, the rate limit is reached or the store
  * does not answer. */
-void jt_witness_ask(struct jt_witness *witness,
-		    const struct jt_witness_request *request);
+void jt_witness_request_vote(struct jt_witness *witness,
+			     const struct jt_witness_request *request);
 
 #endif
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -157,7 +157,7 @@
 		talloc_free(frame);
 		return;
 	}
-	fixed = jt_settings_fixed_difference(node->settings, settings);
+	fixed = jt_settings_find_fixed_change(node->settings, settings);
 	if (fixed != NULL) {
 		jt_log_line(&daemon->log, LOG_ERR,
 			    "event=reload_rejected reason=\"%s can't change "
@@ -223,7 +223,7 @@
 		result = EXIT_FAILED;
 		goto out;
 	}
-	if (jt_director_settings_wanted(daemon->options.config)) {
+	if (jt_director_settings_selected(daemon->options.config)) {
 		fprintf(stderr,
 			"jaspertrackd: %s: placement: \"label\" is for "
 			"jaspertrack-director\n",
--- a/src/director/jt_director_log.c
+++ b/src/director/jt_director_log.c
@@ -1,14 +1,14 @@
 #include "jt_director_log.h"
 #include "jt_net.h"
 
-enum { FLOW_TEXT = 2 * JT_ADDRESS_TEXT };
+enum { FLOW_TEXT = 2 * JT_ADDRESS_TEXT_SIZE };
 
 static const char *flow_format(const struct jt_flow_key *key,
 			       char text[FLOW_TEXT])
 {
 	struct jt_address from = {key->source, key->source_port};
 	struct jt_address to = {key->destination, key->destination_port};
-	char source[JT_ADDRESS_TEXT], destination[JT_ADDRESS_TEXT];
+	char source[JT_ADDRESS_TEXT_SIZE], destination[JT_ADDRESS_TEXT_SIZE];
 
 	snprintf(text, FLOW_TEXT, "%s>%s", jt_address_format(from, source),
 		 jt_address_format(to, destination));
@@ -68,7 +68,7 @@
 			  const struct jt_director_action *action,
 			  const char *request, uint64_t now_ms)
 {
-	char flow[FLOW_TEXT], address[JT_ADDRESS_TEXT];
+	char flow[FLOW_TEXT], address[JT_ADDRESS_TEXT_SIZE];
 
 	if (action->reason == JT_DIRECTOR_LABELLED ||
 	    !is_allowed(log, reason_class(action->reason), now_ms))
@@ -129,7 +129,7 @@
 			      const struct jt_director_action *action,
 			      const char *event)
 {
-	char address[JT_ADDRESS_TEXT];
+	char address[JT_ADDRESS_TEXT_SIZE];
 
 	jt_log_line(log, LOG_NOTICE,
 		    "event=%s endpoint=%llx born_ms=%llu address=%s "
@@ -147,7 +147,7 @@
 			   const struct jt_director_action *action,
 			   const char *event, uint64_t now_ms)
 {
-	char address[JT_ADDRESS_TEXT];
+	char address[JT_ADDRESS_TEXT_SIZE];
 
 	/* Rate-limited: many endpoints of a service may change at the same
 	 * time. */
@@ -194,15 +194,16 @@
 
 	if (log->sink == NULL)
 		return;
-	if (jt_log_sink_shortened(log->sink, now_ms)) {
+	if (jt_log_sink_report_due(log->sink, now_ms)) {
 		counters = jt_log_sink_counters(log->sink);
-		jt_log_line(
-			log, LOG_WARNING,
-			"event=log_shortened ordinary=%llu unusual=%llu "
-			"lost=%llu",
-			(unsigned long long)counters->left_out[JT_LOG_ORDINARY],
-			(unsigned long long)counters->left_out[JT_LOG_UNUSUAL],
-			(unsigned long long)counters->lost);
+		jt_log_line(log, LOG_WARNING,
+			    "event=log_shortened ordinary=%llu unusual=%llu "
+			    "lost=%llu",
+			    (unsigned long long)
+				    counters->suppressed[JT_LOG_ORDINARY],
+			    (unsigned long long)
+				    counters->suppressed[JT_LOG_UNUSUAL],
+			    (unsigned long long)counters->lost);
 	}
 	jt_log_sink_flush(log->sink);
 }
--- a/src/director/jt_director_node.c
+++ b/src/director/jt_director_node.c
@@ -1,7 +1,7 @@
 #include "jt_director_node_private.h"
 #include "jt_director_log.h"
 #include "jt_flow_lookup.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 #include "jt_net.h"
 #include "jt_routing.h"
 #include "jt_timer.h"
@@ -58,7 +58,7 @@
 {
 	uint64_t limit_ms = node->settings->leave_limit_ms;
 	uint64_t margin_ms = LEAVE_MARGIN_MS +
-			     LEAVE_CPU_COST / node->settings->reader_weight;
+			     LEAVE_CPU_COST / node->settings->reader_capacity;
 
 	return limit_ms > margin_ms ? limit_ms - margin_ms : 0;
 }
@@ -83,11 +83,11 @@
 static struct jt_zone_view zone_state(const struct jt_director_node *node)
 {
 	struct jt_zone_view zone = jt_peer_exchange_zone(node->peers);
-	uint32_t disabled = node->settings->without;
+	uint32_t disabled = node->settings->disabled_features;
 
-	if (!jt_mechanism_on(disabled, JT_MECHANISM_LEAVE_IN_TURN))
+	if (!jt_feature_enabled(disabled, JT_FEATURE_ORDERED_LEAVE))
 		zone.serving = zone.nodes;
-	if (!jt_mechanism_on(disabled, JT_MECHANISM_EARLY_END))
+	if (!jt_feature_enabled(disabled, JT_FEATURE_EARLY_EXIT))
 		zone.removed = 1;
 	return zone;
 }
@@ -239,7 +239,7 @@
 
 static bool open_data(struct jt_director_node *node, char **error)
 {
-	char address[JT_ADDRESS_TEXT];
+	char address[JT_ADDRESS_TEXT_SIZE];
 
 	node->data_fd = jt_udp_open(node->settings->data, false);
 	if (node->data_fd >= 0 &&
@@ -267,13 +267,14 @@
 static uint64_t first_listing_delay_ms(struct jt_director_node *node)
 {
 	const struct jt_director_settings *settings = node->settings;
-	bool first_start =
-		settings->first_start &&
-		jt_mechanism_on(settings->without, JT_MECHANISM_FIRST_START);
+	bool first_start = settings->first_start &&
+			   jt_feature_enabled(settings->disabled_features,
+					      JT_FEATURE_FIRST_START);
 
-	if (!jt_mechanism_on(settings->without, JT_MECHANISM_PEERS_FIRST))
+	if (!jt_feature_enabled(settings->disabled_features,
+				JT_FEATURE_SYNC_FROM_PEERS))
 		return 0;
-	return jt_reader_first_wait_ms(&node->reader, settings->reader_weight,
+	return jt_reader_first_wait_ms(&node->reader, settings->reader_capacity,
 				       first_start, is_seed(settings));
 }
 
@@ -305,7 +306,7 @@
 	node->sync = jt_directory_sync_create(
 		node, node->loop, node->client, node->environment->directory,
 		node->settings->store, &watcher, first_listing_delay_ms(node),
-		node->settings->reader_weight, seed);
+		node->settings->reader_capacity, seed);
 	node->tick_timer = jt_timer_create(node, node->loop, on_tick, node);
 	node->lookup_timer =
 		jt_timer_create(node, node->loop, on_lookup_timeout, node);
@@ -347,7 +348,7 @@
 		goto fail;
 	}
 	jt_director_options_init(&options);
-	options.without = settings->without;
+	options.disabled_features = settings->disabled_features;
 	options.zone_id = jt_name_id(settings->zone);
 	options.flow_limit = settings->flow_limit;
 	options.endpoint_limit = settings->endpoint_limit;
--- a/src/director/jt_director_node_sync.c
+++ b/src/director/jt_director_node_sync.c
@@ -165,7 +165,7 @@
 	    node->leave.stage != JT_LEAVE_STAYS ||
 	    jt_directory_sync_unreachable(node->sync))
 		return 0;
-	return node->settings->reader_weight;
+	return node->settings->reader_capacity;
 }
 
 void jt_director_node_read_mode_update(struct jt_director_node *node,
--- a/src/director/jt_director_pages.c
+++ b/src/director/jt_director_pages.c
@@ -333,10 +333,10 @@
 	text = add_type(text, "log_lines_left_out_total", "counter");
 	text = add_labelled_value(text, "log_lines_left_out_total", "class",
 				  "unusual",
-				  counters->left_out[JT_LOG_UNUSUAL]);
+				  counters->suppressed[JT_LOG_UNUSUAL]);
 	text = add_labelled_value(text, "log_lines_left_out_total", "class",
 				  "ordinary",
-				  counters->left_out[JT_LOG_ORDINARY]);
+				  counters->suppressed[JT_LOG_ORDINARY]);
 	text = add_metric(text, "log_write_us_total", "counter",
 			  counters->write_us);
 	return add_metric(text, "log_lines_lost_total", "counter",
@@ -375,7 +375,7 @@
 	struct jt_director_pages *pages =
 		talloc_zero(mem_ctx, struct jt_director_pages);
 	struct jt_http_options options = {.address = settings->readiness};
-	char address[JT_ADDRESS_TEXT];
+	char address[JT_ADDRESS_TEXT_SIZE];
 
 	if (pages == NULL)
 		return NULL;
--- a/src/director/jt_peer_exchange.c
+++ b/src/director/jt_peer_exchange.c
@@ -1,6 +1,6 @@
 #include "jt_peer_exchange.h"
 #include "jt_http_server.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 #include "jt_net.h"
 #include "jt_peer_flows.h"
 #include "jt_peer_snapshots.h"
@@ -234,7 +234,8 @@
 void jt_peer_exchange_updates_schedule(struct jt_peer_exchange *exchange)
 {
 	if (exchange->update_pending ||
-	    !jt_mechanism_on(exchange->membership->without, JT_MECHANISM_NEWS))
+	    !jt_feature_enabled(exchange->membership->disabled_features,
+				JT_FEATURE_GOSSIP_UPDATES))
 		return;
 	exchange->update_pending = true;
 	jt_timer_set(exchange->update_timer, UPDATE_DELAY_MS);
@@ -285,7 +286,7 @@
 static void peer_discovered_log(const struct jt_peer_exchange *exchange,
 				struct jt_address address)
 {
-	char text[JT_ADDRESS_TEXT];
+	char text[JT_ADDRESS_TEXT_SIZE];
 
 	jt_log_line(exchange->log, LOG_NOTICE, "event=peer_seen peer=%s",
 		    jt_address_format(address, text));
@@ -427,7 +428,7 @@
 	struct jt_address targets[JT_DIGEST_FANOUT];
 	struct jt_own_state own = {0};
 	const struct jt_peer *lost;
-	char text[JT_ADDRESS_TEXT];
+	char text[JT_ADDRESS_TEXT_SIZE];
 	size_t count;
 
 	while ((lost = jt_membership_next_lost(exchange->membership, now_ms)) !=
@@ -530,7 +531,7 @@
 {
 	struct jt_peer_exchange *exchange =
 		talloc_zero(mem_ctx, struct jt_peer_exchange);
-	char text[JT_ADDRESS_TEXT];
+	char text[JT_ADDRESS_TEXT_SIZE];
 	uint64_t id;
 
 	if (exchange == NULL)
@@ -547,7 +548,8 @@
 		exchange, id, settings->peer, jt_name_id(settings->zone));
 	exchange->sender.membership = exchange->membership;
 	if (exchange->membership != NULL)
-		exchange->membership->without = settings->without;
+		exchange->membership->disabled_features =
+			settings->disabled_features;
 	exchange->timer = jt_timer_create(exchange, loop, on_round, exchange);
 	exchange->update_timer =
 		jt_timer_create(exchange, loop, on_update_due, exchange);
--- a/src/director/jt_peer_snapshots.c
+++ b/src/director/jt_peer_snapshots.c
@@ -73,7 +73,7 @@
 /* Requests the next part from the peer. */
 static void part_request(struct jt_peer_snapshots *snapshots)
 {
-	char own_text[JT_ADDRESS_TEXT], peer_text[JT_ADDRESS_TEXT];
+	char own_text[JT_ADDRESS_TEXT_SIZE], peer_text[JT_ADDRESS_TEXT_SIZE];
 	struct jt_http_call call = {.method = "GET"};
 	struct jt_own_state own = {0};
 	struct jt_snapshot_request snapshot_request;
@@ -137,7 +137,7 @@
 static void fetch_start(struct jt_peer_snapshots *snapshots,
 			const struct jt_peer *peer)
 {
-	char text[JT_ADDRESS_TEXT];
+	char text[JT_ADDRESS_TEXT_SIZE];
 
 	snapshots->frames->counters.fetches++;
 	jt_log_line(snapshots->log, LOG_NOTICE,
--- a/src/director_daemon/director_process.c
+++ b/src/director_daemon/director_process.c
@@ -63,8 +63,8 @@
 		reload_rejected(process, error);
 		goto out;
 	}
-	fixed_setting = jt_director_settings_fixed_difference(process->settings,
-							      settings);
+	fixed_setting = jt_director_settings_find_fixed_change(
+		process->settings, settings);
 	if (fixed_setting != NULL) {
 		reload_rejected(process,
 				talloc_asprintf(frame,
@@ -117,8 +117,8 @@
 static void log_start(const struct director_process *process)
 {
 	const struct jt_director_settings *settings = process->settings;
-	char data[JT_ADDRESS_TEXT], peer[JT_ADDRESS_TEXT];
-	char store[JT_ADDRESS_TEXT];
+	char data[JT_ADDRESS_TEXT_SIZE], peer[JT_ADDRESS_TEXT_SIZE];
+	char store[JT_ADDRESS_TEXT_SIZE];
 
 	jt_log_line(&process->log, LOG_NOTICE,
 		    "event=started version=" JT_VERSION " node=%s zone=%s "
--- a/src/lab/scenario.c
+++ b/src/lab/scenario.c
@@ -49,11 +49,12 @@
 	if (setting == NULL) {
 		if (default_value >= min)
 			return 0;
-		return jt_settings_wrong(&r->input, group, key, "is missing");
+		return jt_settings_set_error(&r->input, group, key,
+					     "is missing");
 	}
 	if (!config_setting_is_number(setting))
-		return jt_settings_wrong(&r->input, setting, key,
-					 "must be a number");
+		return jt_settings_set_error(&r->input, setting, key,
+					     "must be a number");
 	*value = config_setting_type(setting) == CONFIG_TYPE_FLOAT
 			 ? config_setting_get_float(setting)
 			 : (double)config_setting_get_int64(setting);
@@ -61,7 +62,7 @@
 		return 0;
 	snprintf(problem, sizeof(problem), "is %g, allowed are %g to %g",
 		 *value, min, max);
-	return jt_settings_wrong(&r->input, setting, key, problem);
+	return jt_settings_set_error(&r->input, setting, key, problem);
 }
 
 static int read_count(struct reader *r, const config_setting_t *group,
@@ -74,9 +75,9 @@
 		return -1;
 	*value = (unsigned)real;
 	if ((double)*value != real)
-		return jt_settings_wrong(&r->input,
-					 config_setting_get_member(group, key),
-					 key, "must be a whole number");
+		return jt_settings_set_error(
+			&r->input, config_setting_get_member(group, key), key,
+			"must be a whole number");
 	return 0;
 }
 
@@ -89,8 +90,8 @@
 	if (list == NULL || !config_setting_is_list(list) ||
 	    config_setting_length(list) < 1 ||
 	    config_setting_length(list) > max) {
-		jt_settings_wrong(&r->input, list ? list : root, key,
-				  "must be a list of at least one group");
+		jt_settings_set_error(&r->input, list ? list : root, key,
+				      "must be a list of at least one group");
 		return NULL;
 	}
 	return list;
@@ -109,8 +110,9 @@
 		struct scenario_zone *zone = &s->zones[s->zone_count];
 
 		if (!config_setting_is_group(setting))
-			return jt_settings_wrong(&r->input, setting, "zones",
-						 "must contain groups");
+			return jt_settings_set_error(&r->input, setting,
+						     "zones",
+						     "must contain groups");
 		if (jt_settings_check_keys(&r->input, setting, known_keys) !=
 			    0 ||
 		    jt_settings_read_text(&r->input, setting, "name", true,
@@ -180,8 +182,8 @@
 	const char *kind = "";
 
 	if (!config_setting_is_group(setting))
-		return jt_settings_wrong(&r->input, setting, "services",
-					 "must contain groups");
+		return jt_settings_set_error(&r->input, setting, "services",
+					     "must contain groups");
 	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
 	    jt_settings_read_text(&r->input, setting, "name", true,
 				  &service->name) != 0 ||
@@ -204,7 +206,7 @@
 	else if (strcmp(kind, "request") == 0)
 		service->kind = JT_SERVICE_REQUEST;
 	else
-		return jt_settings_wrong(
+		return jt_settings_set_error(
 			&r->input, config_setting_get_member(setting, "kind"),
 			"kind", "must be \"stream\" or \"request\"");
 	return 0;
@@ -273,8 +275,8 @@
 	const char *service = "";
 
 	if (!config_setting_is_group(setting))
-		return jt_settings_wrong(&r->input, setting, "demand",
-					 "must contain groups");
+		return jt_settings_set_error(&r->input, setting, "demand",
+					     "must contain groups");
 	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
 	    jt_settings_read_text(&r->input, setting, "service", true,
 				  &service) != 0 ||
@@ -286,15 +288,16 @@
 		return -1;
 	demand->service = find_service(r->scenario, service, strlen(service));
 	if (demand->service == UINT32_MAX)
-		return jt_settings_wrong(
+		return jt_settings_set_error(
 			&r->input,
 			config_setting_get_member(setting, "service"),
 			"service", "unknown service");
 	repeatable = config_setting_get_member(setting, "repeatable");
 	if (repeatable != NULL &&
 	    config_setting_type(repeatable) != CONFIG_TYPE_BOOL)
-		return jt_settings_wrong(&r->input, repeatable, "repeatable",
-					 "must be true or false");
+		return jt_settings_set_error(&r->input, repeatable,
+					     "repeatable",
+					     "must be true or false");
 	demand->repeatable =
 		repeatable == NULL || config_setting_get_bool(repeatable);
 	return 0;
@@ -308,8 +311,8 @@
 	int count;
 
 	if (!config_setting_is_group(setting))
-		return jt_settings_wrong(&r->input, setting, "groups",
-					 "must contain groups");
+		return jt_settings_set_error(&r->input, setting, "groups",
+					     "must contain groups");
 	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
 	    jt_settings_read_text(&r->input, setting, "name", true,
 				  &group->name) != 0)
@@ -492,9 +495,9 @@
 	}
 	if (expected == NULL)
 		return 0;
-	return jt_settings_wrong(&r->input,
-				 config_setting_get_member(setting, "target"),
-				 "target", expected);
+	return jt_settings_set_error(
+		&r->input, config_setting_get_member(setting, "target"),
+		"target", expected);
 }
 
 static int read_value(struct reader *r, const config_setting_t *setting,
@@ -528,7 +531,7 @@
 		event->to_service =
 			find_service(r->scenario, target, strlen(target));
 		if (event->to_service == UINT32_MAX)
-			return jt_settings_wrong(
+			return jt_settings_set_error(
 				&r->input,
 				config_setting_get_member(setting, "to"), "to",
 				"unknown service");
@@ -549,8 +552,8 @@
 	int found = 0;
 
 	if (!config_setting_is_group(setting))
-		return jt_settings_wrong(&r->input, setting, "events",
-					 "must contain groups");
+		return jt_settings_set_error(&r->input, setting, "events",
+					     "must contain groups");
 	if (jt_settings_check_keys(&r->input, setting, known_keys) != 0 ||
 	    read_real(r, setting, "at_s", 0, 1e7, -1, &event->at_s) != 0 ||
 	    read_real(r, setting, "for_s", 0, 1e7, 0, &event->for_s) != 0 ||
@@ -559,7 +562,7 @@
 	while (found < EVENT_KINDS && strcmp(event_names[found], kind) != 0)
 		found++;
 	if (found == EVENT_KINDS)
-		return jt_settings_wrong(
+		return jt_settings_set_error(
 			&r->input, config_setting_get_member(setting, "kind"),
 			"kind", "unknown event kind");
 	event->kind = found;
@@ -577,8 +580,8 @@
 	int count = list ? config_setting_length(list) : 0;
 
 	if (list != NULL && !config_setting_is_list(list))
-		return jt_settings_wrong(&r->input, list, "events",
-					 "must be a list of groups");
+		return jt_settings_set_error(&r->input, list, "events",
+					     "must be a list of groups");
 	s->events =
 		talloc_zero_array(s, struct scenario_event, (size_t)count + 1);
 	for (int i = 0; i < count; i++) {
--- a/src/label/admission/jt_admission.c
+++ b/src/label/admission/jt_admission.c
@@ -2,7 +2,7 @@
 #include "jt_concurrency_limit.h"
 #include "jt_group_shares.h"
 #include "jt_in_flight.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 
 #include <math.h>
 #include <uthash.h>
@@ -64,8 +64,8 @@
 
 	if (admission == NULL)
 		return NULL;
-	admission->enabled =
-		jt_mechanism_on(options->without, JT_MECHANISM_ADMISSION);
+	admission->enabled = jt_feature_enabled(options->disabled_features,
+						JT_FEATURE_ADMISSION_CONTROL);
 	admission->floor = (double)options->admission_floor_permille / PERMILLE;
 	return admission;
 }
--- a/src/label/admission/jt_group_shares.c
+++ b/src/label/admission/jt_group_shares.c
@@ -54,7 +54,7 @@
 			   const struct jt_group *group, double in_flight,
 			   double limit, uint64_t now_ms)
 {
-	struct jt_share_use uses[JT_GROUPS_MOST];
+	struct jt_share_usage uses[JT_GROUPS_MOST];
 	size_t count = 0, index = 0;
 	double admitted = 0;
 
@@ -72,7 +72,7 @@
 			       admitted;
 		if (entry == group)
 			index = count;
-		uses[count++] = (struct jt_share_use){
+		uses[count++] = (struct jt_share_usage){
 			.weight = GROUP_WEIGHT,
 			.open = (uint32_t)(in_flight * part * REQUEST_UNIT),
 		};
--- a/src/label/jt_choose.c
+++ b/src/label/jt_choose.c
@@ -2,7 +2,7 @@
 #include "jt_choose_pool.h"
 #include "jt_choose_share.h"
 #include "jt_detector.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 #include "jt_outlier.h"
 #include "jt_routing.h"
 #include "jt_target.h"
@@ -39,7 +39,7 @@
 	chooser->outage_grace_ms = opts->outage_grace_ms;
 	chooser->random.seed = opts->seed;
 	chooser->injected_faults = opts->injected_faults;
-	chooser->without = opts->without;
+	chooser->disabled_features = opts->disabled_features;
 	return chooser;
 }
 
@@ -63,7 +63,8 @@
 	uint32_t connection_limit = service->connection_limit;
 
 	return connection_limit > 0 && in->state == JT_INCARNATION_READY &&
-	       jt_mechanism_on(chooser->without, JT_MECHANISM_REFUSE_FULL) &&
+	       jt_feature_enabled(chooser->disabled_features,
+				  JT_FEATURE_CONNECTION_LIMIT) &&
 	       jt_chooser_flows(chooser, in, now_ms) >= connection_limit;
 }
 
@@ -106,7 +107,8 @@
 				uint64_t now_ms)
 {
 	return now_ms < chooser->initial_sync_until_ms &&
-	       jt_mechanism_on(chooser->without, JT_MECHANISM_SPREAD_LEARNING);
+	       jt_feature_enabled(chooser->disabled_features,
+				  JT_FEATURE_STAGGERED_INITIAL_SYNC);
 }
 
 void jt_chooser_stagger_start(const struct jt_chooser *chooser,
@@ -180,7 +182,8 @@
 			const struct jt_incarnation *in)
 {
 	return in->entry.zone_id == chooser->zone_id ||
-	       !jt_mechanism_on(chooser->without, JT_MECHANISM_ZONE_FIRST);
+	       !jt_feature_enabled(chooser->disabled_features,
+				   JT_FEATURE_PREFER_ZONE);
 }
 
 /* Summary of the ready incarnations among the candidates of a choice. */
@@ -196,7 +199,7 @@
 	return (struct jt_target){
 		.peer_loads = chooser->peer_loads,
 		.nodes = chooser->nodes,
-		.without = chooser->without,
+		.disabled_features = chooser->disabled_features,
 	};
 }
 
@@ -318,7 +321,8 @@
 			  const struct candidate *remote)
 {
 	if (!view->local.measured ||
-	    !jt_mechanism_on(chooser->without, JT_MECHANISM_ZONE_ROOM))
+	    !jt_feature_enabled(chooser->disabled_features,
+				JT_FEATURE_ZONE_HEADROOM))
 		return remote->load * REMOTE_LOAD_PERMILLE / 1000 < local->load;
 	return random_chance(
 		chooser, jt_zone_remote_fraction(&view->local, &view->remote));
@@ -493,10 +497,10 @@
 {
 	struct jt_split *split = jt_splits_find(chooser->splits, route);
 	struct jt_incarnation *chosen = NULL;
-	int first_rank =
-		jt_mechanism_on(chooser->without, JT_MECHANISM_PARTS_GIVE_WAY)
-			? ELIGIBLE
-			: LAST_RESORT;
+	int first_rank = jt_feature_enabled(chooser->disabled_features,
+					    JT_FEATURE_SPLIT_FALLBACK)
+				 ? ELIGIBLE
+				 : LAST_RESORT;
 
 	*refusal = JT_DIRECTOR_NO_ENDPOINT;
 	if (split == NULL)
--- a/src/label/jt_choose.h
+++ b/src/label/jt_choose.h
@@ -32,7 +32,7 @@
 	uint64_t nodes;
 	struct jt_random random;
 	unsigned injected_faults;
-	uint32_t without; /* disabled features */
+	uint32_t disabled_features; /* disabled features */
 };
 
 /* Returns NULL if out of memory. @peer_loads and @zone_drains are not owned and
--- a/src/label/jt_choose_equalise.c
+++ b/src/label/jt_choose_equalise.c
@@ -3,7 +3,7 @@
  * mean of the others.
  */
 #include "jt_choose_pool.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 
 /* Sum of the recent load of some incarnations. */
 struct load_sum {
@@ -45,7 +45,8 @@
 	struct jt_incarnation_set sample;
 	struct load_sum others = {0};
 
-	if (!jt_mechanism_on(chooser->without, JT_MECHANISM_NEWCOMER_SHARE))
+	if (!jt_feature_enabled(chooser->disabled_features,
+				JT_FEATURE_NEW_ENDPOINT_SHARE))
 		return;
 	sample = jt_choose_pool_sample(chooser, pool, buffer);
 	for (size_t i = 0; i < sample.count; i++) {
@@ -80,7 +81,8 @@
 {
 	const struct jt_service_pool *pool;
 
-	if (!jt_mechanism_on(chooser->without, JT_MECHANISM_NEWCOMER_SHARE))
+	if (!jt_feature_enabled(chooser->disabled_features,
+				JT_FEATURE_NEW_ENDPOINT_SHARE))
 		return;
 	for (pool = table->pools; pool != NULL; pool = pool->hh.next)
 		pool_welcome_zone(chooser, pool, zone_id, now_ms);
--- a/src/label/jt_choose_share.c
+++ b/src/label/jt_choose_share.c
@@ -1,11 +1,12 @@
 #include "jt_choose_share.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 
 uint32_t jt_choose_share_permille(const struct jt_chooser *chooser,
 				  const struct jt_incarnation *in,
 				  uint64_t now_ms)
 {
-	if (!jt_mechanism_on(chooser->without, JT_MECHANISM_OUTLIERS))
+	if (!jt_feature_enabled(chooser->disabled_features,
+				JT_FEATURE_OUTLIER_DETECTION))
 		return JT_FULL_SHARE_PERMILLE;
 	return jt_outlier_share_permille(in, now_ms);
 }
--- a/src/label/jt_director.c
+++ b/src/label/jt_director.c
@@ -8,7 +8,7 @@
 #include "jt_director_packet.h"
 #include "jt_director_suspicion.h"
 #include "jt_director_zones.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 #include "jt_outlier.h"
 
 enum {
@@ -99,8 +99,9 @@
 /* A starting node assigns new flows to the endpoints received so far. */
 static void event_partial_state(struct jt_director *director, uint64_t now_ms)
 {
-	if (director->listed || !jt_mechanism_on(director->options.without,
-						 JT_MECHANISM_PARTLY_KNOWN))
+	if (director->listed ||
+	    !jt_feature_enabled(director->options.disabled_features,
+				JT_FEATURE_PARTIAL_SYNC))
 		return;
 	director->partly_listed = true;
 	director->chooser->initial_sync_until_ms = now_ms + INITIAL_SYNC_MS;
@@ -226,8 +227,8 @@
 		incarnation_find(director, id, start_time_ms);
 
 	if (incarnation == NULL || incarnation->state == JT_INCARNATION_DEAD ||
-	    !jt_mechanism_on(director->options.without,
-			     JT_MECHANISM_PEER_SUSPICION))
+	    !jt_feature_enabled(director->options.disabled_features,
+				JT_FEATURE_PEER_SUSPICION))
 		return;
 	jt_detector_peer_report(incarnation, now_ms);
 	/* Without flows there, a confirmation by this node is not needed;
--- a/src/label/jt_director_answers.c
+++ b/src/label/jt_director_answers.c
@@ -1,5 +1,5 @@
 #include "jt_director_answers.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 #include "jt_outlier.h"
 
 #define PERMILLE 1000.0
@@ -38,8 +38,9 @@
 	const struct jt_route *route =
 		jt_routing_route(director->routing, &flow->key);
 
-	if (route == NULL || !jt_mechanism_on(director->options.without,
-					      JT_MECHANISM_SHORT_ANSWERS))
+	if (route == NULL ||
+	    !jt_feature_enabled(director->options.disabled_features,
+				JT_FEATURE_SHORT_ANSWERS))
 		return NULL;
 	return jt_answer_profiles_find(director->answers, route,
 				       incarnation->entry.service_id);
--- a/src/label/jt_director_entry.c
+++ b/src/label/jt_director_entry.c
@@ -3,7 +3,7 @@
 #include "jt_director_flow.h"
 #include "jt_director_incarnation.h"
 #include "jt_director_suspicion.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 
 enum {
 	/* Time after a store outage within which entries that expired in it are
@@ -32,8 +32,8 @@
 		return;
 	incarnation->expired_in_outage =
 		director->store_away_until_ms != 0 &&
-		jt_mechanism_on(director->options.without,
-				JT_MECHANISM_OUTAGE_LAPSES) &&
+		jt_feature_enabled(director->options.disabled_features,
+				   JT_FEATURE_OUTAGE_EXPIRY) &&
 		now_ms - director->store_away_until_ms < OUTAGE_REPORT_MS;
 	jt_director_state_enter(incarnation, JT_INCARNATION_EXPIRED, now_ms,
 				actions);
--- a/src/label/jt_director_lookup.c
+++ b/src/label/jt_director_lookup.c
@@ -1,6 +1,6 @@
 #include "jt_director_lookup.h"
 #include "jt_director_flow.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 
 /* Returns true if peers should be asked for the packet's flow: the packet is a
  * retransmitted SYN, so the first one went to another node or was lost. Held
@@ -11,8 +11,8 @@
 	return packet->acknowledged > 0 && packet->held_ms == 0 &&
 	       director->peer_count > 0 &&
 	       jt_director_initial_sync_ms(director, now_ms) == 0 &&
-	       jt_mechanism_on(director->options.without,
-			       JT_MECHANISM_FLOW_LOOKUP);
+	       jt_feature_enabled(director->options.disabled_features,
+				  JT_FEATURE_FLOW_LOOKUP);
 }
 
 bool jt_director_lookup_waits(struct jt_director *director,
--- a/src/label/jt_director_packet.c
+++ b/src/label/jt_director_packet.c
@@ -5,7 +5,7 @@
 #include "jt_director_flow.h"
 #include "jt_director_lookup.h"
 #include "jt_director_suspicion.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 #include "jt_outlier.h"
 
 enum {
@@ -132,8 +132,8 @@
 			       uint64_t now_ms)
 {
 	return jt_director_initial_sync_ms(director, now_ms) > 0 &&
-	       jt_mechanism_on(director->options.without,
-			       JT_MECHANISM_SPREAD_LEARNING);
+	       jt_feature_enabled(director->options.disabled_features,
+				  JT_FEATURE_STAGGERED_INITIAL_SYNC);
 }
 
 /* Asks admission control about a new flow; adds a reset if it is rejected. */
@@ -496,8 +496,8 @@
 	 * faster than waiting for the client to retransmit. */
 	if (incarnation == NULL &&
 	    jt_director_initial_sync_ms(director, now_ms) &&
-	    jt_mechanism_on(director->options.without,
-			    JT_MECHANISM_HOLD_UNKNOWN)) {
+	    jt_feature_enabled(director->options.disabled_features,
+			       JT_FEATURE_HOLD_UNKNOWN_LABEL)) {
 		hold_add(director, packet, JT_DIRECTOR_UNKNOWN_LABEL, actions);
 		return;
 	}
--- a/src/label/jt_director_suspicion.c
+++ b/src/label/jt_director_suspicion.c
@@ -1,7 +1,7 @@
 /* Evidence from cached flows that endpoints may be dead, and probes. */
 #include "jt_director_suspicion.h"
 #include "jt_director_flow.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 #include "jt_outlier.h"
 
 enum {
@@ -28,10 +28,10 @@
 static bool evidence_enabled(const struct jt_director *director,
 			     enum jt_evidence evidence)
 {
-	return jt_mechanism_on(director->options.without,
-			       evidence == JT_EVIDENCE_NO_ANSWER
-				       ? JT_MECHANISM_DOUBT_OPENING
-				       : JT_MECHANISM_DOUBT_RESENT);
+	return jt_feature_enabled(director->options.disabled_features,
+				  evidence == JT_EVIDENCE_NO_ANSWER
+					  ? JT_FEATURE_SUSPECT_UNANSWERED
+					  : JT_FEATURE_SUSPECT_RETRANSMISSION);
 }
 
 void jt_director_suspect(struct jt_director *director,
--- a/src/label/jt_membership.c
+++ b/src/label/jt_membership.c
@@ -1,5 +1,5 @@
 #include "jt_membership.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 
 #include <string.h>
 
@@ -279,7 +279,8 @@
 static const struct jt_peer *peer_pick_round(struct jt_membership *membership)
 {
 	if (membership->count <= JT_DIRECTOR_MAX_PEERS ||
-	    !jt_mechanism_on(membership->without, JT_MECHANISM_NEAR_DIGESTS) ||
+	    !jt_feature_enabled(membership->disabled_features,
+				JT_FEATURE_ZONE_DIGESTS) ||
 	    jt_random_next(&membership->random) % CROSS_ZONE_ROUNDS == 0)
 		return peer_pick_any_zone(membership, false);
 	return peer_pick_own_zone(membership);
@@ -333,8 +334,8 @@
 	size_t expected_senders =
 		CROSS_ZONE_SENDERS * known_zone_count(membership);
 
-	return !jt_mechanism_on(membership->without,
-				JT_MECHANISM_NEAR_DIGESTS) ||
+	return !jt_feature_enabled(membership->disabled_features,
+				   JT_FEATURE_ZONE_DIGESTS) ||
 	       jt_random_next(&membership->random) % (membership->count + 1) <
 		       expected_senders;
 }
@@ -410,14 +411,16 @@
 jt_membership_reader_rank(const struct jt_membership *membership,
 			  uint32_t own_weight)
 {
-	if (!jt_mechanism_on(membership->without, JT_MECHANISM_FEW_READERS))
+	if (!jt_feature_enabled(membership->disabled_features,
+				JT_FEATURE_FEW_READERS))
 		return JT_READER_RANK_WATCHER;
 	if (!jt_membership_is_preferred_reader(membership, own_weight))
 		return JT_READER_RANK_NONE;
 	/* In a large cluster each zone has its own watchers: a single one that
 	 * served all other nodes could saturate its link. */
 	if (membership->count > JT_DIRECTOR_MAX_PEERS ||
-	    !jt_mechanism_on(membership->without, JT_MECHANISM_ONE_WATCHER))
+	    !jt_feature_enabled(membership->disabled_features,
+				JT_FEATURE_SINGLE_WATCHER))
 		return JT_READER_RANK_WATCHER;
 	return readers_ahead(membership, own_weight, false) == 0
 		       ? JT_READER_RANK_WATCHER
--- a/src/label/jt_membership.h
+++ b/src/label/jt_membership.h
@@ -104,9 +104,9 @@
 	uint64_t behind_ms; /* when a peer was first seen ahead; 0: none is */
 	uint64_t fetch_next_ms;
 	bool fetching;
-	uint64_t fetching_from;	 /* id of the peer of the current fetch */
-	uint64_t leave_limit_ms; /* maximum duration of a leave */
-	uint32_t without;	 /* bit mask of disabled features */
+	uint64_t fetching_from;	    /* id of the peer of the current fetch */
+	uint64_t leave_limit_ms;    /* maximum duration of a leave */
+	uint32_t disabled_features; /* bit mask of disabled features */
 };
 
 /* Creates the membership of the node @id at @address, as a talloc child of
--- a/src/label/jt_target.c
+++ b/src/label/jt_target.c
@@ -1,6 +1,6 @@
 #include "jt_target.h"
 #include "jt_load_distribution.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 
 #include <math.h>
 
@@ -17,11 +17,13 @@
 {
 	double relative = 1;
 
-	if (jt_mechanism_on(target->without, JT_MECHANISM_SLOWNESS))
+	if (jt_feature_enabled(target->disabled_features,
+			       JT_FEATURE_RESPONSE_TIME))
 		relative = jt_response_ratio_get(&in->response_ratio,
 						 target->nodes, now_ms);
 	if (now_ms < in->cold_until_ms && relative < COLD_RELATIVE_TIME &&
-	    jt_mechanism_on(target->without, JT_MECHANISM_COLD))
+	    jt_feature_enabled(target->disabled_features,
+			       JT_FEATURE_COLD_LIMIT))
 		relative = COLD_RELATIVE_TIME;
 	return relative;
 }
@@ -30,7 +32,8 @@
 static double peer_load(const struct jt_target *target,
 			const struct jt_incarnation *in, uint64_t now_ms)
 {
-	if (!jt_mechanism_on(target->without, JT_MECHANISM_PEER_WORK))
+	if (!jt_feature_enabled(target->disabled_features,
+				JT_FEATURE_PEER_LOADS))
 		return 0;
 	return jt_peer_loads_mean_load(target->peer_loads, in->label, now_ms);
 }
@@ -68,8 +71,8 @@
 	pool = endpoints[0]->pool;
 	target->slots = slots;
 	target->measured = pool->service_time_ms > 0;
-	if (target->measured &&
-	    jt_mechanism_on(target->without, JT_MECHANISM_FAST_FIRST))
+	if (target->measured && jt_feature_enabled(target->disabled_features,
+						   JT_FEATURE_OPTIMAL_LOAD))
 		target->marginal_time = jt_load_marginal_time(
 			load_endpoints, count,
 			jt_recent_load_rate(load) * pool->service_time_ms /
--- a/src/label/jt_target.h
+++ b/src/label/jt_target.h
@@ -13,7 +13,7 @@
 	struct jt_peer_loads *peer_loads;
 	/* Nodes that share the endpoints, including this one. */
 	uint64_t nodes;
-	uint32_t without; /* disabled features */
+	uint32_t disabled_features; /* disabled features */
 	/* Results of jt_target_compute() for a set of endpoints: */
 	double marginal_time; /* marginal response time, jt_load_marginal_time()
 			       */
--- a/src/settings/jt_director_settings.c
+++ b/src/settings/jt_director_settings.c
@@ -1,6 +1,6 @@
 #include "jt_director_settings.h"
 #include "jt_log.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 #include "jt_settings_keys.h"
 #include "jt_settings_reader.h"
 
@@ -28,7 +28,7 @@
 	LINK_MIN_MBPS = 0,
 	LINK_MAX_MBPS = 1000000,
 	/* Capacity to read the store, in thousandths of a core. */
-	READER_WEIGHT_PER_CORE = 1000,
+	READER_CAPACITY_PER_CORE = 1000,
 	/* The directory may be as old as half of the time limit for a change to
 	 * take effect; the rest is for reading and distributing it. */
 	STORE_AGE_DIVISOR = 2,
@@ -47,7 +47,8 @@
 {
 	static const char *const known[] = {"name",	 "zone",      "cores",
 					    "memory_mb", "link_mbps", NULL};
-	const config_setting_t *node = jt_settings_need_group(r, root, "node");
+	const config_setting_t *node =
+		jt_settings_require_group(r, root, "node");
 	double cores = 0, memory_mb = 0, link_mbps = 0;
 
 	if (node == NULL || jt_settings_check_keys(r, node, known) != 0 ||
@@ -65,7 +66,7 @@
 		(uint32_t)(memory_mb * (1 << 20) / ENDPOINT_MEMORY_DIVISOR /
 			   ENDPOINT_BYTES);
 	s->link_mbps = (uint32_t)link_mbps + 1;
-	s->reader_weight = (uint32_t)(cores * READER_WEIGHT_PER_CORE) + 1;
+	s->reader_capacity = (uint32_t)(cores * READER_CAPACITY_PER_CORE) + 1;
 	return jt_settings_read_text(r, node, "zone", true, &s->zone);
 }
 
@@ -76,7 +77,7 @@
 	static const char *const known[] = {"data", "readiness", "peer",
 					    "metrics", NULL};
 	const config_setting_t *listen =
-		jt_settings_need_group(r, root, "listen");
+		jt_settings_require_group(r, root, "listen");
 
 	if (listen == NULL || jt_settings_check_keys(r, listen, known) != 0 ||
 	    jt_settings_read_address(r, listen, "data", &s->data) != 0 ||
@@ -103,7 +104,7 @@
 		"flow_age_s",	   "flows",	"cold_overshoot", "cold_slack",
 		"admission_floor", NULL};
 	const config_setting_t *limits =
-		jt_settings_need_group(r, root, "limits");
+		jt_settings_require_group(r, root, "limits");
 	double drain_ms = 0, config_ms = 0, zone_drain_ms = 0, leave_s = 0,
 	       flow_age_s = 0, cold_overshoot = 0, admission_floor = 0;
 
@@ -154,7 +155,7 @@
 		return -1;
 	s->log_threshold = jt_log_severity(level);
 	if (s->log_threshold < 0)
-		return jt_settings_wrong(
+		return jt_settings_set_error(
 			r, config_setting_get_member(root, "log_level"),
 			"log_level",
 			"must be a syslog severity such as \"info\"");
@@ -171,19 +172,19 @@
 	if (list == NULL)
 		return 0;
 	if (!config_setting_is_list(list) && !config_setting_is_array(list))
-		return jt_settings_wrong(r, list, "without",
-					 "must be a list of features");
+		return jt_settings_set_error(r, list, "without",
+					     "must be a list of features");
 	for (int i = 0; i < config_setting_length(list); i++) {
 		const char *name = config_setting_get_string_elem(list, i);
-		uint32_t feature = name ? jt_mechanism_find(name) : 0;
+		uint32_t feature = name ? jt_feature_find(name) : 0;
 
 		if (feature == 0)
-			return jt_settings_wrong(
+			return jt_settings_set_error(
 				r, list, "without",
 				talloc_asprintf(r->error_ctx,
 						"unknown feature '%s'",
 						name ? name : "?"));
-		s->without |= feature;
+		s->disabled_features |= feature;
 	}
 	return 0;
 }
@@ -235,8 +236,8 @@
 }
 
 const char *
-jt_director_settings_fixed_difference(const struct jt_director_settings *a,
-				      const struct jt_director_settings *b)
+jt_director_settings_find_fixed_change(const struct jt_director_settings *a,
+				       const struct jt_director_settings *b)
 {
 	if (strcmp(a->name, b->name) != 0)
 		return "node.name";
@@ -259,7 +260,7 @@
 	return NULL;
 }
 
-bool jt_director_settings_wanted(const char *file)
+bool jt_director_settings_selected(const char *file)
 {
 	const char *placement = NULL;
 	bool wanted = false;
--- a/src/settings/jt_director_settings.h
+++ b/src/settings/jt_director_settings.h
@@ -38,10 +38,10 @@
 	/* First start of the whole system: there is no traffic yet. */
 	bool first_start;
 	/* The node's capacity to read the store for other nodes. */
-	uint32_t reader_weight;
+	uint32_t reader_capacity;
 	/* The node reads the store itself if its directory is older. */
 	uint32_t store_age_limit_ms;
-	uint32_t without; /* disabled features, for experiments */
+	uint32_t disabled_features; /* disabled features, for experiments */
 	int log_threshold;
 };
 
@@ -52,10 +52,10 @@
 /* Returns the name of the first setting that differs and cannot be changed by a
  * reload, or NULL if there is none. */
 const char *
-jt_director_settings_fixed_difference(const struct jt_director_settings *a,
-				      const struct jt_director_settings *b);
+jt_director_settings_find_fixed_change(const struct jt_director_settings *a,
+				       const struct jt_director_settings *b);
 /* Returns true if @file selects placement by label, false also if it cannot be
  * read. */
-bool jt_director_settings_wanted(const char *file);
+bool jt_director_settings_selected(const char *file);
 
 #endif
--- a/src/settings/jt_settings.c
+++ b/src/settings/jt_settings.c
@@ -25,7 +25,7 @@
 {
 	static const char *const known[] = {"name", "zone", "cell", NULL};
 	const config_setting_t *node =
-		jt_settings_need_group(&r->input, root, "node");
+		jt_settings_require_group(&r->input, root, "node");
 	struct jt_settings *s = r->settings;
 
 	s->cell = "main";
@@ -45,7 +45,7 @@
 {
 	static const char *const known[] = {"data", "peer", "api", NULL};
 	const config_setting_t *listen =
-		jt_settings_need_group(&r->input, root, "listen");
+		jt_settings_require_group(&r->input, root, "listen");
 	struct jt_settings *s = r->settings;
 
 	if (listen == NULL ||
@@ -64,7 +64,7 @@
 {
 	static const char *const known[] = {"url", "operations_per_s", NULL};
 	const config_setting_t *store =
-		jt_settings_need_group(&r->input, root, "store");
+		jt_settings_require_group(&r->input, root, "store");
 	struct jt_settings *s = r->settings;
 
 	if (store == NULL ||
@@ -92,7 +92,7 @@
 			return 0;
 		}
 	}
-	return jt_settings_wrong(
+	return jt_settings_set_error(
 		&r->input, entry, "role",
 		"allowed are \"read\", \"operate\" and \"admin\"");
 }
@@ -103,8 +103,8 @@
 	static const char *const known[] = {"token", "role", "group", NULL};
 
 	if (!config_setting_is_group(entry))
-		return jt_settings_wrong(&r->input, entry, "tokens",
-					 "each must be a group");
+		return jt_settings_set_error(&r->input, entry, "tokens",
+					     "each must be a group");
 	if (jt_settings_check_keys(&r->input, entry, known) != 0 ||
 	    jt_settings_read_text(&r->input, entry, "token", true,
 				  &token->token) != 0 ||
@@ -114,8 +114,8 @@
 				  &token->group) != 0)
 		return -1;
 	if (strlen(token->token) < TOKEN_LENGTH_MIN)
-		return jt_settings_wrong(&r->input, entry, "token",
-					 "must have 16 characters or more");
+		return jt_settings_set_error(&r->input, entry, "token",
+					     "must have 16 characters or more");
 	return 0;
 }
 
@@ -145,8 +145,9 @@
 		return 0;
 	*text = read_file(r, name);
 	if (*text == NULL)
-		return jt_settings_wrong(&r->input, api, key,
-					 "names a file that cannot be read");
+		return jt_settings_set_error(
+			&r->input, api, key,
+			"names a file that cannot be read");
 	return 0;
 }
 
@@ -155,7 +156,7 @@
 	static const char *const known[] = {"tokens", "certificate",
 					    "certificate_key", NULL};
 	const config_setting_t *api =
-		jt_settings_need_group(&r->input, root, "api");
+		jt_settings_require_group(&r->input, root, "api");
 	struct jt_settings *s = r->settings;
 	const config_setting_t *tokens;
 
@@ -165,16 +166,16 @@
 		    0)
 		return -1;
 	if ((s->certificate == NULL) != (s->certificate_key == NULL))
-		return jt_settings_wrong(
+		return jt_settings_set_error(
 			&r->input, api, "certificate",
 			"must be set together with certificate_key");
 	tokens = config_setting_get_member(api, "tokens");
 	if (tokens == NULL || !config_setting_is_list(tokens) ||
 	    config_setting_length(tokens) < 1 ||
 	    config_setting_length(tokens) > JT_TOKEN_LIMIT)
-		return jt_settings_wrong(&r->input, tokens ? tokens : api,
-					 "tokens",
-					 "must be a list of 1 to 64 groups");
+		return jt_settings_set_error(
+			&r->input, tokens ? tokens : api, "tokens",
+			"must be a list of 1 to 64 groups");
 	for (int i = 0; i < config_setting_length(tokens); i++) {
 		if (read_token(r, config_setting_get_elem(tokens, (unsigned)i),
 			       &s->tokens[i]) != 0)
@@ -204,7 +205,7 @@
 		return -1;
 	s->log_threshold = jt_log_severity(level);
 	if (s->log_threshold < 0)
-		return jt_settings_wrong(
+		return jt_settings_set_error(
 			&r->input, config_setting_get_member(root, "log_level"),
 			"log_level",
 			"must be a syslog severity such as \"info\"");
@@ -263,8 +264,8 @@
 	return r.settings;
 }
 
-const char *jt_settings_fixed_difference(const struct jt_settings *current,
-					 const struct jt_settings *changed)
+const char *jt_settings_find_fixed_change(const struct jt_settings *current,
+					  const struct jt_settings *changed)
 {
 	if (strcmp(current->name, changed->name) != 0)
 		return "node.name";
--- a/src/settings/jt_settings.h
+++ b/src/settings/jt_settings.h
@@ -62,7 +62,7 @@
  * Returns the name of the first setting that differs and cannot be changed by a
  * reload, or NULL if @changed may replace @current.
  */
-const char *jt_settings_fixed_difference(const struct jt_settings *current,
-					 const struct jt_settings *changed);
+const char *jt_settings_find_fixed_change(const struct jt_settings *current,
+					  const struct jt_settings *changed);
 
 #endif
--- a/src/settings/jt_settings_reader.c
+++ b/src/settings/jt_settings_reader.c
@@ -15,9 +15,9 @@
 	return NULL;
 }
 
-int jt_settings_wrong(const struct jt_settings_reader *r,
-		      const config_setting_t *setting, const char *key,
-		      const char *problem)
+int jt_settings_set_error(const struct jt_settings_reader *r,
+			  const config_setting_t *setting, const char *key,
+			  const char *problem)
 {
 	*r->error = talloc_asprintf(
 		r->error_ctx, "%s:%d: %s: %s", r->file,
@@ -39,7 +39,8 @@
 		while (*k != NULL && strcmp(*k, name) != 0)
 			k++;
 		if (*k == NULL)
-			return jt_settings_wrong(r, child, name, "unknown key");
+			return jt_settings_set_error(r, child, name,
+						     "unknown key");
 	}
 	return 0;
 }
@@ -51,12 +52,15 @@
 	const config_setting_t *setting = config_setting_get_member(group, key);
 
 	if (setting == NULL)
-		return required ? jt_settings_wrong(r, group, key, "is missing")
+		return required ? jt_settings_set_error(r, group, key,
+							"is missing")
 				: 0;
 	if (config_setting_type(setting) != CONFIG_TYPE_STRING)
-		return jt_settings_wrong(r, setting, key, "must be a string");
+		return jt_settings_set_error(r, setting, key,
+					     "must be a string");
 	if (config_setting_get_string(setting)[0] == '\0')
-		return jt_settings_wrong(r, setting, key, "must not be empty");
+		return jt_settings_set_error(r, setting, key,
+					     "must not be empty");
 	*text = talloc_strdup(r->values_ctx,
 			      config_setting_get_string(setting));
 	return 0;
@@ -72,8 +76,8 @@
 	if (setting == NULL)
 		return 0;
 	if (config_setting_type(setting) != CONFIG_TYPE_BOOL)
-		return jt_settings_wrong(r, setting, key,
-					 "must be true or false");
+		return jt_settings_set_error(r, setting, key,
+					     "must be true or false");
 	*value = config_setting_get_bool(setting) == CONFIG_TRUE;
 	return 0;
 }
@@ -90,11 +94,11 @@
 	if (setting == NULL)
 		return 0;
 	if (config_setting_type(setting) != CONFIG_TYPE_INT)
-		return jt_settings_wrong(r, setting, key,
-					 "must be a whole number");
+		return jt_settings_set_error(r, setting, key,
+					     "must be a whole number");
 	value = config_setting_get_int(setting);
 	if (value < min || value > max)
-		return jt_settings_wrong(
+		return jt_settings_set_error(
 			r, setting, key,
 			talloc_asprintf(r->error_ctx,
 					"is %d, allowed are %d to %d", value,
@@ -111,23 +115,23 @@
 	const char *text;
 
 	if (setting == NULL)
-		return jt_settings_wrong(r, group, key, "is missing");
+		return jt_settings_set_error(r, group, key, "is missing");
 	text = config_setting_get_string(setting);
 	if (text == NULL || jt_address_parse(text, address) != 0)
-		return jt_settings_wrong(r, setting, key,
-					 "must be \"IPV4:PORT\"");
+		return jt_settings_set_error(r, setting, key,
+					     "must be \"IPV4:PORT\"");
 	return 0;
 }
 
 const config_setting_t *
-jt_settings_need_group(const struct jt_settings_reader *r,
-		       const config_setting_t *root, const char *key)
+jt_settings_require_group(const struct jt_settings_reader *r,
+			  const config_setting_t *root, const char *key)
 {
 	const config_setting_t *setting = config_setting_get_member(root, key);
 
 	if (setting == NULL || !config_setting_is_group(setting)) {
-		jt_settings_wrong(r, setting ? setting : root, key,
-				  "must be a group { ... }");
+		jt_settings_set_error(r, setting ? setting : root, key,
+				      "must be a group { ... }");
 		return NULL;
 	}
 	return setting;
@@ -145,21 +149,22 @@
 	if (list == NULL)
 		return 0;
 	if (!config_setting_is_list(list) && !config_setting_is_array(list))
-		return jt_settings_wrong(r, list, key,
-					 "must be a list of addresses");
+		return jt_settings_set_error(r, list, key,
+					     "must be a list of addresses");
 	length = config_setting_length(list);
 	if ((size_t)length > limit)
-		return jt_settings_wrong(r, list, key,
-					 talloc_asprintf(r->error_ctx,
-							 "has more than %zu "
-							 "entries",
-							 limit));
+		return jt_settings_set_error(
+			r, list, key,
+			talloc_asprintf(r->error_ctx,
+					"has more than %zu "
+					"entries",
+					limit));
 	for (int i = 0; i < length; i++) {
 		const char *text = config_setting_get_string_elem(list, i);
 
 		if (text == NULL || jt_address_parse(text, &addresses[i]) != 0)
-			return jt_settings_wrong(r, list, key,
-						 "each must be \"IPV4:PORT\"");
+			return jt_settings_set_error(
+				r, list, key, "each must be \"IPV4:PORT\"");
 		(*count)++;
 	}
 	return 0;
@@ -184,12 +189,13 @@
 		*number = config_setting_get_float(setting);
 		break;
 	default:
-		return jt_settings_wrong(r, setting, key, "must be a number");
+		return jt_settings_set_error(r, setting, key,
+					     "must be a number");
 	}
 	if (*number >= min && *number <= max)
 		return 0;
-	return jt_settings_wrong(r, setting, key,
-				 talloc_asprintf(r->error_ctx,
-						 "is %g, allowed are %g to %g",
-						 *number, min, max));
+	return jt_settings_set_error(
+		r, setting, key,
+		talloc_asprintf(r->error_ctx, "is %g, allowed are %g to %g",
+				*number, min, max));
 }
--- a/src/settings/jt_settings_reader.h
+++ b/src/settings/jt_settings_reader.h
@@ -29,9 +29,9 @@
 					  config_t *config);
 
 /* Sets the error to "FILE:LINE: KEY: PROBLEM" and returns -1. */
-int jt_settings_wrong(const struct jt_settings_reader *r,
-		      const config_setting_t *setting, const char *key,
-		      const char *problem);
+int jt_settings_set_error(const struct jt_settings_reader *r,
+			  const config_setting_t *setting, const char *key,
+			  const char *problem);
 
 /* Checks that each key of @group is in the NULL-terminated array @known. */
 int jt_settings_check_keys(const struct jt_settings_reader *r,
@@ -75,7 +75,7 @@
 
 /* Returns a required group { ... }, or NULL with an error. */
 const config_setting_t *
-jt_settings_need_group(const struct jt_settings_reader *r,
-		       const config_setting_t *root, const char *key);
+jt_settings_require_group(const struct jt_settings_reader *r,
+			  const config_setting_t *root, const char *key);
 
 #endif
--- a/tests/choice_world.h
+++ b/tests/choice_world.h
@@ -327,7 +327,7 @@
 
 	jt_director_options_init(&options);
 	options.zone_id = 1 + (uint32_t)(n % SIM_ZONES);
-	options.without = disabled_features;
+	options.disabled_features = disabled_features;
 	options.seed = seed * SIM_NODES + n;
 	node->director = jt_director_create(node, &options);
 	node->actions = jt_director_actions_create(node);
--- a/tests/director_fixture.h
+++ b/tests/director_fixture.h
@@ -32,8 +32,9 @@
 };
 
 /* Creates a director with injected faults and without the given features. */
-static inline struct fixture *fixture_create_without(unsigned injected_fault,
-						     uint32_t disabled_features)
+static inline struct fixture *
+fixture_create_with_disabled(unsigned injected_fault,
+			     uint32_t disabled_features)
 {
 	struct fixture *fixture = talloc_zero(NULL, struct fixture);
 	struct jt_director_options options;
@@ -41,7 +42,7 @@
 	jt_director_options_init(&options);
 	options.zone_id = ZONE_A;
 	options.injected_faults = injected_fault;
-	options.without = disabled_features;
+	options.disabled_features = disabled_features;
 	fixture->director = jt_director_create(fixture, &options);
 	fixture->actions = jt_director_actions_create(fixture);
 	fixture->now_ms = 100000;
@@ -51,7 +52,7 @@
 
 static inline struct fixture *fixture_create(unsigned injected_fault)
 {
-	return fixture_create_without(injected_fault, 0);
+	return fixture_create_with_disabled(injected_fault, 0);
 }
 
 /* Handles @event; its actions are kept until the next event. */
--- a/tests/soak/soak_endpoints.c
+++ b/tests/soak/soak_endpoints.c
@@ -154,7 +154,7 @@
 
 static void entry_write(struct soak *soak, struct soak_endpoint *endpoint)
 {
-	char key[64], value[DOCUMENT_SIZE], address[JT_ADDRESS_TEXT];
+	char key[64], value[DOCUMENT_SIZE], address[JT_ADDRESS_TEXT_SIZE];
 
 	snprintf(key, sizeof(key), "servers/i-%llx",
 		 (unsigned long long)endpoint->id);
--- a/tests/soak/soak_nodes.c
+++ b/tests/soak/soak_nodes.c
@@ -44,7 +44,7 @@
 
 static const char *address_text(TALLOC_CTX *mem_ctx, struct jt_address address)
 {
-	char text[JT_ADDRESS_TEXT];
+	char text[JT_ADDRESS_TEXT_SIZE];
 
 	return talloc_strdup(mem_ctx, jt_address_format(address, text));
 }
--- a/tests/soak/soak_oracle.c
+++ b/tests/soak/soak_oracle.c
@@ -300,7 +300,7 @@
 {
 	const struct soak_endpoint *endpoint = &soak->endpoints[index];
 	uint64_t now_ms = jt_clock_ms();
-	char flow[JT_ADDRESS_TEXT];
+	char flow[JT_ADDRESS_TEXT_SIZE];
 
 	soak->resets++;
 	if (endpoint->state == SOAK_ENDED ||
@@ -333,7 +333,7 @@
 				uint32_t caller_ip, uint16_t caller_port,
 				uint64_t first_ms)
 {
-	char flow[JT_ADDRESS_TEXT];
+	char flow[JT_ADDRESS_TEXT_SIZE];
 
 	/* The flow had ended there before a late copy came, or ended with
 	 * its endpoint. */
--- a/tests/test_choice.c
+++ b/tests/test_choice.c
@@ -3,7 +3,7 @@
 #include "choice_world.h"
 #include "jt_target.h"
 #include "jt_load_distribution.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 #include "jt_zone_choice.h"
 
 enum { SEED = 1, NODES = 24 };
@@ -45,8 +45,8 @@
 	(void)state;
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		struct sim *weighted = sim_run_scenario(cases[i].load, 0);
-		struct sim *unweighted =
-			sim_run_scenario(cases[i].load, JT_MECHANISM_SLOWNESS);
+		struct sim *unweighted = sim_run_scenario(
+			cases[i].load, JT_FEATURE_RESPONSE_TIME);
 
 		assert_true(sim_mean_ms(weighted) <
 			    sim_mean_ms(unweighted) * cases[i].max_ratio);
@@ -62,7 +62,7 @@
 {
 	struct sim *preferred = sim_run_scenario(0.3, 0);
 	struct sim *proportional =
-		sim_run_scenario(0.3, JT_MECHANISM_FAST_FIRST);
+		sim_run_scenario(0.3, JT_FEATURE_OPTIMAL_LOAD);
 
 	(void)state;
 	assert_true(sim_slow_share(preferred) <
--- a/tests/test_director_settings.c
+++ b/tests/test_director_settings.c
@@ -3,7 +3,7 @@
 #include "test.h"
 
 #include "jt_director_settings.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 
 #include <sodium.h>
 #include <stdio.h>
@@ -66,13 +66,13 @@
 	(void)state;
 	settings = load(NULL, NULL, &error);
 	assert_non_null(settings);
-	assert_true(jt_director_settings_wanted(name));
+	assert_true(jt_director_settings_selected(name));
 	assert_int_equal(settings->leave_limit_ms, 2500);
 	assert_int_equal(settings->drain_limit_ms, 3000);
 	assert_int_equal(settings->flow_age_limit_ms, 60000);
 	assert_int_equal(settings->seed_count, 2);
 	assert_int_equal(settings->metrics.port, 0);
-	assert_int_equal(settings->reader_weight, 1001);
+	assert_int_equal(settings->reader_capacity, 1001);
 	assert_int_equal(settings->store_age_limit_ms, 1500);
 	talloc_free(settings);
 }
@@ -96,33 +96,36 @@
 
 static void test_features_can_be_switched_off(void **state)
 {
-	const char *const *names = jt_mechanism_names();
+	const char *const *names = jt_feature_names();
 	struct jt_director_settings *settings;
 	uint32_t all = 0;
 	char *error;
 
 	(void)state;
 	settings = load(NULL, NULL, &error);
-	assert_int_equal(settings->without, 0);
+	assert_int_equal(settings->disabled_features, 0);
 	talloc_free(settings);
 	settings = load("limits", "without = ( \"cold\", \"news\" );\nlimits",
 			&error);
 	assert_non_null(settings);
-	assert_false(jt_mechanism_on(settings->without, JT_MECHANISM_COLD));
-	assert_false(jt_mechanism_on(settings->without, JT_MECHANISM_NEWS));
-	assert_true(jt_mechanism_on(settings->without, JT_MECHANISM_SLOWNESS));
+	assert_false(jt_feature_enabled(settings->disabled_features,
+					JT_FEATURE_COLD_LIMIT));
+	assert_false(jt_feature_enabled(settings->disabled_features,
+					JT_FEATURE_GOSSIP_UPDATES));
+	assert_true(jt_feature_enabled(settings->disabled_features,
+				       JT_FEATURE_RESPONSE_TIME));
 	talloc_free(settings);
 	expect_error("limits", "without = ( \"magic\" );\nlimits",
 		     "without: unknown feature 'magic'");
 	/* Every feature has a unique name, in the order of the bits. */
 	for (unsigned bit = 0; names[bit] != NULL; bit++) {
-		assert_int_equal(jt_mechanism_find(names[bit]), 1u << bit);
+		assert_int_equal(jt_feature_find(names[bit]), 1u << bit);
 		all |= 1u << bit;
 	}
-	assert_int_equal(all, 2 * JT_MECHANISM_FLOW_LOOKUP - 1);
-	assert_int_equal(jt_mechanism_find("early-end"),
-			 JT_MECHANISM_EARLY_END);
-	assert_int_equal(jt_mechanism_find("outliers"), JT_MECHANISM_OUTLIERS);
+	assert_int_equal(all, 2 * JT_FEATURE_FLOW_LOOKUP - 1);
+	assert_int_equal(jt_feature_find("early-end"), JT_FEATURE_EARLY_EXIT);
+	assert_int_equal(jt_feature_find("outliers"),
+			 JT_FEATURE_OUTLIER_DETECTION);
 }
 
 /* The maximum age of the state is derived from the propagation bounds. */
@@ -147,7 +150,7 @@
 	settings = load("zone = \"scl-renca\";",
 			"zone = \"scl-renca\"; cores = 0.017;", &error);
 	assert_non_null(settings);
-	assert_int_equal(settings->reader_weight, 18);
+	assert_int_equal(settings->reader_capacity, 18);
 	talloc_free(settings);
 }
 
@@ -171,7 +174,7 @@
 	assert_non_null(larger);
 	assert_int_equal(larger->endpoint_limit, 99864);
 	assert_string_equal(
-		jt_director_settings_fixed_difference(settings, larger),
+		jt_director_settings_find_fixed_change(settings, larger),
 		"node.memory_mb");
 	talloc_free(larger);
 	talloc_free(settings);
@@ -218,11 +221,11 @@
 	(void)state;
 	settings = load(NULL, NULL, &error);
 	changed = load("10.200.1.7:8169", "10.200.1.8:8169", &error);
-	assert_null(jt_director_settings_fixed_difference(settings, changed));
+	assert_null(jt_director_settings_find_fixed_change(settings, changed));
 	talloc_free(changed);
 	changed = load("10.1.0.10:7720", "10.1.0.10:7721", &error);
 	assert_string_equal(
-		jt_director_settings_fixed_difference(settings, changed),
+		jt_director_settings_find_fixed_change(settings, changed),
 		"listen.peer");
 	talloc_free(changed);
 	talloc_free(settings);
--- a/tests/test_flow_lookup.c
+++ b/tests/test_flow_lookup.c
@@ -3,7 +3,7 @@
  * endpoints would disturb each other's connection. */
 #include "director_fixture.h"
 #include "jt_flow_lookup.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 
 enum {
 	PEERS = 4,
@@ -30,7 +30,7 @@
 {
 	for (int i = 0; i < 2; i++) {
 		nodes[i] = fixture_add_two_endpoints(
-			fixture_create_without(0, disabled_features));
+			fixture_create_with_disabled(0, disabled_features));
 		fixture_set_peers(nodes[i], PEERS);
 	}
 }
@@ -276,7 +276,7 @@
 	struct client_flow flow;
 
 	(void)state;
-	create_two_nodes(nodes, JT_MECHANISM_FLOW_LOOKUP);
+	create_two_nodes(nodes, JT_FEATURE_FLOW_LOOKUP);
 	flow = flow_new(nodes[1], CLIENT_IP, BOARD_PORT);
 	assert_true(send_retransmitted_syn(nodes[1], &flow));
 	nodes_free(nodes);
--- a/tests/test_http_plain.c
+++ b/tests/test_http_plain.c
@@ -103,7 +103,7 @@
 				       const char *path,
 				       struct jt_http_call call)
 {
-	char text[JT_ADDRESS_TEXT];
+	char text[JT_ADDRESS_TEXT_SIZE];
 	struct tevent_req *req;
 	char *url = talloc_asprintf(fixture, "http://%s%s",
 				    jt_address_format(fixture->address, text),
--- a/tests/test_http_silent.c
+++ b/tests/test_http_silent.c
@@ -116,7 +116,7 @@
 {
 	struct jt_http_call request = {.method = "GET",
 				       .timeout_ms = timeout_ms};
-	char address[JT_ADDRESS_TEXT], url[64];
+	char address[JT_ADDRESS_TEXT_SIZE], url[64];
 
 	snprintf(url, sizeof(url), "http://%s/",
 		 jt_address_format(server->address, address));
--- a/tests/test_learning.c
+++ b/tests/test_learning.c
@@ -1,7 +1,7 @@
 /* Tests the initial synchronisation of a node: packets are held while endpoints
  * may be missing. */
 #include "director_fixture.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 
 enum {
 	HELD_MAX_MS = 2500,
@@ -22,7 +22,8 @@
 /* Creates a node after its first full listing, with one endpoint. */
 static struct fixture *fixture_with_one_endpoint(uint32_t disabled_features)
 {
-	struct fixture *fixture = fixture_create_without(0, disabled_features);
+	struct fixture *fixture =
+		fixture_create_with_disabled(0, disabled_features);
 
 	fixture_set_routing(fixture, 1, 50, 50);
 	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 2);
@@ -72,7 +73,7 @@
 static void test_hold_switched_off_drops_the_packet(void **state)
 {
 	struct fixture *fixture =
-		fixture_with_one_endpoint(JT_MECHANISM_HOLD_UNKNOWN);
+		fixture_with_one_endpoint(JT_FEATURE_HOLD_UNKNOWN_LABEL);
 	struct client_flow flow = make_open_flow(fixture, 0x102);
 
 	(void)state;
@@ -173,7 +174,7 @@
 	(void)state;
 	assert_int_equal(count_flows_placed_at_once(0), 1);
 	assert_int_equal(
-		count_flows_placed_at_once(JT_MECHANISM_SPREAD_LEARNING),
+		count_flows_placed_at_once(JT_FEATURE_STAGGERED_INITIAL_SYNC),
 		FLOWS);
 }
 
@@ -243,7 +244,8 @@
  */
 static struct fixture *fixture_with_partial_state(uint32_t disabled_features)
 {
-	struct fixture *fixture = fixture_create_without(0, disabled_features);
+	struct fixture *fixture =
+		fixture_create_with_disabled(0, disabled_features);
 
 	fixture_set_routing(fixture, 1, 50, 50);
 	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 2);
@@ -277,7 +279,7 @@
 static void test_partial_state_switched_off_holds_new_flows(void **state)
 {
 	struct fixture *fixture =
-		fixture_with_partial_state(JT_MECHANISM_PARTLY_KNOWN);
+		fixture_with_partial_state(JT_FEATURE_PARTIAL_SYNC);
 	struct client_flow flow = flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
 	(void)state;
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -36,12 +36,13 @@
 	}
 	assert_in_range(ordinary, 1, LINES / 20);
 	assert_true(unusual > ordinary);
-	assert_int_equal(jt_log_sink_counters(sink)->left_out[JT_LOG_ORDINARY],
-			 LINES - ordinary);
+	assert_int_equal(
+		jt_log_sink_counters(sink)->suppressed[JT_LOG_ORDINARY],
+		LINES - ordinary);
 	/* The limit applies to each second. */
 	assert_true(jt_log_sink_allow(sink, JT_LOG_ORDINARY, 6000));
-	assert_true(jt_log_sink_shortened(sink, 6000));
-	assert_false(jt_log_sink_shortened(sink, 6500));
+	assert_true(jt_log_sink_report_due(sink, 6000));
+	assert_false(jt_log_sink_report_due(sink, 6500));
 	talloc_free(sink);
 	close(pipe_fds[0]);
 	close(pipe_fds[1]);
@@ -65,7 +66,7 @@
 	assert_int_equal(jt_log_sink_counters(sink)->lost +
 				 jt_log_sink_counters(sink)->written,
 			 LINES);
-	assert_true(jt_log_sink_shortened(sink, 10000));
+	assert_true(jt_log_sink_report_due(sink, 10000));
 	/* A reader that resumes gets complete lines. */
 	fcntl(pipe_fds[0], F_SETFL, O_NONBLOCK);
 	text = read_available(pipe_fds[0]);
--- a/tests/test_mechanisms.c
+++ b/tests/test_mechanisms.c
@@ -1,24 +1,24 @@
 /* Tests feature switches: each feature has an effect when on and none when off.
  */
 #include "director_fixture.h"
-#include "jt_mechanism.h"
+#include "jt_feature.h"
 #include "jt_membership.h"
 
 enum { CLIENTS = 20, FLOWS = 60, HALF_MIN = 25, HALF_MAX = 35 };
 
 /* Creates two endpoints in the own zone, without @feature if @off. */
-static struct fixture *fixture_with_feature(enum jt_mechanism feature, bool off)
+static struct fixture *fixture_with_feature(enum jt_feature feature, bool off)
 {
 	return fixture_add_two_endpoints(
-		fixture_create_without(0, off ? (uint32_t)feature : 0));
+		fixture_create_with_disabled(0, off ? (uint32_t)feature : 0));
 }
 
 static void test_zone_first(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct fixture *fixture = fixture_create_without(
-			0, off ? JT_MECHANISM_ZONE_FIRST : 0);
+		struct fixture *fixture = fixture_create_with_disabled(
+			0, off ? JT_FEATURE_PREFER_ZONE : 0);
 
 		fixture_set_routing(fixture, 1, 1, 1);
 		fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 2);
@@ -37,7 +37,7 @@
 	(void)state;
 	for (int off = 0; off < 2; off++) {
 		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_PEER_WORK, off);
+			fixture_with_feature(JT_FEATURE_PEER_LOADS, off);
 		struct jt_endpoint_load load = {jt_flow_label(0x101), 0,
 						50 * JT_RECENT_LOAD_UNIT, 0};
 		struct jt_director_event event = {.kind = JT_DIRECTOR_LOADS};
@@ -57,7 +57,7 @@
 	(void)state;
 	for (int off = 0; off < 2; off++) {
 		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_SLOWNESS, off);
+			fixture_with_feature(JT_FEATURE_RESPONSE_TIME, off);
 		struct client_flow slow, fast;
 
 		open_flow_at_each(fixture, &slow, &fast);
@@ -77,7 +77,7 @@
 	(void)state;
 	for (int off = 0; off < 2; off++) {
 		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_FAST_FIRST, off);
+			fixture_with_feature(JT_FEATURE_OPTIMAL_LOAD, off);
 		struct client_flow slow, fast;
 
 		open_flow_at_each(fixture, &slow, &fast);
@@ -102,8 +102,8 @@
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct fixture *fixture = fixture_create_without(
-			0, off ? JT_MECHANISM_ZONE_ROOM : 0);
+		struct fixture *fixture = fixture_create_with_disabled(
+			0, off ? JT_FEATURE_ZONE_HEADROOM : 0);
 		struct client_flow nearby, distant;
 
 		fixture_set_routing(fixture, 1, 1, 1);
@@ -130,7 +130,7 @@
 	(void)state;
 	for (int off = 0; off < 2; off++) {
 		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_COLD, off);
+			fixture_with_feature(JT_FEATURE_COLD_LIMIT, off);
 		struct jt_endpoint_entry entry =
 			make_entry(0x101, SERVICE_BOARD, ZONE_A, 9);
 
@@ -147,8 +147,8 @@
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_NEWCOMER_SHARE, off);
+		struct fixture *fixture = fixture_with_feature(
+			JT_FEATURE_NEW_ENDPOINT_SHARE, off);
 
 		count_flows_to(fixture, FLOWS, 0);
 		fixture_set_entry(fixture,
@@ -163,8 +163,8 @@
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_DOUBT_OPENING, off);
+		struct fixture *fixture = fixture_with_feature(
+			JT_FEATURE_SUSPECT_UNANSWERED, off);
 		struct client_flow flow =
 			flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
@@ -181,8 +181,8 @@
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_DOUBT_RESENT, off);
+		struct fixture *fixture = fixture_with_feature(
+			JT_FEATURE_SUSPECT_RETRANSMISSION, off);
 		struct client_flow flow =
 			flow_new(fixture, CLIENT_IP, BOARD_PORT);
 
@@ -203,7 +203,7 @@
 	(void)state;
 	for (int off = 0; off < 2; off++) {
 		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_PEER_SUSPICION, off);
+			fixture_with_feature(JT_FEATURE_PEER_SUSPICION, off);
 		struct client_flow first, second;
 
 		open_flow_at_each(fixture, &first, &second);
@@ -220,7 +220,7 @@
 	(void)state;
 	for (int off = 0; off < 2; off++) {
 		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_OUTLIERS, off);
+			fixture_with_feature(JT_FEATURE_OUTLIER_DETECTION, off);
 		struct jt_director_event event = {.kind = JT_DIRECTOR_OVERDUE};
 
 		fixture_add_endpoint(fixture, 0x103, SERVICE_BOARD, ZONE_A, 9);
@@ -237,8 +237,8 @@
 	(void)state;
 	for (int off = 0; off < 2; off++) {
 		struct fixture *fixture =
-			fixture_add_two_endpoints(fixture_create_without(
-				0, off ? JT_MECHANISM_SHORT_ANSWERS : 0));
+			fixture_add_two_endpoints(fixture_create_with_disabled(
+				0, off ? JT_FEATURE_SHORT_ANSWERS : 0));
 		struct client_flow bad, good;
 
 		open_flow_at_each(fixture, &bad, &good);
@@ -261,7 +261,7 @@
 	(void)state;
 	for (int off = 0; off < 2; off++) {
 		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_REFUSE_FULL, off);
+			fixture_with_feature(JT_FEATURE_CONNECTION_LIMIT, off);
 		unsigned placed = 0;
 
 		limit_connections(fixture, 3);
@@ -281,7 +281,7 @@
 	(void)state;
 	for (int off = 0; off < 2; off++) {
 		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_PARTS_GIVE_WAY, off);
+			fixture_with_feature(JT_FEATURE_SPLIT_FALLBACK, off);
 		unsigned at_suspected = 0;
 		struct client_flow flow;
 
@@ -305,7 +305,7 @@
 	(void)state;
 	for (int off = 0; off < 2; off++) {
 		struct fixture *fixture =
-			fixture_with_feature(JT_MECHANISM_OUTAGE_LAPSES, off);
+			fixture_with_feature(JT_FEATURE_OUTAGE_EXPIRY, off);
 		struct jt_director_event tick = {.kind = JT_DIRECTOR_TICK};
 		struct client_flow first, second;
 
@@ -322,13 +322,13 @@
 
 /* Tests of membership features. */
 
-static struct jt_membership *member_without(uint32_t disabled_features,
-					    uint64_t peers)
+static struct jt_membership *member_with_disabled(uint32_t disabled_features,
+						  uint64_t peers)
 {
 	struct jt_membership *membership = jt_membership_create(
 		NULL, 50, (struct jt_address){50, 7720}, ZONE_A);
 
-	membership->without = disabled_features;
+	membership->disabled_features = disabled_features;
 	for (uint64_t id = 1; id <= peers; id++) {
 		const struct jt_address address = {(uint32_t)id + 100, 7720};
 		const jt_wire_digest digest = {
@@ -349,8 +349,8 @@
 
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct jt_membership *membership =
-			member_without(off ? JT_MECHANISM_NEAR_DIGESTS : 0, 40);
+		struct jt_membership *membership = member_with_disabled(
+			off ? JT_FEATURE_ZONE_DIGESTS : 0, 40);
 
 		for (int i = 0; i < 200; i++) {
 			struct jt_address targets[JT_DIGEST_FANOUT];
@@ -375,9 +375,9 @@
 		enum jt_reader_rank rank;
 	} cases[] = {
 		{0, 12, 500, JT_READER_RANK_NONE},
-		{JT_MECHANISM_FEW_READERS, 12, 500, JT_READER_RANK_WATCHER},
+		{JT_FEATURE_FEW_READERS, 12, 500, JT_READER_RANK_WATCHER},
 		{0, 12, 1000, JT_READER_RANK_ZONE},
-		{JT_MECHANISM_ONE_WATCHER, 12, 1000, JT_READER_RANK_WATCHER},
+		{JT_FEATURE_SINGLE_WATCHER, 12, 1000, JT_READER_RANK_WATCHER},
 		/* With many nodes each zone has its own reader. */
 		{0, 40, 500, JT_READER_RANK_NONE},
 		{0, 40, 1000, JT_READER_RANK_WATCHER},
@@ -385,7 +385,7 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		struct jt_membership *membership = member_without(
+		struct jt_membership *membership = member_with_disabled(
 			cases[i].disabled_features, cases[i].peers);
 		const struct jt_address stronger = {7, 7720};
 		const jt_wire_digest digest = {
@@ -455,8 +455,8 @@
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
-		struct fixture *fixture = fixture_create_without(
-			0, off ? JT_MECHANISM_ADMISSION : 0);
+		struct fixture *fixture = fixture_create_with_disabled(
+			0, off ? JT_FEATURE_ADMISSION_CONTROL : 0);
 		const struct jt_director_action *reset = NULL;
 
 		overload_service(fixture);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -63,10 +63,10 @@
 	assert_string_equal(settings->zone, "scl-renca");
 	assert_int_equal(settings->token_count, 3);
 	changed = load("log_level = \"info\"", "log_level = \"err\"", &error);
-	assert_null(jt_settings_fixed_difference(settings, changed));
+	assert_null(jt_settings_find_fixed_change(settings, changed));
 	talloc_free(changed);
 	changed = load("traffic_threads = 2", "traffic_threads = 3", &error);
-	assert_string_equal(jt_settings_fixed_difference(settings, changed),
+	assert_string_equal(jt_settings_find_fixed_change(settings, changed),
 			    "traffic_threads");
 	talloc_free(changed);
 	talloc_free(settings);
--- a/tests/test_tables.c
+++ b/tests/test_tables.c
@@ -54,7 +54,7 @@
 
 static void test_shares(void **state)
 {
-	struct jt_share_use uses[2] = {{3, 0}, {1, 0}};
+	struct jt_share_usage uses[2] = {{3, 0}, {1, 0}};
 
 	(void)state;
 	/* A group may borrow half of the idle share of the other group. */
--- a/tests/test_traffic.c
+++ b/tests/test_traffic.c
@@ -69,13 +69,13 @@
 			    unsigned expected)
 {
 	struct pollfd wait = {.fd = wake_fd, .events = POLLIN};
-	struct jt_slow_packet *packet;
+	struct jt_control_packet *packet;
 	unsigned received = 0;
 	uint64_t value;
 
 	while (received < expected && poll(&wait, 1, TIMEOUT_MS) == 1) {
 		assert_int_equal(read(wake_fd, &value, sizeof(value)), 8);
-		while ((packet = jt_traffic_next(traffic)) != NULL) {
+		while ((packet = jt_traffic_dequeue(traffic)) != NULL) {
 			assert_int_equal(packet->length, 40);
 			free(packet);
 			received++;
