--- a/bench/bench.c
+++ b/bench/bench.c
@@ -172,10 +172,10 @@
 
 static struct jt_core *make_core(TALLOC_CTX *mem_ctx,
 				 struct jt_actions *actions,
-				 unsigned free_permille)
+				 unsigned load_placed_permille)
 {
 	const struct jt_config *config = lone_config_make(
-		mem_ctx, ENDPOINTS, sink, 10000000, free_permille);
+		mem_ctx, ENDPOINTS, sink, 10000000, load_placed_permille);
 
 	return lone_core_make(mem_ctx, actions, config, 1u << 22);
 }
--- a/fuzz/fuzz_cluster.c
+++ b/fuzz/fuzz_cluster.c
@@ -217,7 +217,7 @@
 			return true;
 		health->flags = JT_REPORT_OK;
 		health->load = e->open;
-		health->instance = (uint8_t)(e->incarnation % 255 + 1);
+		health->incarnation = (uint8_t)(e->incarnation % 255 + 1);
 		return true;
 	}
 	return false;
@@ -258,7 +258,7 @@
 		c->services[s].id = jt_name_id(services[s]);
 		c->services[s].kind =
 			s ? JT_SERVICE_REQUEST : JT_SERVICE_STREAM;
-		c->services[s].free_permille = 200;
+		c->services[s].load_placed_permille = 200;
 		c->groups[s].id = jt_name_id(groups[s]);
 		for (uint32_t g = 0; g < 2; g++) {
 			uint32_t i = 2 * s + g;
--- a/fuzz/fuzz_message.c
+++ b/fuzz/fuzz_message.c
@@ -33,7 +33,7 @@
 	actions = jt_actions_create(NULL);
 	event.u.config = config;
 	jt_core_handle(core, &event, actions);
-	event.kind = JT_EVENT_FOUND;
+	event.kind = JT_EVENT_CREATE_CELL;
 	event.u.cell = 1;
 	jt_core_handle(core, &event, actions);
 }
--- a/fuzz/fuzz_packet.c
+++ b/fuzz/fuzz_packet.c
@@ -12,13 +12,13 @@
 	uint8_t *packet =
 		malloc(size ? size : 1); /* exact size, so that the sanitizer
 					    detects overreads */
-	struct jt_parsed parsed, reset_parsed;
+	struct jt_parsed_packet parsed, reset_parsed;
 	uint8_t reset[JT_RESET_SIZE];
 	size_t length;
 
 	memcpy(packet, data, size);
 	if (jt_packet_parse(packet, size, &parsed) == JT_PACKET_OK) {
-		length = jt_packet_reset(&parsed, reset);
+		length = jt_packet_make_reset(&parsed, reset);
 		if (length > 0 &&
 		    jt_packet_parse(reset, length, &reset_parsed) !=
 			    JT_PACKET_OK)
--- a/include/jaspertrack/cell.h
+++ b/include/jaspertrack/cell.h
@@ -45,7 +45,7 @@
 /* Returns the bucket that the 5-tuple is hashed to. */
 uint16_t jt_flow_bucket(const struct jt_flow_key *key);
 /* Returns true if flows of the bucket are always placed by load. */
-bool jt_bucket_is_free(size_t bucket, uint32_t free_permille);
+bool jt_bucket_is_load_placed(size_t bucket, uint32_t load_placed_permille);
 
 static inline bool jt_bit_get(const uint8_t *bitmap, size_t bit)
 {
--- a/include/jaspertrack/core-t.h
+++ b/include/jaspertrack/core-t.h
@@ -19,7 +19,7 @@
 	JT_ENDPOINT_DRAINING = 2, /* keeps its flows, accepts no new ones */
 	JT_ENDPOINT_DOWN = 3,	  /* health checks fail */
 	JT_ENDPOINT_REMOVED = 4,  /* not in the configuration, flows remain */
-	JT_ENDPOINT_GONE = 5,	  /* no flows left, address quarantined */
+	JT_ENDPOINT_QUARANTINED = 5, /* no flows left, address quarantined */
 };
 
 /* Flags of a health report. */
@@ -31,17 +31,17 @@
 };
 
 /* Fault injection: tests disable a protection to check that they detect it. */
-enum jt_break {
-	JT_BREAK_NONE = 0,
-	JT_BREAK_NO_REPLICA = 1 << 0,	 /* records are not replicated */
-	JT_BREAK_NO_BARRIER = 1 << 1,	 /* agreed states are served at once */
-	JT_BREAK_NO_LEASE = 1 << 2,	 /* nodes forward without a lease */
-	JT_BREAK_NO_STICKY = 1 << 3,	 /* sticky bits are not carried over */
-	JT_BREAK_NO_QUARANTINE = 1 << 4, /* addresses are reused immediately */
-	JT_BREAK_MOVE_DEFAULTS = 1 << 5, /* a down endpoint loses its buckets */
-	JT_BREAK_NO_HANDOVER = 1 << 6,	 /* records are not transferred */
-	JT_BREAK_NO_ADMISSION = 1 << 7,	 /* shares and capacity are ignored */
-	JT_BREAK_SPLIT_VOTE = 1 << 8,	 /* a single vote commits a state */
+enum jt_fault {
+	JT_FAULT_NONE = 0,
+	JT_FAULT_NO_REPLICA = 1 << 0,	 /* records are not replicated */
+	JT_FAULT_NO_BARRIER = 1 << 1,	 /* agreed states are served at once */
+	JT_FAULT_NO_LEASE = 1 << 2,	 /* nodes forward without a lease */
+	JT_FAULT_NO_STICKY = 1 << 3,	 /* sticky bits are not carried over */
+	JT_FAULT_NO_QUARANTINE = 1 << 4, /* addresses are reused immediately */
+	JT_FAULT_MOVE_DEFAULTS = 1 << 5, /* a down endpoint loses its buckets */
+	JT_FAULT_NO_HANDOVER = 1 << 6,	 /* records are not transferred */
+	JT_FAULT_NO_ADMISSION = 1 << 7,	 /* shares and capacity are ignored */
+	JT_FAULT_SINGLE_VOTE = 1 << 8,	 /* a single vote commits a state */
 };
 
 /* Settings of a node; jt_core_options_init() sets the defaults. */
@@ -59,20 +59,20 @@
 	/* Fraction of an idle group's share that is reserved, thousandths. */
 	uint32_t reserve_permille;
 	size_t flow_limit;	  /* records of the flow table */
-	unsigned injected_faults; /* enum jt_break, tests only */
+	unsigned injected_faults; /* enum jt_fault, tests only */
 };
 
 enum jt_event_kind {
 	JT_EVENT_TICK,
-	JT_EVENT_PACKET,     /* from a client */
-	JT_EVENT_RELAYED,    /* relayed by a peer */
-	JT_EVENT_MESSAGE,    /* authenticated and decoded, from a peer */
-	JT_EVENT_CONFIG,     /* new validated configuration */
-	JT_EVENT_HEALTH,     /* result of a health probe */
-	JT_EVENT_CANDIDATES, /* addresses of possible peers */
-	JT_EVENT_FOUND,	     /* this node may create the cell */
-	JT_EVENT_LEAVE,	     /* planned shutdown */
-	JT_EVENT_WITNESS,    /* reply of the store acting as witness */
+	JT_EVENT_PACKET,      /* from a client */
+	JT_EVENT_RELAYED,     /* relayed by a peer */
+	JT_EVENT_MESSAGE,     /* authenticated and decoded, from a peer */
+	JT_EVENT_CONFIG,      /* new validated configuration */
+	JT_EVENT_HEALTH,      /* result of a health probe */
+	JT_EVENT_CANDIDATES,  /* addresses of possible peers */
+	JT_EVENT_CREATE_CELL, /* this node may create the cell */
+	JT_EVENT_LEAVE,	      /* planned shutdown */
+	JT_EVENT_WITNESS,     /* reply of the store acting as witness */
 };
 
 struct jt_packet {
@@ -84,9 +84,9 @@
 
 struct jt_health {
 	uint32_t endpoint_id;
-	unsigned flags;	  /* JT_REPORT_* */
-	uint32_t load;	  /* connections or slots in use */
-	uint8_t instance; /* incarnation of the endpoint; 0: not reported */
+	unsigned flags;	     /* JT_REPORT_* */
+	uint32_t load;	     /* connections or slots in use */
+	uint8_t incarnation; /* incarnation of the endpoint; 0: not reported */
 };
 
 /*
@@ -152,8 +152,8 @@
 	JT_REASON_NONE,
 	JT_REASON_UNKNOWN_DESTINATION,
 	JT_REASON_NO_LEASE,
-	JT_REASON_FROZEN, /* the bucket's ownership is changing */
-	JT_REASON_HOPS,	  /* relayed too often */
+	JT_REASON_OWNERSHIP_CHANGE, /* the bucket's ownership is changing */
+	JT_REASON_HOPS,		    /* relayed too often */
 	JT_REASON_NO_ENDPOINT,
 	JT_REASON_OVER_SHARE,
 	JT_REASON_NO_CAPACITY,
--- a/include/jaspertrack/core.h
+++ b/include/jaspertrack/core.h
@@ -51,10 +51,10 @@
 /* Returns true if this node proposes the next cell state. */
 bool jt_core_coordinator(const struct jt_core *core);
 /* Returns true if packets of @bucket must pass through its owner. */
-bool jt_core_bucket_relayed(const struct jt_core *core, size_t service,
-			    size_t bucket);
+bool jt_core_bucket_needs_owner(const struct jt_core *core, size_t service,
+				size_t bucket);
 /* Returns the newest revision that is known to be active on all members. */
-uint64_t jt_core_revision_everywhere(const struct jt_core *core);
+uint64_t jt_core_revision_active_on_all(const struct jt_core *core);
 size_t jt_core_flow_count(const struct jt_core *core);
 /* Return the cell's open flows at an endpoint, and of a group at a service,
  * as far as they were reported to this node. */
@@ -67,12 +67,12 @@
  * its bucket; 0 if there is neither. Sets @recorded to true if there is a
  * record, and @owner to the owner of the bucket.
  */
-uint32_t jt_core_explain(const struct jt_core *core,
-			 const struct jt_flow_key *key, bool *recorded,
-			 uint64_t *owner);
+uint32_t jt_core_lookup_flow(const struct jt_core *core,
+			     const struct jt_flow_key *key, bool *recorded,
+			     uint64_t *owner);
 /* Returns true if this node watches the store: one member of each zone does,
  * and each node that belongs to no cell. */
-bool jt_core_reads_store(const struct jt_core *core);
+bool jt_core_watches_store(const struct jt_core *core);
 /* Copies @proposal as a talloc child of @mem_ctx. Returns NULL if out of
  * memory. */
 jt_wire_proposal *jt_proposal_copy(TALLOC_CTX *mem_ctx,
@@ -81,6 +81,6 @@
 bool jt_core_probes(const struct jt_core *core, uint32_t endpoint_id);
 /* Returns the interval between two probes of an endpoint, in ms: at least
  * @least_ms, and long enough to stay within the probe bandwidth budget. */
-uint64_t jt_core_probe_pause(const struct jt_core *core, uint64_t least_ms);
+uint64_t jt_core_probe_interval(const struct jt_core *core, uint64_t least_ms);
 
 #endif
--- a/include/jaspertrack/types-t.h
+++ b/include/jaspertrack/types-t.h
@@ -59,7 +59,7 @@
 	char name[JT_NAME_SIZE];
 	enum jt_service_kind kind;
 	/* Fraction of the buckets placed by load, in thousandths. */
-	uint32_t free_permille;
+	uint32_t load_placed_permille;
 };
 
 struct jt_endpoint_config {
--- a/src/cluster/jt_cluster_platform.c
+++ b/src/cluster/jt_cluster_platform.c
@@ -114,7 +114,7 @@
 
 static bool is_reader(const struct node *node)
 {
-	return jt_core_reads_store(node->core);
+	return jt_core_watches_store(node->core);
 }
 
 static void on_store_read(void *object, uint64_t incarnation)
@@ -186,7 +186,7 @@
 {
 	struct jt_cluster *cluster = node->cluster;
 	struct cell *cell = &cluster->cells[node->cell];
-	struct jt_event event = {.kind = JT_EVENT_FOUND};
+	struct jt_event event = {.kind = JT_EVENT_CREATE_CELL};
 	uint64_t now = cluster_now_us(cluster);
 
 	if (cluster->store_down || jt_core_state(node->core) != NULL)
@@ -235,7 +235,7 @@
 			continue;
 		node->probe_due_us[i] =
 			cluster_now_us(cluster) +
-			1000 * jt_core_probe_pause(
+			1000 * jt_core_probe_interval(
 				       node->core,
 				       cluster->options.probe_interval_us /
 					       1000);
--- a/src/core/jt_activate.c
+++ b/src/core/jt_activate.c
@@ -68,7 +68,7 @@
 			  const struct jt_cell_state *target)
 {
 	if (base == NULL || base == target ||
-	    (core->options.injected_faults & JT_BREAK_NO_HANDOVER))
+	    (core->options.injected_faults & JT_FAULT_NO_HANDOVER))
 		return;
 	for (size_t i = 0; i < core->flows->capacity; i++) {
 		const struct jt_flow *flow = &core->flows->slots[i];
@@ -99,9 +99,10 @@
 		transfer_from(core, core->current, target);
 }
 
-void jt_activate_pass_on(struct jt_core *core, const struct jt_flow *flow)
+void jt_activate_forward_record(struct jt_core *core,
+				const struct jt_flow *flow)
 {
-	const struct jt_cell_state *target = core->tentative;
+	const struct jt_cell_state *target = core->accepted_state;
 	const struct jt_table *table;
 	uint64_t owner, replica;
 
@@ -121,7 +122,7 @@
 static bool transfer_done(const struct jt_core *core)
 {
 	const struct jt_cell_state *target =
-		core->tentative ? core->tentative : core->current;
+		core->accepted_state ? core->accepted_state : core->current;
 
 	for (const struct jt_peer *peer = core->peers; peer;
 	     peer = peer->next) {
@@ -132,12 +133,12 @@
 	return true;
 }
 
-void jt_activate_tentative(struct jt_core *core, struct jt_cell_state *state)
+void jt_activate_set_accepted(struct jt_core *core, struct jt_cell_state *state)
 {
-	talloc_free(core->tentative);
-	core->tentative = state;
-	jt_place_note_leaving(core, state);
-	jt_members_synchronise(core);
+	talloc_free(core->accepted_state);
+	core->accepted_state = state;
+	jt_place_record_draining(core, state);
+	jt_members_update_peers(core);
 	transfer_start(core, state);
 	core->heartbeat_due_ms = 0;
 }
@@ -146,7 +147,7 @@
 {
 	struct jt_core_options options = core->options;
 	struct jt_core_counters counters = core->counters;
-	struct jt_held *held;
+	struct jt_pending_packet *held;
 
 	for (held = core->held; held != NULL; held = held->next)
 		jt_core_drop(core, actions, held->token, JT_REASON_NO_LEASE);
@@ -165,12 +166,12 @@
 	talloc_free(core->flows);
 	talloc_free(core->previous);
 	talloc_free(core->current);
-	talloc_free(core->tentative);
+	talloc_free(core->accepted_state);
 	talloc_free(core->endpoints);
 	talloc_free(core->shares);
 	talloc_free(core->marks);
 	talloc_free(core->clean);
-	talloc_free(core->collected);
+	talloc_free(core->clean_received);
 	talloc_free(core->joiners);
 	talloc_free(core->joiner_ms);
 	options.node_id = XXH64(&options.node_id, sizeof(uint64_t), 1);
@@ -180,7 +181,7 @@
 			.counters = counters,
 			.now_ms = core->now_ms,
 			.newest = core->newest,
-			.revision_everywhere = core->revision_everywhere,
+			.revision_active_on_all = core->revision_active_on_all,
 			.candidates = core->candidates,
 			.candidate_count = core->candidate_count,
 		};
@@ -198,15 +199,15 @@
 static void transfer_for_skipped(struct jt_core *core,
 				 struct jt_cell_state *state)
 {
-	struct jt_cell_state *tentative = core->tentative;
+	struct jt_cell_state *previous = core->accepted_state;
 
 	if (core->current == NULL) {
 		core->transfer_target = state->epoch;
 		return;
 	}
-	core->tentative = state; /* adds its members as peers */
-	jt_members_synchronise(core);
-	core->tentative = tentative;
+	core->accepted_state = state; /* adds its members as peers */
+	jt_members_update_peers(core);
+	core->accepted_state = previous;
 	transfer_start(core, state);
 }
 
@@ -220,18 +221,18 @@
 static void marks_reset(struct jt_core *core)
 {
 	for (size_t i = 0; i < core->mark_count; i++)
-		memset(core->marks[i].closing, 0,
-		       sizeof(core->marks[i].closing));
+		memset(core->marks[i].declared_clean, 0,
+		       sizeof(core->marks[i].declared_clean));
 	core->clean_count = 0;
-	core->collected_count = 0;
+	core->clean_received_count = 0;
 }
 
 static void activate(struct jt_core *core, struct jt_actions *actions)
 {
 	core->activated = true;
 	core->counters.epochs++;
-	if (core->revision_everywhere < core->current->config->revision)
-		core->revision_everywhere = core->current->config->revision;
+	if (core->revision_active_on_all < core->current->config->revision)
+		core->revision_active_on_all = core->current->config->revision;
 	jt_records_recount(core, core->previous);
 	discard_cell_state(&core->previous);
 	jt_core_publish(actions);
@@ -241,18 +242,19 @@
 void jt_activate_commit(struct jt_core *core, struct jt_cell_state *state,
 			struct jt_actions *actions)
 {
-	bool was_member = core->current != NULL &&
-			  jt_core_self(core, core->current) != JT_NO_MEMBER;
+	bool was_member =
+		core->current != NULL &&
+		jt_core_own_index(core, core->current) != JT_NO_MEMBER;
 
 	if (was_member && !core->leaving &&
-	    jt_core_self(core, state) == JT_NO_MEMBER) {
+	    jt_core_own_index(core, state) == JT_NO_MEMBER) {
 		core->counters.evictions++;
 		talloc_free(state);
 		jt_activate_reset(core, actions);
 		return;
 	}
-	core->skipped = core->current != NULL &&
-			state->epoch != core->current->epoch + 1;
+	core->epochs_skipped = core->current != NULL &&
+			       state->epoch != core->current->epoch + 1;
 	/* Starts the transfer before the states are replaced. */
 	if (core->transfer_target != state->epoch)
 		transfer_for_skipped(core, state);
@@ -263,17 +265,17 @@
 	} else {
 		talloc_free(core->current);
 	}
-	if (core->tentative != NULL)
-		discard_cell_state(&core->tentative);
+	if (core->accepted_state != NULL)
+		discard_cell_state(&core->accepted_state);
 	core->current = state;
-	jt_place_note_leaving(core, state);
+	jt_place_record_draining(core, state);
 	core->activated = false;
 	core->committed_ms = core->now_ms;
 	marks_reset(core);
-	jt_members_synchronise(core);
+	jt_members_update_peers(core);
 	core->heartbeat_due_ms = 0;
 	jt_core_publish(actions);
-	if (core->options.injected_faults & JT_BREAK_NO_BARRIER)
+	if (core->options.injected_faults & JT_FAULT_NO_BARRIER)
 		activate(core, actions);
 	else
 		jt_activate_tick(core, actions);
@@ -317,7 +319,7 @@
 {
 	const struct jt_cell_state *states[2] = {core->current, core->previous};
 
-	if (core->skipped &&
+	if (core->epochs_skipped &&
 	    core->now_ms < core->committed_ms + core->options.lease_ms)
 		return false;
 	if (another_activated(core) &&
@@ -341,13 +343,13 @@
 		return;
 	last_member = core->activated && core->current->member_count == 1;
 	removed = core->activated &&
-		  jt_core_self(core, core->current) == JT_NO_MEMBER;
+		  jt_core_own_index(core, core->current) == JT_NO_MEMBER;
 	/* The other members have removed this node, or will. */
 	partitioned = core->now_ms >
 		      core->lease_until_ms + 4 * core->options.suspect_ms;
 	if (last_member || removed || partitioned) {
 		core->left = true;
-		jt_core_act(actions, JT_ACTION_LEFT);
+		jt_core_add_action(actions, JT_ACTION_LEFT);
 	}
 }
 
@@ -356,7 +358,7 @@
 	if (core->current == NULL) {
 		if (core->leaving && !core->left) {
 			core->left = true;
-			jt_core_act(actions, JT_ACTION_LEFT);
+			jt_core_add_action(actions, JT_ACTION_LEFT);
 		}
 		return;
 	}
--- a/src/core/jt_agree.c
+++ b/src/core/jt_agree.c
@@ -27,8 +27,8 @@
 
 uint64_t jt_accepted_epoch(const struct jt_core *core)
 {
-	if (core->tentative != NULL)
-		return core->tentative->epoch;
+	if (core->accepted_state != NULL)
+		return core->accepted_state->epoch;
 	return core->current ? core->current->epoch : 0;
 }
 
@@ -59,7 +59,7 @@
 
 static size_t majority_of(const struct jt_core *core)
 {
-	if (core->options.injected_faults & JT_BREAK_SPLIT_VOTE)
+	if (core->options.injected_faults & JT_FAULT_SINGLE_VOTE)
 		return 1;
 	return core->current->member_count / 2 + 1;
 }
@@ -120,8 +120,8 @@
 	if (jt_core_config(core, revision) != NULL)
 		return true;
 	if (peer != NULL)
-		jt_core_need_config(core, actions, peer->member.address,
-				    revision);
+		jt_core_request_config(core, actions, peer->member.address,
+				       revision);
 	return false;
 }
 
@@ -134,7 +134,7 @@
 			 const jt_wire_proposal *proposal)
 {
 	if (core->leaving || from == core->options.node_id ||
-	    jt_core_self(core, core->current) == JT_NO_MEMBER)
+	    jt_core_own_index(core, core->current) == JT_NO_MEMBER)
 		return false;
 	for (u_int i = 0; i < proposal->members.members_len; i++) {
 		if (proposal->members.members_val[i].id ==
@@ -172,7 +172,7 @@
 	core->accepted_ballot = ballot;
 	core->promised = ballot;
 	core->accepted_ms = core->now_ms;
-	jt_activate_tentative(core, state);
+	jt_activate_set_accepted(core, state);
 	jt_core_publish(actions);
 	return true;
 }
@@ -225,7 +225,7 @@
 	/* This node may have accepted a higher ballot since. */
 	if (ballot_compare(core->proposer.ballot, core->accepted_ballot) != 0)
 		return;
-	state = core->tentative;
+	state = core->accepted_state;
 	if (state == NULL)
 		return;
 	for (size_t i = 0; i < core->current->member_count; i++) {
@@ -238,7 +238,7 @@
 		body->jt_wire_body_u.commit.epoch = epoch;
 		body->jt_wire_body_u.commit.ballot = ballot;
 	}
-	core->tentative = NULL;
+	core->accepted_state = NULL;
 	jt_activate_commit(core, state, actions);
 }
 
@@ -263,7 +263,7 @@
 		proposer_stop(core);
 		return;
 	}
-	proposer->answered[jt_core_self(core, core->current)] = 1;
+	proposer->answered[jt_core_own_index(core, core->current)] = 1;
 	proposer_send_all(core, actions);
 	if (answered_count(core) >= majority_of(core))
 		proposer_commit(core, actions);
@@ -361,11 +361,11 @@
 
 	if (!witness_votes(core) || proposer->witness_answered ||
 	    answered_count(core) * 2 != core->current->member_count ||
-	    core->now_ms < proposer->started_ms + JT_WITNESS_AFTER_MS ||
-	    core->now_ms < proposer->witness_asked_ms + JT_WITNESS_PAUSE_MS)
+	    core->now_ms < proposer->started_ms + JT_WITNESS_DELAY_MS ||
+	    core->now_ms < proposer->witness_asked_ms + JT_WITNESS_INTERVAL_MS)
 		return;
 	proposer->witness_asked_ms = core->now_ms;
-	request = &jt_core_act(actions, JT_ACTION_WITNESS)->witness;
+	request = &jt_core_add_action(actions, JT_ACTION_WITNESS)->witness;
 	request->accept = proposer->phase == JT_PHASE_ACCEPT;
 	request->epoch = core->current->epoch + 1;
 	request->round = proposer->ballot.round;
@@ -439,7 +439,8 @@
 {
 	uint64_t input[2] = {core->options.node_id, core->highest_round};
 
-	return JT_YIELD_MS + XXH64(input, sizeof(input), 0) % JT_YIELD_MS;
+	return JT_PROPOSER_BACKOFF_MS +
+	       XXH64(input, sizeof(input), 0) % JT_PROPOSER_BACKOFF_MS;
 }
 
 static void agree_prepare(struct jt_core *core, const struct jt_member *to,
@@ -480,13 +481,13 @@
 static void agree_commit(struct jt_core *core, const jt_wire_commit *commit,
 			 struct jt_actions *actions)
 {
-	struct jt_cell_state *state = core->tentative;
+	struct jt_cell_state *state = core->accepted_state;
 
 	if (state == NULL || commit->epoch != state->epoch ||
 	    ballot_compare(ballot_from_wire(&commit->ballot),
 			   core->accepted_ballot) != 0)
 		return; /* heartbeats will report the epoch */
-	core->tentative = NULL;
+	core->accepted_state = NULL;
 	jt_activate_commit(core, state, actions);
 }
 
@@ -528,15 +529,16 @@
 			to.ip = wire->members.members_val[i].address;
 			to.port = (uint16_t)wire->members.members_val[i].port;
 		}
-		jt_core_need_config(core, actions, to, wire->config_revision);
+		jt_core_request_config(core, actions, to,
+				       wire->config_revision);
 		return;
 	}
 	state = jt_cell_from_wire(core, wire,
 				  jt_core_config(core, wire->config_revision));
 	if (state == NULL)
 		return;
-	talloc_free(core->tentative);
-	core->tentative = NULL;
+	talloc_free(core->accepted_state);
+	core->accepted_state = NULL;
 	core->transfer_target = 0;
 	jt_activate_commit(core, state, actions);
 }
@@ -588,7 +590,7 @@
 
 	if (core->current == NULL || proposer->phase == JT_PHASE_IDLE)
 		return;
-	if (core->now_ms >= proposer->started_ms + JT_ROUND_MS) {
+	if (core->now_ms >= proposer->started_ms + JT_BALLOT_TIMEOUT_MS) {
 		proposer_stop(core);
 		core->propose_after_ms =
 			core->now_ms + proposer_backoff_ms(core);
--- a/src/core/jt_cell.c
+++ b/src/core/jt_cell.c
@@ -153,11 +153,11 @@
  * The multiplier spreads the buckets placed by load, so that they don't
  * correlate with the order in which default endpoints are assigned.
  */
-bool jt_bucket_is_free(size_t bucket, uint32_t free_permille)
+bool jt_bucket_is_load_placed(size_t bucket, uint32_t load_placed_permille)
 {
 	size_t position = bucket * FREE_BUCKET_STRIDE % JT_BUCKETS;
 
-	return position * 1000 < (size_t)free_permille * JT_BUCKETS;
+	return position * 1000 < (size_t)load_placed_permille * JT_BUCKETS;
 }
 
 /*
@@ -168,7 +168,7 @@
  */
 static void count_defaults(const struct jt_table *table,
 			   const struct jt_cell_state *state,
-			   uint32_t free_permille, uint32_t *held)
+			   uint32_t load_placed_permille, uint32_t *held)
 {
 	memset(held, 0, 2 * sizeof(*held) * state->endpoint_count);
 	for (size_t b = 0; b < JT_BUCKETS; b++) {
@@ -176,7 +176,7 @@
 
 		if (e == JT_NO_ENDPOINT)
 			continue;
-		if (jt_bucket_is_free(b, free_permille))
+		if (jt_bucket_is_load_placed(b, load_placed_permille))
 			held[state->endpoint_count + e]++;
 		else
 			held[e]++;
@@ -227,9 +227,9 @@
 
 	if (e == JT_NO_ENDPOINT ||
 	    state->endpoints[e].service_id != table->service_id ||
-	    state->endpoints[e].state == JT_ENDPOINT_GONE)
+	    state->endpoints[e].state == JT_ENDPOINT_QUARANTINED)
 		return false;
-	if ((injected_faults & JT_BREAK_MOVE_DEFAULTS) &&
+	if ((injected_faults & JT_FAULT_MOVE_DEFAULTS) &&
 	    state->endpoints[e].state == JT_ENDPOINT_DOWN)
 		return false;
 	return true;
@@ -237,14 +237,15 @@
 
 static void table_assign_defaults(const struct jt_cell_state *state,
 				  struct jt_table *table,
-				  uint32_t free_permille, uint32_t *held,
+				  uint32_t load_placed_permille, uint32_t *held,
 				  uint8_t *changed, unsigned injected_faults)
 {
-	count_defaults(table, state, free_permille, held);
+	count_defaults(table, state, load_placed_permille, held);
 	for (size_t b = 0; b < JT_BUCKETS; b++) {
-		uint32_t *kind = jt_bucket_is_free(b, free_permille)
-					 ? held + state->endpoint_count
-					 : held;
+		uint32_t *kind =
+			jt_bucket_is_load_placed(b, load_placed_permille)
+				? held + state->endpoint_count
+				: held;
 		uint16_t e;
 
 		if (default_is_valid(state, table, b, injected_faults))
@@ -281,7 +282,8 @@
 		exceptional = single_owner || e == JT_NO_ENDPOINT ||
 			      state->endpoints[e].state != JT_ENDPOINT_UP ||
 			      jt_bit_get(table->sticky, b) ||
-			      jt_bucket_is_free(b, service->free_permille);
+			      jt_bucket_is_load_placed(
+				      b, service->load_placed_permille);
 		jt_bit_set(table->exceptional, b, exceptional);
 	}
 }
@@ -380,9 +382,10 @@
 		if (old)
 			memcpy(table->defaults, old->defaults,
 			       sizeof(table->defaults));
-		table_assign_defaults(state, table, service->free_permille,
-				      held, changed, injected_faults);
-		if (!(injected_faults & JT_BREAK_NO_STICKY))
+		table_assign_defaults(state, table,
+				      service->load_placed_permille, held,
+				      changed, injected_faults);
+		if (!(injected_faults & JT_FAULT_NO_STICKY))
 			table_carry_sticky(table, old, changed, proposal);
 		table_derive(state, table, service);
 	}
--- a/src/core/jt_channel.c
+++ b/src/core/jt_channel.c
@@ -22,9 +22,9 @@
 	record->idle_s = (uint32_t)(core->now_ms / 1000) - flow->seen_s;
 }
 
-static struct jt_outgoing *channel_tail(struct jt_peer *peer)
+static struct jt_records_outgoing *channel_tail(struct jt_peer *peer)
 {
-	struct jt_outgoing *tail = peer->queue;
+	struct jt_records_outgoing *tail = peer->queue;
 
 	while (tail != NULL && tail->next != NULL)
 		tail = tail->next;
@@ -34,12 +34,12 @@
 uint32_t jt_channel_add(struct jt_core *core, struct jt_peer *peer,
 			const jt_wire_record *record, bool handover)
 {
-	struct jt_outgoing *tail = channel_tail(peer);
+	struct jt_records_outgoing *tail = channel_tail(peer);
 
 	if (tail == NULL || tail->sent_ms != 0 ||
 	    tail->count == JT_MAX_RECORDS || tail->handover != handover) {
-		struct jt_outgoing *added =
-			talloc_zero(peer, struct jt_outgoing);
+		struct jt_records_outgoing *added =
+			talloc_zero(peer, struct jt_records_outgoing);
 
 		if (added == NULL)
 			return 0;
@@ -57,11 +57,11 @@
 }
 
 static void channel_send(struct jt_core *core, struct jt_peer *peer,
-			 struct jt_outgoing *outgoing,
+			 struct jt_records_outgoing *outgoing,
 			 struct jt_actions *actions)
 {
-	jt_wire_body *body = jt_core_send_around(core, actions, &peer->member,
-						 JT_WIRE_RECORDS);
+	jt_wire_body *body = jt_core_send_relayed(core, actions, &peer->member,
+						  JT_WIRE_RECORDS);
 	jt_wire_records *message = &body->jt_wire_body_u.records;
 
 	outgoing->sent_ms = core->now_ms;
@@ -81,9 +81,9 @@
 void jt_channel_flush(struct jt_core *core, struct jt_peer *peer,
 		      struct jt_actions *actions)
 {
-	struct jt_outgoing *outgoing = peer->queue;
-	bool unreachable = jt_peer_suspect(core, peer->member.id) &&
-			   jt_detour_to(core, peer->member.id) == NULL;
+	struct jt_records_outgoing *outgoing = peer->queue;
+	bool unreachable = jt_peer_is_suspect(core, peer->member.id) &&
+			   jt_relay_member(core, peer->member.id) == NULL;
 	size_t window = unreachable ? 1 : JT_CHANNEL_WINDOW;
 	bool retransmitted = false;
 
@@ -122,10 +122,11 @@
 	if (message->sequence == peer->expected_sequence + 1) {
 		peer->expected_sequence = message->sequence;
 		for (u_int i = 0; i < message->records.records_len; i++)
-			jt_records_take(core, &message->records.records_val[i]);
+			jt_records_store(core,
+					 &message->records.records_val[i]);
 	}
-	body = jt_core_send_around(core, actions, &peer->member,
-				   JT_WIRE_RECORDS_ACK);
+	body = jt_core_send_relayed(core, actions, &peer->member,
+				    JT_WIRE_RECORDS_ACK);
 	body->jt_wire_body_u.records_ack.epoch =
 		core->current ? core->current->epoch : 0;
 	body->jt_wire_body_u.records_ack.sequence = peer->expected_sequence;
@@ -137,7 +138,7 @@
 {
 	while (peer->queue != NULL &&
 	       peer->queue->sequence <= message->sequence) {
-		struct jt_outgoing *acknowledged = peer->queue;
+		struct jt_records_outgoing *acknowledged = peer->queue;
 
 		peer->queue = acknowledged->next;
 		peer->retransmit_ms = JT_RETRANSMIT_MS;
--- a/src/core/jt_coordinate.c
+++ b/src/core/jt_coordinate.c
@@ -33,8 +33,8 @@
 {
 	if (view->fail_ms == 0)
 		return false;
-	if (core->now_ms > view->fail_ms + jt_health_fresh_ms(core) &&
-	    core->now_ms > view->ok_ms + jt_health_fresh_ms(core))
+	if (core->now_ms > view->fail_ms + jt_health_valid_ms(core) &&
+	    core->now_ms > view->ok_ms + jt_health_valid_ms(core))
 		return current_state == JT_ENDPOINT_DOWN; /* no recent report */
 	return view->fail_ms > view->ok_ms + JT_HEALTH_DOWN_MS;
 }
@@ -91,12 +91,12 @@
 	struct jt_endpoint_view *view = jt_endpoint_view(core, endpoint->id);
 	bool counted, reported;
 
-	if (endpoint->state == JT_ENDPOINT_GONE)
-		return JT_ENDPOINT_GONE;
+	if (endpoint->state == JT_ENDPOINT_QUARANTINED)
+		return JT_ENDPOINT_QUARANTINED;
 	if (view->ok_ms == 0) /* unknown to this node: assume a recent report */
 		view->ok_ms = core->now_ms;
 	if (endpoint->state != JT_ENDPOINT_REMOVED) {
-		view->gone_ms = core->now_ms;
+		view->emptied_ms = core->now_ms;
 		return JT_ENDPOINT_REMOVED;
 	}
 	/* It is empty if the cell counts no flow and the endpoint reports no
@@ -108,12 +108,12 @@
 			: core->now_ms <
 				  view->ok_ms +
 					  1000ull * core->options.flow_idle_s;
-	if (view->gone_ms == 0 || counted || reported)
-		view->gone_ms = core->now_ms;
-	if (core->now_ms < view->gone_ms + core->options.quarantine_ms)
+	if (view->emptied_ms == 0 || counted || reported)
+		view->emptied_ms = core->now_ms;
+	if (core->now_ms < view->emptied_ms + core->options.quarantine_ms)
 		return JT_ENDPOINT_REMOVED;
-	view->gone_ms = core->now_ms;
-	return JT_ENDPOINT_GONE;
+	view->emptied_ms = core->now_ms;
+	return JT_ENDPOINT_QUARANTINED;
 }
 
 static bool quarantine_expired(struct jt_core *core,
@@ -121,13 +121,13 @@
 {
 	struct jt_endpoint_view *view = jt_endpoint_view(core, endpoint->id);
 
-	if (core->options.injected_faults & JT_BREAK_NO_QUARANTINE)
+	if (core->options.injected_faults & JT_FAULT_NO_QUARANTINE)
 		return true;
-	if (endpoint->state != JT_ENDPOINT_GONE)
+	if (endpoint->state != JT_ENDPOINT_QUARANTINED)
 		return false;
-	if (view->gone_ms == 0)
-		view->gone_ms = core->now_ms;
-	return core->now_ms >= view->gone_ms + core->options.quarantine_ms;
+	if (view->emptied_ms == 0)
+		view->emptied_ms = core->now_ms;
+	return core->now_ms >= view->emptied_ms + core->options.quarantine_ms;
 }
 
 static void endpoint_to_wire(jt_wire_endpoint *wire, uint32_t id,
@@ -256,7 +256,7 @@
 		return !core->leaving;
 	if (replaced_by_joiner(core, member) ||
 	    (peer != NULL && peer->leaving &&
-	     !jt_peer_suspect(core, member->id)))
+	     !jt_peer_is_suspect(core, member->id)))
 		return false;
 	return !jt_members_evictable(core, member->id);
 }
@@ -292,7 +292,7 @@
 		talloc_zero_array(proposal, jt_wire_endpoint, endpoints + 1);
 	proposal->clean.clean_val = talloc_zero_array(
 		proposal, jt_wire_bucket,
-		core->collected_count + core->clean_count + 1);
+		core->clean_received_count + core->clean_count + 1);
 	if (proposal->members.members_val == NULL ||
 	    proposal->endpoints.endpoints_val == NULL ||
 	    proposal->clean.clean_val == NULL) {
@@ -328,8 +328,8 @@
 
 	for (size_t i = 0; i < core->clean_count; i++)
 		proposal->clean.clean_val[count++] = core->clean[i];
-	for (size_t i = 0; i < core->collected_count; i++)
-		proposal->clean.clean_val[count++] = core->collected[i];
+	for (size_t i = 0; i < core->clean_received_count; i++)
+		proposal->clean.clean_val[count++] = core->clean_received[i];
 	if (count > JT_MAX_BUCKETS)
 		count = JT_MAX_BUCKETS;
 	proposal->clean.clean_len = count;
@@ -436,7 +436,7 @@
 	proposal = next_proposal(core);
 	if (proposal == NULL)
 		return;
-	stalled = core->tentative != NULL &&
+	stalled = core->accepted_state != NULL &&
 		  core->now_ms >= core->accepted_ms + STALE_ACCEPT_MS;
 	if (!stalled && !proposal_needed(core, proposal)) {
 		talloc_free(proposal);
--- a/src/core/jt_core.c
+++ b/src/core/jt_core.c
@@ -57,8 +57,8 @@
 	talloc_free_children(actions->messages);
 }
 
-struct jt_action *jt_core_act(struct jt_actions *actions,
-			      enum jt_action_kind kind)
+struct jt_action *jt_core_add_action(struct jt_actions *actions,
+				     enum jt_action_kind kind)
 {
 	struct jt_action *action;
 
@@ -82,7 +82,7 @@
 void jt_core_drop(struct jt_core *core, struct jt_actions *actions,
 		  uint64_t token, enum jt_reason reason)
 {
-	struct jt_action *action = jt_core_act(actions, JT_ACTION_DROP);
+	struct jt_action *action = jt_core_add_action(actions, JT_ACTION_DROP);
 
 	action->token = token;
 	action->reason = reason;
@@ -92,7 +92,7 @@
 jt_wire_body *jt_core_send(struct jt_core *core, struct jt_actions *actions,
 			   const struct jt_member *to, jt_wire_kind kind)
 {
-	struct jt_action *action = jt_core_act(actions, JT_ACTION_SEND);
+	struct jt_action *action = jt_core_add_action(actions, JT_ACTION_SEND);
 	jt_wire_message *message =
 		talloc_zero(actions->messages, jt_wire_message);
 
@@ -110,11 +110,12 @@
  * As jt_core_send(), but through a member that can reach @to if this node
  * suspects it. For messages that are retransmitted until acknowledged.
  */
-jt_wire_body *jt_core_send_around(struct jt_core *core,
-				  struct jt_actions *actions,
-				  const struct jt_member *to, jt_wire_kind kind)
+jt_wire_body *jt_core_send_relayed(struct jt_core *core,
+				   struct jt_actions *actions,
+				   const struct jt_member *to,
+				   jt_wire_kind kind)
 {
-	const struct jt_member *through = jt_detour_to(core, to->id);
+	const struct jt_member *through = jt_relay_member(core, to->id);
 	jt_wire_message *message;
 	jt_wire_detour *detour;
 
@@ -135,13 +136,13 @@
 
 void jt_core_publish(struct jt_actions *actions)
 {
-	jt_core_act(actions, JT_ACTION_PUBLISH);
+	jt_core_add_action(actions, JT_ACTION_PUBLISH);
 }
 
 const struct jt_config *jt_core_config(const struct jt_core *core,
 				       uint64_t revision)
 {
-	for (size_t i = 0; i < JT_CONFIG_MEMORY; i++) {
+	for (size_t i = 0; i < JT_CONFIG_CACHE; i++) {
 		if (core->configs[i] != NULL &&
 		    core->configs[i]->revision == revision)
 			return core->configs[i];
@@ -154,8 +155,8 @@
 	return core->newest;
 }
 
-void jt_core_need_config(struct jt_core *core, struct jt_actions *actions,
-			 struct jt_address from, uint64_t revision)
+void jt_core_request_config(struct jt_core *core, struct jt_actions *actions,
+			    struct jt_address from, uint64_t revision)
 {
 	struct jt_action *action;
 
@@ -163,7 +164,7 @@
 	    core->now_ms < core->fetch_ms + JT_RETRANSMIT_MS)
 		return;
 	core->fetch_ms = core->now_ms;
-	action = jt_core_act(actions, JT_ACTION_FETCH_CONFIG);
+	action = jt_core_add_action(actions, JT_ACTION_FETCH_CONFIG);
 	action->address = from;
 	action->revision = revision;
 }
@@ -174,7 +175,7 @@
 	return config == core->newest ||
 	       (core->previous && core->previous->config == config) ||
 	       (core->current && core->current->config == config) ||
-	       (core->tentative && core->tentative->config == config);
+	       (core->accepted_state && core->accepted_state->config == config);
 }
 
 /* Adds a configuration to the cache, evicting the oldest unused one. Keeps a
@@ -182,29 +183,29 @@
 static void core_add_config(struct jt_core *core,
 			    const struct jt_config *config)
 {
-	size_t slot = JT_CONFIG_MEMORY;
+	size_t slot = JT_CONFIG_CACHE;
 
 	if (jt_core_config(core, config->revision) != NULL)
 		return;
-	for (size_t i = 0; i < JT_CONFIG_MEMORY; i++) {
+	for (size_t i = 0; i < JT_CONFIG_CACHE; i++) {
 		if (core->configs[i] == NULL) {
 			slot = i;
 			break;
 		}
 		if (config_in_use(core, core->configs[i]))
 			continue;
-		if (slot == JT_CONFIG_MEMORY ||
+		if (slot == JT_CONFIG_CACHE ||
 		    core->configs[i]->revision < core->configs[slot]->revision)
 			slot = i;
 	}
-	if (slot == JT_CONFIG_MEMORY)
+	if (slot == JT_CONFIG_CACHE)
 		return;
 	if (core->configs[slot] != NULL)
 		talloc_unlink(core, (void *)core->configs[slot]);
 	core->configs[slot] = talloc_reference(core, config);
 	if (core->newest == NULL || core->newest->revision < config->revision) {
 		core->newest = config;
-		jt_place_note_wishes(core);
+		jt_place_mark_undesired(core);
 	}
 	core->fetch_ms = 0;
 }
@@ -372,7 +373,7 @@
 		core_candidates(core, event->u.candidates.addresses,
 				event->u.candidates.count);
 		break;
-	case JT_EVENT_FOUND:
+	case JT_EVENT_CREATE_CELL:
 		core_create_cell(core, event->u.cell, actions);
 		break;
 	case JT_EVENT_WITNESS:
@@ -385,8 +386,8 @@
 	}
 }
 
-uint16_t jt_core_self(const struct jt_core *core,
-		      const struct jt_cell_state *state)
+uint16_t jt_core_own_index(const struct jt_core *core,
+			   const struct jt_cell_state *state)
 {
 	return jt_cell_member(state, core->options.node_id);
 }
@@ -409,7 +410,7 @@
 bool jt_core_ready(const struct jt_core *core, uint64_t now_ms)
 {
 	if (core->current == NULL ||
-	    jt_core_self(core, core->current) == JT_NO_MEMBER)
+	    jt_core_own_index(core, core->current) == JT_NO_MEMBER)
 		return false;
 	return now_ms < core->lease_until_ms;
 }
@@ -424,17 +425,17 @@
 	return jt_members_coordinator(core);
 }
 
-bool jt_core_bucket_relayed(const struct jt_core *core, size_t service,
-			    size_t bucket)
+bool jt_core_bucket_needs_owner(const struct jt_core *core, size_t service,
+				size_t bucket)
 {
 	return jt_bucket_exceptional_any(
 		core, core->current->tables[service].service_id,
 		(uint16_t)bucket);
 }
 
-uint64_t jt_core_revision_everywhere(const struct jt_core *core)
+uint64_t jt_core_revision_active_on_all(const struct jt_core *core)
 {
-	return core->revision_everywhere;
+	return core->revision_active_on_all;
 }
 
 size_t jt_core_flow_count(const struct jt_core *core)
@@ -453,11 +454,11 @@
 	return jt_counts_share(core, service_id, group_id);
 }
 
-bool jt_core_reads_store(const struct jt_core *core)
+bool jt_core_watches_store(const struct jt_core *core)
 {
 	const struct jt_cell_state *state = core->current;
 
-	if (state == NULL || jt_core_self(core, state) == JT_NO_MEMBER)
+	if (state == NULL || jt_core_own_index(core, state) == JT_NO_MEMBER)
 		return true;
 	for (size_t i = 0; i < state->member_count; i++) {
 		const struct jt_member *member = &state->members[i];
@@ -465,7 +466,7 @@
 		if (member->id == core->options.node_id)
 			return true;
 		if (member->zone == core->options.zone &&
-		    !jt_peer_suspect(core, member->id))
+		    !jt_peer_is_suspect(core, member->id))
 			return false;
 	}
 	return false;
@@ -477,14 +478,14 @@
 
 	if (core->current == NULL)
 		return false;
-	self = jt_core_self(core, core->current);
+	self = jt_core_own_index(core, core->current);
 	if (self == JT_NO_MEMBER)
 		return false;
 	jt_cell_owners(core->current, endpoint_id, &owner, &replica);
 	return self == owner || self == replica;
 }
 
-uint64_t jt_core_probe_pause(const struct jt_core *core, uint64_t least_ms)
+uint64_t jt_core_probe_interval(const struct jt_core *core, uint64_t least_ms)
 {
 	const struct jt_cell_state *state = core->current;
 	uint64_t scaled;
@@ -496,9 +497,9 @@
 	return scaled > least_ms ? scaled : least_ms;
 }
 
-uint32_t jt_core_explain(const struct jt_core *core,
-			 const struct jt_flow_key *key, bool *recorded,
-			 uint64_t *owner)
+uint32_t jt_core_lookup_flow(const struct jt_core *core,
+			     const struct jt_flow_key *key, bool *recorded,
+			     uint64_t *owner)
 {
 	const struct jt_address_config *address;
 	const struct jt_table *table;
--- a/src/core/jt_core_private.h
+++ b/src/core/jt_core_private.h
@@ -29,36 +29,37 @@
 	JT_HEARTBEAT_BYTES = 136,
 	JT_COUNTS_BYTES = 130,
 	JT_PROBE_BYTES = 260,
-	JT_CONFIG_MEMORY = 8,	/* cached configurations */
+	JT_CONFIG_CACHE = 8,	/* cached configurations */
 	JT_MAX_HOPS = 3,	/* relays of a packet */
 	JT_RETRANSMIT_MS = 100, /* agreement and record messages */
 	JT_RETRANSMIT_MAX_MS = 2000,
-	JT_HOLD_MS = 300,	   /* a packet waits for the replica */
-	JT_ROUND_MS = 1000,	   /* timeout of a ballot */
-	JT_YIELD_MS = 500,	   /* backoff of a proposer, plus jitter */
-	JT_JOIN_MS = 500,	   /* between two join requests */
-	JT_WITNESS_AFTER_MS = 200, /* the witness is asked after it */
-	JT_WITNESS_PAUSE_MS = 500, /* between two requests to it */
-	JT_SETTLE_MS = 10000,	   /* only defaults after an owner crashed */
-	JT_CHANNEL_WINDOW = 32,	   /* unacknowledged messages to a peer */
-	JT_CLEAN_MAX = 128,	   /* buckets declared clean in a message */
-	JT_CLEAN_SCAN_MS = 2000,   /* between scans for clean buckets */
-	JT_DRAIN_LIMIT_MS = 1500,  /* a draining default is used so long */
-	JT_SURPLUS_S = 10,	   /* lifetime of a surplus record */
-	JT_PENDING_S = 5,	   /* a pending flow without a packet */
-	JT_RESTART_KEEP_S = 5,	   /* flows kept when an endpoint restarts */
-	JT_SLOT_IDLE_S = 30,	   /* idle time before a slot is reclaimed */
+	JT_HOLD_MS = 300,	      /* a packet waits for the replica */
+	JT_BALLOT_TIMEOUT_MS = 1000,  /* timeout of a ballot */
+	JT_PROPOSER_BACKOFF_MS = 500, /* backoff of a proposer, plus jitter */
+	JT_JOIN_MS = 500,	      /* between two join requests */
+	JT_WITNESS_DELAY_MS = 200,    /* the witness is asked after it */
+	JT_WITNESS_INTERVAL_MS = 500, /* between two requests to it */
+	JT_TAKEOVER_DEFAULTS_MS =
+		10000,		     /* only defaults after an owner crashed */
+	JT_CHANNEL_WINDOW = 32,	     /* unacknowledged messages to a peer */
+	JT_CLEAN_MAX = 128,	     /* buckets declared clean in a message */
+	JT_CLEAN_SCAN_MS = 2000,     /* between scans for clean buckets */
+	JT_DRAIN_LIMIT_MS = 1500,    /* a draining default is used so long */
+	JT_UNASSIGNED_EXPIRY_S = 10, /* lifetime of an unassigned record */
+	JT_PENDING_S = 5,	     /* a pending flow without a packet */
+	JT_RESTART_KEEP_S = 5,	     /* flows kept when an endpoint restarts */
+	JT_SLOT_IDLE_S = 30,	     /* idle time before a slot is reclaimed */
 	/* How long an endpoint must report fewer flows than are counted. */
-	JT_ORPHAN_SURPLUS_MS = 60000,
-	JT_SLOT_SURPLUS_MS = 10000,
-	JT_LINGER_S = 60,	   /* lifetime of a closed flow's record */
+	JT_INHERITED_OVERCOUNT_MS = 60000,
+	JT_SLOT_OVERCOUNT_MS = 10000,
+	JT_CLOSED_EXPIRY_S = 60,   /* lifetime of a closed flow's record */
 	JT_HEALTH_DOWN_MS = 2000,  /* failing so long: endpoint is down */
-	JT_HEALTH_FRESH_MS = 6000, /* a health report is valid so long */
+	JT_HEALTH_VALID_MS = 6000, /* a health report is valid so long */
 };
 
 /* A records message that the peer has not acknowledged. */
-struct jt_outgoing {
-	struct jt_outgoing *next;
+struct jt_records_outgoing {
+	struct jt_records_outgoing *next;
 	uint32_t sequence;
 	uint64_t sent_ms; /* 0: not sent yet */
 	bool handover;
@@ -81,7 +82,7 @@
 	/* Epochs that the peer reported: agreed, accepted, records transferred,
 	 * active. */
 	uint64_t epoch;
-	uint64_t granting_epoch;
+	uint64_t accepted_epoch;
 	uint64_t transferred_epoch;
 	uint64_t activated_epoch;
 	uint64_t config_revision;
@@ -91,7 +92,7 @@
 	uint64_t *suspects;
 	size_t suspect_count;
 	/* Channel of records to and from the peer. */
-	struct jt_outgoing *queue;
+	struct jt_records_outgoing *queue;
 	uint64_t retransmit_ms; /* current retransmission timeout */
 	uint32_t next_sequence;
 	uint32_t expected_sequence;
@@ -105,23 +106,24 @@
 /* Health and open flows of an endpoint, as known to this node. */
 struct jt_endpoint_view {
 	uint32_t id;
-	uint32_t own; /* open flows of the buckets this node owns */
+	uint32_t own_open; /* open flows of the buckets this node owns */
 	/* This node's part of the flows counted by crashed owners; negative if
 	 * it took over more records than its part. */
-	int32_t orphan;
-	uint32_t peers; /* open flows last reported by the other members */
-	uint32_t load;	/* last load that the endpoint reported */
-	unsigned flags; /* JT_REPORT_* of the newest report */
+	int32_t inherited;
+	uint32_t peers_open; /* open flows last reported by the other members */
+	uint32_t load;	     /* last load that the endpoint reported */
+	unsigned flags;	     /* JT_REPORT_* of the newest report */
 	uint64_t report_ms;
 	uint64_t ok_ms;	      /* last successful probe */
 	uint64_t fail_ms;     /* last failed probe */
 	uint64_t up_since_ms; /* start of the slow start; 0: none */
-	uint64_t gone_ms;     /* since when it is empty or quarantined */
+	uint64_t emptied_ms;  /* since when it is empty or quarantined */
 	uint64_t shed_until_ms;
-	uint64_t surplus_ms; /* since when more is counted than reported */
-	uint64_t drain_ms;   /* since when it drains; 0: it doesn't */
-	uint8_t instance;
-	bool unwanted;	/* removed or drained by the newest configuration */
+	uint64_t overcounted_since_ms; /* since when more is counted than
+					  reported */
+	uint64_t draining_since_ms;    /* since when it drains; 0: it doesn't */
+	uint8_t incarnation;
+	bool undesired; /* removed or drained by the newest configuration */
 	bool restarted; /* a new incarnation answers; its flows are lost */
 	bool was_down;
 	bool own_report; /* probed by this node since its last counts message */
@@ -132,13 +134,13 @@
 	uint32_t service_id;
 	uint32_t group_id;
 	uint32_t own;
-	int32_t orphan;
+	int32_t inherited;
 	uint32_t peers;
 };
 
 /* A held first packet whose record is being replicated. */
-struct jt_held {
-	struct jt_held *next;
+struct jt_pending_packet {
+	struct jt_pending_packet *next;
 	struct jt_flow_key key;
 	uint64_t token;
 	uint64_t since_ms;
@@ -169,14 +171,15 @@
 /* Ownership changes and clean declarations for the buckets of a service. */
 struct jt_bucket_mark {
 	uint32_t service_id;
-	uint8_t closing[JT_BUCKET_BITMAP];   /* declared clean this epoch */
-	uint64_t owned_since_ms[JT_BUCKETS]; /* taken from a crashed owner */
+	uint8_t declared_clean[JT_BUCKET_BITMAP]; /* declared clean this epoch
+						   */
+	uint64_t taken_over_ms[JT_BUCKETS]; /* taken from a crashed owner */
 };
 
 struct jt_core {
 	struct jt_core_options options;
 	uint64_t now_ms;
-	const struct jt_config *configs[JT_CONFIG_MEMORY];
+	const struct jt_config *configs[JT_CONFIG_CACHE];
 	const struct jt_config *newest;
 	uint64_t fetch_ms; /* last request for a configuration */
 
@@ -184,13 +187,13 @@
 	 * the accepted one. */
 	struct jt_cell_state *previous;
 	struct jt_cell_state *current;
-	struct jt_cell_state *tentative;
+	struct jt_cell_state *accepted_state;
 	bool activated;
-	bool skipped; /* some epochs were skipped */
+	bool epochs_skipped; /* some epochs were skipped */
 	uint64_t committed_ms;
 	uint64_t transfer_target; /* epoch for which records are transferred */
 	uint64_t transferred_epoch;
-	uint64_t revision_everywhere;
+	uint64_t revision_active_on_all;
 
 	/* Paxos acceptor and proposer for the next epoch. */
 	struct jt_ballot promised;
@@ -219,7 +222,7 @@
 
 	struct jt_flow_table *flows;
 	size_t expire_cursor;
-	struct jt_held *held;
+	struct jt_pending_packet *held;
 	struct jt_endpoint_view *endpoints;
 	size_t endpoint_count;
 	struct jt_share_view *shares;
@@ -229,16 +232,16 @@
 	uint64_t clean_due_ms;
 	jt_wire_bucket *clean; /* declared by this node in this epoch */
 	size_t clean_count;
-	jt_wire_bucket *collected; /* declared by other members */
-	size_t collected_count;
+	jt_wire_bucket *clean_received; /* declared by other members */
+	size_t clean_received_count;
 
 	struct jt_core_counters counters;
 };
 
 /* jt_core.c */
 /* Appends a zeroed action; the pointer is valid until the next one. */
-struct jt_action *jt_core_act(struct jt_actions *actions,
-			      enum jt_action_kind kind);
+struct jt_action *jt_core_add_action(struct jt_actions *actions,
+				     enum jt_action_kind kind);
 void jt_core_drop(struct jt_core *core, struct jt_actions *actions,
 		  uint64_t token, enum jt_reason reason);
 /* Queues a message of @kind for @to; the caller fills in the returned body.
@@ -246,17 +249,17 @@
 jt_wire_body *jt_core_send(struct jt_core *core, struct jt_actions *actions,
 			   const struct jt_member *to, jt_wire_kind kind);
 /* As jt_core_send(), but through another member if @to is not reachable. */
-jt_wire_body *jt_core_send_around(struct jt_core *core,
-				  struct jt_actions *actions,
-				  const struct jt_member *to,
-				  jt_wire_kind kind);
+jt_wire_body *jt_core_send_relayed(struct jt_core *core,
+				   struct jt_actions *actions,
+				   const struct jt_member *to,
+				   jt_wire_kind kind);
 /* Requests a configuration from a peer, at a limited rate. */
-void jt_core_need_config(struct jt_core *core, struct jt_actions *actions,
-			 struct jt_address from, uint64_t revision);
+void jt_core_request_config(struct jt_core *core, struct jt_actions *actions,
+			    struct jt_address from, uint64_t revision);
 void jt_core_publish(struct jt_actions *actions);
 /* Returns this node's index in @state, or JT_NO_MEMBER. */
-uint16_t jt_core_self(const struct jt_core *core,
-		      const struct jt_cell_state *state);
+uint16_t jt_core_own_index(const struct jt_core *core,
+			   const struct jt_cell_state *state);
 
 /* jt_forward.c */
 void jt_forward_packet(struct jt_core *core, const struct jt_packet *packet,
@@ -264,7 +267,8 @@
 
 /* Returns a member through which the suspected member @id can be reached, or
  * NULL if @id is not suspected or no such member is known. */
-const struct jt_member *jt_detour_to(const struct jt_core *core, uint64_t id);
+const struct jt_member *jt_relay_member(const struct jt_core *core,
+					uint64_t id);
 
 /* jt_owner.c */
 void jt_owner_packet(struct jt_core *core, const struct jt_packet *packet,
@@ -275,10 +279,11 @@
 			   uint32_t sequence, struct jt_actions *actions);
 void jt_owner_tick(struct jt_core *core, struct jt_actions *actions);
 /* Returns true if this node owns the bucket in all live states. */
-bool jt_owner_serves(const struct jt_core *core, uint32_t service_id,
-		     uint16_t bucket);
+bool jt_owner_owns_bucket(const struct jt_core *core, uint32_t service_id,
+			  uint16_t bucket);
 /* Returns the marks of a service, created if absent. */
-struct jt_bucket_mark *jt_owner_mark(struct jt_core *core, uint32_t service_id);
+struct jt_bucket_mark *jt_owner_bucket_marks(struct jt_core *core,
+					     uint32_t service_id);
 
 /* Return true if the bucket is exceptional in any, or in all live states. */
 bool jt_bucket_exceptional_any(const struct jt_core *core, uint32_t service_id,
@@ -288,8 +293,8 @@
 /* Stores the live states in @states (at most 3), those that some member may
  * use: the agreed one, then the accepted one and the one served until the
  * barrier, if any. Returns their number. */
-size_t jt_states_in_play(const struct jt_core *core,
-			 const struct jt_cell_state **states);
+size_t jt_live_states(const struct jt_core *core,
+		      const struct jt_cell_state **states);
 
 uint32_t jt_service_id(const struct jt_core *core,
 		       const struct jt_address_config *address);
@@ -304,35 +309,36 @@
 /* jt_placement.c */
 /* Selects the endpoint of a new flow. Returns false, and sets @reason, if the
  * flow is not admitted. */
-bool jt_place_choose(struct jt_core *core,
-		     const struct jt_address_config *address, uint16_t bucket,
-		     uint32_t *endpoint_id, enum jt_reason *reason);
+bool jt_place_select_endpoint(struct jt_core *core,
+			      const struct jt_address_config *address,
+			      uint16_t bucket, uint32_t *endpoint_id,
+			      enum jt_reason *reason);
 /* Records since when each endpoint of @state has been draining or worse. */
-void jt_place_note_leaving(struct jt_core *core,
-			   const struct jt_cell_state *state);
+void jt_place_record_draining(struct jt_core *core,
+			      const struct jt_cell_state *state);
 /* Marks the endpoints that the newest configuration removes or drains. They
  * receive no new flows even before that configuration is agreed. */
-void jt_place_note_wishes(struct jt_core *core);
+void jt_place_mark_undesired(struct jt_core *core);
 /* Returns the worst state of an endpoint among all live states. */
 enum jt_endpoint_state jt_place_worst_state(const struct jt_core *core,
 					    uint32_t endpoint_id);
 /* Returns the usable part of the capacity during slow start, in thousandths. */
-uint64_t jt_place_ramp_permille(const struct jt_core *core,
-				uint32_t endpoint_id);
+uint64_t jt_place_slow_start_permille(const struct jt_core *core,
+				      uint32_t endpoint_id);
 /* Returns true if the endpoint has capacity for another flow. */
-bool jt_place_has_room(const struct jt_core *core, uint32_t endpoint_id);
+bool jt_place_has_capacity(const struct jt_core *core, uint32_t endpoint_id);
 
 /* jt_records.c */
 /* Returns the table of the record's service, or NULL if it isn't configured. */
 const struct jt_table *jt_records_table(const struct jt_cell_state *state,
 					const struct jt_flow *flow);
 /* Stores a record that a peer sent. */
-void jt_records_take(struct jt_core *core, const jt_wire_record *record);
+void jt_records_store(struct jt_core *core, const jt_wire_record *record);
 /* Rebuilds this node's counts for the owners of the current state. */
 void jt_records_recount(struct jt_core *core,
 			const struct jt_cell_state *before);
 /* Declares sticky buckets clean that no record refers to any more. */
-void jt_records_declare_clean(struct jt_core *core);
+void jt_records_declare_empty_buckets(struct jt_core *core);
 /* Checks the next part of the table and removes expired records. */
 void jt_records_expire(struct jt_core *core);
 
@@ -358,9 +364,10 @@
 struct jt_peer *jt_peer_get(struct jt_core *core,
 			    const struct jt_member *member);
 /* Returns true if @id sent no heartbeat within the suspicion timeout. */
-bool jt_peer_suspect(const struct jt_core *core, uint64_t id);
+bool jt_peer_is_suspect(const struct jt_core *core, uint64_t id);
 /* Returns true if @by suspects @id according to its last heartbeat. */
-bool jt_peer_suspects(const struct jt_core *core, uint64_t by, uint64_t id);
+bool jt_peer_reports_suspect(const struct jt_core *core, uint64_t by,
+			     uint64_t id);
 void jt_members_tick(struct jt_core *core, struct jt_actions *actions);
 void jt_members_heartbeat(struct jt_core *core, uint64_t from,
 			  const jt_wire_heartbeat *heartbeat,
@@ -368,7 +375,7 @@
 void jt_members_join(struct jt_core *core, const jt_wire_join *join,
 		     struct jt_actions *actions);
 /* Adds the members of all live states as peers and removes unused peers. */
-void jt_members_synchronise(struct jt_core *core);
+void jt_members_update_peers(struct jt_core *core);
 /* Returns true if this node and all members that it does not suspect suspect
  * @id. */
 bool jt_members_evictable(const struct jt_core *core, uint64_t id);
@@ -393,13 +400,15 @@
 
 /* jt_activate.c */
 /* Sets the accepted state, of which it takes ownership. */
-void jt_activate_tentative(struct jt_core *core, struct jt_cell_state *state);
+void jt_activate_set_accepted(struct jt_core *core,
+			      struct jt_cell_state *state);
 /* Makes @state the current one and takes ownership of it. */
 void jt_activate_commit(struct jt_core *core, struct jt_cell_state *state,
 			struct jt_actions *actions);
 void jt_activate_tick(struct jt_core *core, struct jt_actions *actions);
 /* Forwards a record that arrived after the handover of its bucket began. */
-void jt_activate_pass_on(struct jt_core *core, const struct jt_flow *flow);
+void jt_activate_forward_record(struct jt_core *core,
+				const struct jt_flow *flow);
 /* Resets the node to one outside of any cell, with a new node id. */
 void jt_activate_reset(struct jt_core *core, struct jt_actions *actions);
 
@@ -417,13 +426,13 @@
 struct jt_share_view *jt_share_view(struct jt_core *core, uint32_t service_id,
 				    uint32_t group_id);
 /* Returns how long a health report is valid, depending on the probe rate. */
-uint64_t jt_health_fresh_ms(const struct jt_core *core);
+uint64_t jt_health_valid_ms(const struct jt_core *core);
 /* Adds a flow to this owner's counts and sets JT_FLOW_COUNTED. */
-void jt_counts_opened(struct jt_core *core, uint32_t service_id,
-		      struct jt_flow *flow);
+void jt_counts_add_flow(struct jt_core *core, uint32_t service_id,
+			struct jt_flow *flow);
 /* Removes the flow from the counts if it is counted. */
-void jt_counts_closed(struct jt_core *core, uint32_t service_id,
-		      struct jt_flow *flow);
+void jt_counts_remove_flow(struct jt_core *core, uint32_t service_id,
+			   struct jt_flow *flow);
 /* Records a health report that is @age_ms old. */
 void jt_counts_health(struct jt_core *core, const struct jt_health *health,
 		      uint64_t age_ms);
@@ -432,15 +441,15 @@
 		       const jt_wire_counts *counts);
 /* Adds this node's part of a crashed owner's counts; @rank is its index among
  * the @survivors. */
-void jt_counts_inherit(struct jt_core *core, const struct jt_peer *peer,
-		       size_t rank, size_t survivors);
-void jt_counts_orphan_closed(struct jt_core *core, uint32_t service_id,
-			     uint32_t group_id, uint32_t endpoint_id);
-void jt_counts_orphan_adopted(struct jt_core *core, uint32_t service_id,
-			      const struct jt_flow *flow);
+void jt_counts_inherit_crashed(struct jt_core *core, const struct jt_peer *peer,
+			       size_t rank, size_t survivors);
+void jt_counts_inherited_closed(struct jt_core *core, uint32_t service_id,
+				uint32_t group_id, uint32_t endpoint_id);
+void jt_counts_inherited_recounted(struct jt_core *core, uint32_t service_id,
+				   const struct jt_flow *flow);
 /* Recomputes the sums of the peers' counts. */
 void jt_counts_sum_peers(struct jt_core *core);
-void jt_counts_forget(struct jt_peer *peer);
+void jt_counts_clear_peer(struct jt_peer *peer);
 /* Return the cell's open flows, as known to this node. */
 uint32_t jt_counts_endpoint(const struct jt_core *core, uint32_t id);
 uint32_t jt_counts_share(const struct jt_core *core, uint32_t service_id,
--- a/src/core/jt_counts.c
+++ b/src/core/jt_counts.c
@@ -47,11 +47,11 @@
 	return view;
 }
 
-void jt_counts_opened(struct jt_core *core, uint32_t service_id,
-		      struct jt_flow *flow)
+void jt_counts_add_flow(struct jt_core *core, uint32_t service_id,
+			struct jt_flow *flow)
 {
 	flow->flags |= JT_FLOW_COUNTED;
-	jt_endpoint_view(core, flow->endpoint_id)->own++;
+	jt_endpoint_view(core, flow->endpoint_id)->own_open++;
 	jt_share_view(core, service_id, flow->group_id)->own++;
 }
 
@@ -63,9 +63,9 @@
 	return service != NULL && service->kind == JT_SERVICE_REQUEST;
 }
 
-static uint32_t open_local(uint32_t own, int32_t orphan)
+static uint32_t open_local(uint32_t own, int32_t inherited)
 {
-	int64_t sum = (int64_t)own + orphan;
+	int64_t sum = (int64_t)own + inherited;
 
 	return sum > 0 ? (uint32_t)sum : 0;
 }
@@ -76,13 +76,13 @@
 		(*count)--;
 }
 
-void jt_counts_closed(struct jt_core *core, uint32_t service_id,
-		      struct jt_flow *flow)
+void jt_counts_remove_flow(struct jt_core *core, uint32_t service_id,
+			   struct jt_flow *flow)
 {
 	if (!(flow->flags & JT_FLOW_COUNTED))
 		return;
 	flow->flags &= (uint8_t)~JT_FLOW_COUNTED;
-	decrement(&jt_endpoint_view(core, flow->endpoint_id)->own);
+	decrement(&jt_endpoint_view(core, flow->endpoint_id)->own_open);
 	decrement(&jt_share_view(core, service_id, flow->group_id)->own);
 }
 
@@ -92,8 +92,8 @@
 		const struct jt_endpoint_view *view = &core->endpoints[i];
 
 		if (view->id == id)
-			return open_local(view->own, view->orphan) +
-			       view->peers;
+			return open_local(view->own_open, view->inherited) +
+			       view->peers_open;
 	}
 	return 0;
 }
@@ -106,7 +106,7 @@
 
 		if (view->service_id == service_id &&
 		    view->group_id == group_id)
-			return open_local(view->own, view->orphan) +
+			return open_local(view->own, view->inherited) +
 			       view->peers;
 	}
 	return 0;
@@ -115,7 +115,7 @@
 void jt_counts_sum_peers(struct jt_core *core)
 {
 	for (size_t i = 0; i < core->endpoint_count; i++)
-		core->endpoints[i].peers = 0;
+		core->endpoints[i].peers_open = 0;
 	for (size_t i = 0; i < core->share_count; i++)
 		core->shares[i].peers = 0;
 	for (const struct jt_peer *peer = core->peers; peer;
@@ -124,7 +124,7 @@
 			const struct jt_open_count *entry =
 				&peer->endpoint_counts[i];
 
-			jt_endpoint_view(core, entry->id)->peers +=
+			jt_endpoint_view(core, entry->id)->peers_open +=
 				entry->count;
 		}
 		for (size_t i = 0; i < peer->share_count; i++) {
@@ -155,17 +155,17 @@
 	}
 	if (measured_ms < view->report_ms)
 		return;
-	if (health->instance != 0) {
-		view->restarted |= view->instance != 0 &&
-				   view->instance != health->instance;
-		view->instance = health->instance;
+	if (health->incarnation != 0) {
+		view->restarted |= view->incarnation != 0 &&
+				   view->incarnation != health->incarnation;
+		view->incarnation = health->incarnation;
 	}
 	view->report_ms = measured_ms;
 	view->flags = health->flags;
 	view->load = health->load;
 	if ((health->flags & JT_REPORT_OK) &&
 	    (health->flags & JT_REPORT_SHEDDING))
-		view->shed_until_ms = measured_ms + JT_HEALTH_FRESH_MS / 2;
+		view->shed_until_ms = measured_ms + JT_HEALTH_VALID_MS / 2;
 }
 
 static void encode_endpoints(struct jt_core *core, jt_wire_counts *counts,
@@ -186,11 +186,11 @@
 			jt_endpoint_view(core, state->endpoints[e].id);
 
 		counts->endpoints.endpoints_val[e] =
-			open_local(view->own, view->orphan);
+			open_local(view->own_open, view->inherited);
 		if (!view->own_report)
 			continue;
 		counts->reports.reports_val[reports++] = (jt_wire_report){
-			(u_int)e << 16 | (u_int)view->instance << 8 |
+			(u_int)e << 16 | (u_int)view->incarnation << 8 |
 				view->flags,
 			view->load};
 	}
@@ -214,7 +214,7 @@
 				      config->groups[share->group].id);
 
 		counts->shares.shares_val[i] =
-			open_local(view->own, view->orphan);
+			open_local(view->own, view->inherited);
 	}
 	counts->shares.shares_len = (u_int)config->share_count;
 }
@@ -239,11 +239,12 @@
 						: core->options.counts_ms;
 }
 
-uint64_t jt_health_fresh_ms(const struct jt_core *core)
+uint64_t jt_health_valid_ms(const struct jt_core *core)
 {
-	uint64_t round = jt_core_probe_pause(core, 0) + counts_interval(core);
+	uint64_t round =
+		jt_core_probe_interval(core, 0) + counts_interval(core);
 
-	return 2 * round > JT_HEALTH_FRESH_MS ? 2 * round : JT_HEALTH_FRESH_MS;
+	return 2 * round > JT_HEALTH_VALID_MS ? 2 * round : JT_HEALTH_VALID_MS;
 }
 
 static void uncount_flow(struct jt_core *core, struct jt_flow *flow)
@@ -251,7 +252,7 @@
 	const struct jt_table *table = jt_records_table(core->current, flow);
 
 	if (table != NULL)
-		jt_counts_closed(core, table->service_id, flow);
+		jt_counts_remove_flow(core, table->service_id, flow);
 	flow->flags &= (uint8_t)~JT_FLOW_COUNTED;
 }
 
@@ -300,12 +301,12 @@
 		now_s > JT_RESTART_KEEP_S ? now_s - JT_RESTART_KEEP_S : 0;
 	struct jt_flow *flow;
 
-	view->orphan = 0;
+	view->inherited = 0;
 	if (!is_request_service(core, endpoint->service_id)) {
 		uncount_all(core, endpoint->id, before_s);
 		return;
 	}
-	while (view->own > view->load) {
+	while (view->own_open > view->load) {
 		flow = oldest_counted(core, endpoint->id, before_s);
 		if (flow == NULL)
 			return;
@@ -319,11 +320,11 @@
 			     struct jt_endpoint_view *view)
 {
 	if (!(view->flags & JT_REPORT_OK) ||
-	    core->now_ms > view->report_ms + jt_health_fresh_ms(core) ||
+	    core->now_ms > view->report_ms + jt_health_valid_ms(core) ||
 	    view->load >= jt_counts_endpoint(core, view->id))
-		view->surplus_ms = 0;
-	else if (view->surplus_ms == 0)
-		view->surplus_ms = core->now_ms;
+		view->overcounted_since_ms = 0;
+	else if (view->overcounted_since_ms == 0)
+		view->overcounted_since_ms = core->now_ms;
 }
 
 /*
@@ -335,13 +336,14 @@
 {
 	uint64_t counted = jt_counts_endpoint(core, view->id);
 
-	if (view->orphan <= 0 || !(view->flags & JT_REPORT_OK) ||
-	    core->now_ms > view->report_ms + jt_health_fresh_ms(core) ||
+	if (view->inherited <= 0 || !(view->flags & JT_REPORT_OK) ||
+	    core->now_ms > view->report_ms + jt_health_valid_ms(core) ||
 	    counted * 10 <= (uint64_t)view->load * 11 + 80 ||
-	    view->surplus_ms == 0 ||
-	    core->now_ms < view->surplus_ms + JT_ORPHAN_SURPLUS_MS)
+	    view->overcounted_since_ms == 0 ||
+	    core->now_ms <
+		    view->overcounted_since_ms + JT_INHERITED_OVERCOUNT_MS)
 		return;
-	view->orphan -= 1 + view->orphan / INHERITED_DECAY;
+	view->inherited -= 1 + view->inherited / INHERITED_DECAY;
 }
 
 static void update_endpoints(struct jt_core *core)
@@ -379,12 +381,12 @@
 	struct jt_peer *coordinator = NULL;
 	jt_wire_counts shared = {0};
 
-	if (state == NULL || jt_core_self(core, state) == JT_NO_MEMBER ||
+	if (state == NULL || jt_core_own_index(core, state) == JT_NO_MEMBER ||
 	    core->now_ms < core->counts_due_ms)
 		return;
 	core->counts_due_ms = core->now_ms + counts_interval(core);
 	update_endpoints(core);
-	jt_records_declare_clean(core);
+	jt_records_declare_empty_buckets(core);
 	/* The messages to all peers share the same lists. */
 	shared.epoch = state->epoch;
 	encode_endpoints(core, &shared, actions->messages);
@@ -401,7 +403,7 @@
 		counts = &body->jt_wire_body_u.counts;
 		*counts = shared;
 		if (coordinator != NULL ||
-		    jt_peer_suspect(core, peer->member.id))
+		    jt_peer_is_suspect(core, peer->member.id))
 			continue;
 		coordinator = peer;
 		counts->clean.clean_val = talloc_memdup(
@@ -419,17 +421,17 @@
 		const jt_wire_bucket *entry = &counts->clean.clean_val[i];
 		bool known = false;
 
-		for (size_t k = 0; k < core->collected_count; k++) {
-			if (memcmp(&core->collected[k], entry,
+		for (size_t k = 0; k < core->clean_received_count; k++) {
+			if (memcmp(&core->clean_received[k], entry,
 				   sizeof(*entry)) == 0)
 				known = true;
 		}
-		if (known || core->collected_count >= JT_MAX_BUCKETS)
+		if (known || core->clean_received_count >= JT_MAX_BUCKETS)
 			continue;
-		core->collected =
-			talloc_realloc(core, core->collected, jt_wire_bucket,
-				       core->collected_count + 1);
-		core->collected[core->collected_count++] = *entry;
+		core->clean_received = talloc_realloc(
+			core, core->clean_received, jt_wire_bucket,
+			core->clean_received_count + 1);
+		core->clean_received[core->clean_received_count++] = *entry;
 	}
 }
 
@@ -483,7 +485,7 @@
 		size_t position = report->position_flags >> 16;
 		struct jt_health health = {
 			.flags = report->position_flags & 0xff,
-			.instance = (uint8_t)(report->position_flags >> 8),
+			.incarnation = (uint8_t)(report->position_flags >> 8),
 			.load = report->load,
 		};
 
@@ -513,7 +515,7 @@
 			 (rank < count % survivors ? 1 : 0));
 }
 
-void jt_counts_forget(struct jt_peer *peer)
+void jt_counts_clear_peer(struct jt_peer *peer)
 {
 	peer->endpoint_count = 0;
 	peer->share_count = 0;
@@ -521,8 +523,8 @@
 
 /* Request services are skipped: all their flows have records, which the next
  * owner counts. */
-void jt_counts_inherit(struct jt_core *core, const struct jt_peer *peer,
-		       size_t rank, size_t survivors)
+void jt_counts_inherit_crashed(struct jt_core *core, const struct jt_peer *peer,
+			       size_t rank, size_t survivors)
 {
 	for (size_t i = 0; i < peer->endpoint_count; i++) {
 		const struct jt_open_count *count = &peer->endpoint_counts[i];
@@ -532,7 +534,7 @@
 		    is_request_service(core,
 				       core->current->endpoints[e].service_id))
 			continue;
-		jt_endpoint_view(core, count->id)->orphan +=
+		jt_endpoint_view(core, count->id)->inherited +=
 			divide_count(count->count, rank, survivors);
 	}
 	for (size_t i = 0; i < peer->share_count; i++) {
@@ -540,30 +542,30 @@
 
 		if (is_request_service(core, count->id))
 			continue;
-		jt_share_view(core, count->id, count->group_id)->orphan +=
+		jt_share_view(core, count->id, count->group_id)->inherited +=
 			divide_count(count->count, rank, survivors);
 	}
 }
 
 /* Removes an ended flow without a record from the inherited counts. */
-void jt_counts_orphan_closed(struct jt_core *core, uint32_t service_id,
-			     uint32_t group_id, uint32_t endpoint_id)
+void jt_counts_inherited_closed(struct jt_core *core, uint32_t service_id,
+				uint32_t group_id, uint32_t endpoint_id)
 {
 	struct jt_endpoint_view *endpoint = jt_endpoint_view(core, endpoint_id);
 	struct jt_share_view *share = jt_share_view(core, service_id, group_id);
 
-	if (open_local(endpoint->own, endpoint->orphan) > 0)
-		endpoint->orphan--;
-	if (open_local(share->own, share->orphan) > 0)
-		share->orphan--;
+	if (open_local(endpoint->own_open, endpoint->inherited) > 0)
+		endpoint->inherited--;
+	if (open_local(share->own, share->inherited) > 0)
+		share->inherited--;
 }
 
 /* Removes a flow from the inherited counts that this node counts itself now. */
-void jt_counts_orphan_adopted(struct jt_core *core, uint32_t service_id,
-			      const struct jt_flow *flow)
+void jt_counts_inherited_recounted(struct jt_core *core, uint32_t service_id,
+				   const struct jt_flow *flow)
 {
 	if (is_request_service(core, service_id))
 		return;
-	jt_endpoint_view(core, flow->endpoint_id)->orphan--;
-	jt_share_view(core, service_id, flow->group_id)->orphan--;
+	jt_endpoint_view(core, flow->endpoint_id)->inherited--;
+	jt_share_view(core, service_id, flow->group_id)->inherited--;
 }
--- a/src/core/jt_flow_table.h
+++ b/src/core/jt_flow_table.h
@@ -16,7 +16,7 @@
 	JT_FLOW_PENDING = 1 << 1,    /* not acknowledged by the replica */
 	JT_FLOW_CLOSING = 1 << 2,    /* closed; not counted */
 	JT_FLOW_COUNTED = 1 << 3,    /* included in this owner's counts */
-	JT_FLOW_SURPLUS = 1 << 5,    /* neither owner nor replica here */
+	JT_FLOW_UNASSIGNED = 1 << 5, /* neither owner nor replica here */
 	JT_FLOW_USED = 1 << 7,	     /* the slot holds a record */
 };
 
--- a/src/core/jt_forward.c
+++ b/src/core/jt_forward.c
@@ -7,14 +7,14 @@
  */
 #include "jt_core_private.h"
 
-size_t jt_states_in_play(const struct jt_core *core,
-			 const struct jt_cell_state **states)
+size_t jt_live_states(const struct jt_core *core,
+		      const struct jt_cell_state **states)
 {
 	size_t count = 0;
 
 	states[count++] = core->current;
-	if (core->tentative != NULL)
-		states[count++] = core->tentative;
+	if (core->accepted_state != NULL)
+		states[count++] = core->accepted_state;
 	if (!core->activated && core->previous != NULL)
 		states[count++] = core->previous;
 	return count;
@@ -29,7 +29,7 @@
 	const struct jt_cell_state *states[3];
 	size_t count = 0;
 
-	*all = jt_states_in_play(core, states);
+	*all = jt_live_states(core, states);
 	for (size_t i = 0; i < *all; i++) {
 		const struct jt_table *table =
 			jt_cell_table(states[i], service_id);
@@ -45,7 +45,7 @@
 			       uint16_t bucket)
 {
 	const struct jt_cell_state *states[3];
-	size_t count = jt_states_in_play(core, states);
+	size_t count = jt_live_states(core, states);
 	size_t all;
 
 	for (size_t i = 0; i < count; i++) {
@@ -73,12 +73,12 @@
 	struct jt_action *action;
 
 	if (index == JT_NO_ENDPOINT ||
-	    core->current->endpoints[index].state == JT_ENDPOINT_GONE) {
+	    core->current->endpoints[index].state == JT_ENDPOINT_QUARANTINED) {
 		jt_core_drop(core, actions, packet->token,
 			     JT_REASON_NO_ENDPOINT);
 		return;
 	}
-	action = jt_core_act(actions, JT_ACTION_FORWARD);
+	action = jt_core_add_action(actions, JT_ACTION_FORWARD);
 	action->token = packet->token;
 	action->address = core->current->endpoints[index].address;
 	action->endpoint_id = core->current->endpoints[index].id;
@@ -94,7 +94,7 @@
 		jt_core_drop(core, actions, packet->token, JT_REASON_HOPS);
 		return;
 	}
-	action = jt_core_act(actions, JT_ACTION_RELAY);
+	action = jt_core_add_action(actions, JT_ACTION_RELAY);
 	action->token = packet->token;
 	action->address = member->address;
 	action->hops = packet->hops + 1;
@@ -113,22 +113,23 @@
 		uint64_t id = state->members[candidate].id;
 
 		if (candidate == unreachable || id == core->options.node_id ||
-		    jt_peer_suspect(core, id))
+		    jt_peer_is_suspect(core, id))
 			continue;
 		if (unreachable != JT_NO_MEMBER &&
-		    jt_peer_suspects(core, id, state->members[unreachable].id))
+		    jt_peer_reports_suspect(core, id,
+					    state->members[unreachable].id))
 			continue;
 		return &state->members[candidate];
 	}
 	return NULL;
 }
 
-const struct jt_member *jt_detour_to(const struct jt_core *core, uint64_t id)
+const struct jt_member *jt_relay_member(const struct jt_core *core, uint64_t id)
 {
 	uint16_t member = core->current ? jt_cell_member(core->current, id)
 					: JT_NO_MEMBER;
 
-	if (member == JT_NO_MEMBER || !jt_peer_suspect(core, id))
+	if (member == JT_NO_MEMBER || !jt_peer_is_suspect(core, id))
 		return NULL;
 	return relay_member(core, member, 0);
 }
@@ -138,7 +139,7 @@
 {
 	const struct jt_member *member = &core->current->members[owner];
 
-	if (jt_peer_suspect(core, member->id)) {
+	if (jt_peer_is_suspect(core, member->id)) {
 		const struct jt_member *through =
 			relay_member(core, owner, packet->key.source_port);
 
@@ -199,7 +200,7 @@
 	owner = table->owner[bucket];
 	if (core->current->members[owner].id == core->options.node_id) {
 		if (!exceptional && !(packet->tcp_flags & JT_TCP_SYN) &&
-		    !jt_owner_serves(core, table->service_id, bucket)) {
+		    !jt_owner_owns_bucket(core, table->service_id, bucket)) {
 			forward_default(core, packet, table, bucket, actions);
 			return;
 		}
@@ -207,7 +208,7 @@
 		return;
 	}
 	if (!exceptional && !(packet->tcp_flags & JT_TCP_SYN) &&
-	    jt_peer_suspect(core, core->current->members[owner].id)) {
+	    jt_peer_is_suspect(core, core->current->members[owner].id)) {
 		forward_default(core, packet, table, bucket, actions);
 		return;
 	}
--- a/src/core/jt_members.c
+++ b/src/core/jt_members.c
@@ -38,7 +38,7 @@
 	return peer;
 }
 
-bool jt_peer_suspect(const struct jt_core *core, uint64_t id)
+bool jt_peer_is_suspect(const struct jt_core *core, uint64_t id)
 {
 	const struct jt_peer *peer;
 
@@ -50,7 +50,8 @@
 	return core->now_ms > peer->heard_ms + core->options.suspect_ms;
 }
 
-bool jt_peer_suspects(const struct jt_core *core, uint64_t by, uint64_t id)
+bool jt_peer_reports_suspect(const struct jt_core *core, uint64_t by,
+			     uint64_t id)
 {
 	const struct jt_peer *peer = jt_peer_find(core, by);
 
@@ -67,15 +68,15 @@
 {
 	const struct jt_cell_state *state = core->current;
 
-	if (!jt_peer_suspect(core, id))
+	if (!jt_peer_is_suspect(core, id))
 		return false;
 	for (size_t i = 0; i < state->member_count; i++) {
 		uint64_t other = state->members[i].id;
 
 		if (other == id || other == core->options.node_id ||
-		    jt_peer_suspect(core, other))
+		    jt_peer_is_suspect(core, other))
 			continue;
-		if (!jt_peer_suspects(core, other, id))
+		if (!jt_peer_reports_suspect(core, other, id))
 			return false;
 	}
 	return true;
@@ -85,7 +86,7 @@
 {
 	const struct jt_cell_state *state = core->current;
 
-	if (state == NULL || jt_core_self(core, state) == JT_NO_MEMBER)
+	if (state == NULL || jt_core_own_index(core, state) == JT_NO_MEMBER)
 		return false;
 	for (size_t i = 0; i < state->member_count; i++) {
 		const struct jt_peer *peer;
@@ -93,7 +94,7 @@
 		if (state->members[i].id == core->options.node_id)
 			return true;
 		peer = jt_peer_find(core, state->members[i].id);
-		if (!jt_peer_suspect(core, state->members[i].id) &&
+		if (!jt_peer_is_suspect(core, state->members[i].id) &&
 		    !(peer != NULL && peer->leaving))
 			return false;
 	}
@@ -103,9 +104,9 @@
 bool jt_lease_valid(const struct jt_core *core)
 {
 	if (core->current == NULL ||
-	    jt_core_self(core, core->current) == JT_NO_MEMBER)
+	    jt_core_own_index(core, core->current) == JT_NO_MEMBER)
 		return false;
-	if (core->options.injected_faults & JT_BREAK_NO_LEASE)
+	if (core->options.injected_faults & JT_FAULT_NO_LEASE)
 		return true;
 	return core->now_ms < core->lease_until_ms;
 }
@@ -118,7 +119,7 @@
 	uint64_t grants[JT_MAX_MEMBERS];
 	size_t count = 0, majority;
 
-	if (state == NULL || jt_core_self(core, state) == JT_NO_MEMBER)
+	if (state == NULL || jt_core_own_index(core, state) == JT_NO_MEMBER)
 		return;
 	for (size_t i = 0; i < state->member_count; i++) {
 		const struct jt_peer *peer =
@@ -159,8 +160,8 @@
 	heartbeat->transferred =
 		core->transferred_epoch >= jt_accepted_epoch(core);
 	heartbeat->config_revision = core->newest ? core->newest->revision : 0;
-	heartbeat->everywhere_behind =
-		(u_int)(heartbeat->config_revision - core->revision_everywhere);
+	heartbeat->everywhere_behind = (u_int)(heartbeat->config_revision -
+					       core->revision_active_on_all);
 	heartbeat->sent_ms = (u_int)core->now_ms;
 	heartbeat->echo_ms = peer->echo_ms;
 	heartbeat->leaving = core->leaving;
@@ -170,7 +171,7 @@
 	heartbeat->suspects.suspects_val =
 		talloc_array(actions->messages, u_quad_t, state->member_count);
 	for (size_t i = 0; i < state->member_count; i++) {
-		if (jt_peer_suspect(core, state->members[i].id))
+		if (jt_peer_is_suspect(core, state->members[i].id))
 			heartbeat->suspects.suspects_val[count++] =
 				state->members[i].id;
 	}
@@ -212,7 +213,7 @@
 
 	peer->heard_ms = core->now_ms;
 	peer->epoch = heartbeat->epoch;
-	peer->granting_epoch = heartbeat->epoch + heartbeat->accepted_ahead;
+	peer->accepted_epoch = heartbeat->epoch + heartbeat->accepted_ahead;
 	if (heartbeat->transferred && heartbeat->accepted_ahead == 0)
 		peer->transferred_epoch = peer->epoch;
 	if (heartbeat->activated)
@@ -227,7 +228,7 @@
 	peer->suspect_count =
 		peer->suspects ? heartbeat->suspects.suspects_len : 0;
 	if (heartbeat->echo_ms != 0 &&
-	    peer->granting_epoch <= jt_accepted_epoch(core) &&
+	    peer->accepted_epoch <= jt_accepted_epoch(core) &&
 	    echo > peer->grant_ms && echo <= core->now_ms)
 		peer->grant_ms = echo;
 }
@@ -265,7 +266,7 @@
 			  struct jt_actions *actions)
 {
 	struct jt_peer *peer = jt_peer_find(core, from);
-	uint64_t everywhere =
+	uint64_t active_on_all =
 		heartbeat->config_revision - heartbeat->everywhere_behind;
 
 	if (core->current == NULL || peer == NULL)
@@ -281,10 +282,10 @@
 		request_state(core, &peer->member, actions);
 	if (core->newest == NULL ||
 	    heartbeat->config_revision > core->newest->revision)
-		jt_core_need_config(core, actions, peer->member.address,
-				    heartbeat->config_revision);
-	if (everywhere > core->revision_everywhere)
-		core->revision_everywhere = everywhere;
+		jt_core_request_config(core, actions, peer->member.address,
+				       heartbeat->config_revision);
+	if (active_on_all > core->revision_active_on_all)
+		core->revision_active_on_all = active_on_all;
 }
 
 static bool own_address(const struct jt_core *core, struct jt_address address)
@@ -322,7 +323,7 @@
 	body = jt_core_send(core, actions, &to, JT_WIRE_JOIN);
 	body->jt_wire_body_u.join.cut_off =
 		core->current != NULL &&
-		jt_core_self(core, core->current) != JT_NO_MEMBER;
+		jt_core_own_index(core, core->current) != JT_NO_MEMBER;
 	member = &body->jt_wire_body_u.join.member;
 	member->id = core->options.node_id;
 	member->zone = core->options.zone;
@@ -355,7 +356,8 @@
 	for (size_t i = 0; i < core->current->member_count; i++) {
 		uint64_t id = core->current->members[i].id;
 
-		if (id != core->options.node_id && !jt_peer_suspect(core, id))
+		if (id != core->options.node_id &&
+		    !jt_peer_is_suspect(core, id))
 			return &core->current->members[i];
 	}
 	return NULL;
@@ -373,7 +375,7 @@
 	jt_wire_body *body;
 
 	if (core->current == NULL ||
-	    jt_core_self(core, core->current) == JT_NO_MEMBER)
+	    jt_core_own_index(core, core->current) == JT_NO_MEMBER)
 		return;
 	if (jt_peer_get(core, &member) == NULL || join->cut_off ||
 	    jt_cell_member(core->current, member.id) != JT_NO_MEMBER)
@@ -394,7 +396,7 @@
 static bool peer_needed(const struct jt_core *core, const struct jt_peer *peer)
 {
 	const struct jt_cell_state *states[3];
-	size_t count = jt_states_in_play(core, states);
+	size_t count = jt_live_states(core, states);
 
 	for (size_t i = 0; i < count; i++) {
 		if (jt_cell_member(states[i], peer->member.id) != JT_NO_MEMBER)
@@ -403,10 +405,10 @@
 	return core->now_ms < peer->heard_ms + 4 * core->options.suspect_ms;
 }
 
-void jt_members_synchronise(struct jt_core *core)
+void jt_members_update_peers(struct jt_core *core)
 {
 	const struct jt_cell_state *states[3];
-	size_t count = jt_states_in_play(core, states);
+	size_t count = jt_live_states(core, states);
 	struct jt_peer **link = &core->peers;
 
 	for (size_t i = 0; i < count; i++) {
@@ -447,7 +449,7 @@
 	if (core->leaving)
 		return false;
 	if (core->current == NULL ||
-	    jt_core_self(core, core->current) == JT_NO_MEMBER)
+	    jt_core_own_index(core, core->current) == JT_NO_MEMBER)
 		return true;
 	return core->now_ms >
 	       core->lease_until_ms + 2 * core->options.suspect_ms;
--- a/src/core/jt_owner.c
+++ b/src/core/jt_owner.c
@@ -14,7 +14,8 @@
 	RETRY_AFTER_CAPACITY_MS = 1000,
 };
 
-struct jt_bucket_mark *jt_owner_mark(struct jt_core *core, uint32_t service_id)
+struct jt_bucket_mark *jt_owner_bucket_marks(struct jt_core *core,
+					     uint32_t service_id)
 {
 	struct jt_bucket_mark *mark;
 
@@ -30,11 +31,11 @@
 	return mark;
 }
 
-bool jt_owner_serves(const struct jt_core *core, uint32_t service_id,
-		     uint16_t bucket)
+bool jt_owner_owns_bucket(const struct jt_core *core, uint32_t service_id,
+			  uint16_t bucket)
 {
 	const struct jt_cell_state *states[3];
-	size_t count = jt_states_in_play(core, states);
+	size_t count = jt_live_states(core, states);
 
 	/* A node that just joined owns no bucket before its first barrier. */
 	if (!core->activated && core->previous == NULL)
@@ -74,11 +75,11 @@
 	struct jt_action *action;
 
 	if (e == JT_NO_ENDPOINT ||
-	    core->current->endpoints[e].state == JT_ENDPOINT_GONE) {
+	    core->current->endpoints[e].state == JT_ENDPOINT_QUARANTINED) {
 		jt_core_drop(core, actions, token, JT_REASON_NO_ENDPOINT);
 		return;
 	}
-	action = jt_core_act(actions, JT_ACTION_FORWARD);
+	action = jt_core_add_action(actions, JT_ACTION_FORWARD);
 	action->token = token;
 	action->address = core->current->endpoints[e].address;
 	action->endpoint_id = endpoint_id;
@@ -88,7 +89,8 @@
 static void refuse(struct jt_core *core, uint64_t token, enum jt_reason reason,
 		   struct jt_actions *actions)
 {
-	struct jt_action *action = jt_core_act(actions, JT_ACTION_REFUSE);
+	struct jt_action *action =
+		jt_core_add_action(actions, JT_ACTION_REFUSE);
 
 	action->token = token;
 	action->reason = reason;
@@ -105,11 +107,11 @@
 	const struct jt_table *table;
 	uint16_t replica;
 
-	jt_states_in_play(core, states);
+	jt_live_states(core, states);
 	table = jt_cell_table(states[0], service_id);
 	replica = table->replica[bucket];
 	if (replica == JT_NO_MEMBER ||
-	    (core->options.injected_faults & JT_BREAK_NO_REPLICA))
+	    (core->options.injected_faults & JT_FAULT_NO_REPLICA))
 		return NULL;
 	return jt_peer_find(core, states[0]->members[replica].id);
 }
@@ -119,7 +121,8 @@
 			uint64_t peer_id, uint32_t sequence, uint64_t token,
 			struct jt_actions *actions)
 {
-	struct jt_held *held = talloc_zero(core, struct jt_held);
+	struct jt_pending_packet *held =
+		talloc_zero(core, struct jt_pending_packet);
 	struct jt_action *action;
 
 	if (held == NULL) {
@@ -134,7 +137,7 @@
 	held->next = core->held;
 	core->held = held;
 	core->counters.held++;
-	action = jt_core_act(actions, JT_ACTION_HOLD);
+	action = jt_core_add_action(actions, JT_ACTION_HOLD);
 	action->token = token;
 }
 
@@ -190,8 +193,9 @@
 	jt_wire_record record;
 	struct jt_flow *flow;
 
-	if (!jt_place_choose(core, address, bucket, &endpoint_id, &reason)) {
-		if (reason == JT_REASON_FROZEN)
+	if (!jt_place_select_endpoint(core, address, bucket, &endpoint_id,
+				      &reason)) {
+		if (reason == JT_REASON_OWNERSHIP_CHANGE)
 			jt_core_drop(core, actions, packet->token, reason);
 		else
 			refuse(core, packet->token, reason, actions);
@@ -207,14 +211,14 @@
 	flow->bucket = bucket;
 	flow->seen_s = (uint32_t)(core->now_ms / 1000);
 	core->counters.flows_opened++;
-	jt_counts_opened(core, service_id, flow);
+	jt_counts_add_flow(core, service_id, flow);
 	if (endpoint_id == table->defaults[bucket] &&
 	    !jt_service_counts_slots(core, address)) {
 		forward_to(core, packet->token, endpoint_id, actions);
 		return;
 	}
 	flow->flags |= JT_FLOW_REPLICATED;
-	if (peer == NULL || jt_peer_suspect(core, peer->member.id)) {
+	if (peer == NULL || jt_peer_is_suspect(core, peer->member.id)) {
 		/* Queues the record, but doesn't wait for the replica. */
 		if (peer != NULL) {
 			jt_flow_to_wire(core, flow, &record);
@@ -237,7 +241,7 @@
 		return;
 	flow->flags |= JT_FLOW_CLOSING;
 	core->counters.flows_closed++;
-	jt_counts_closed(core, service_id, flow);
+	jt_counts_remove_flow(core, service_id, flow);
 	if (!(flow->flags & JT_FLOW_REPLICATED))
 		return;
 	peer = replica_peer(core, service_id, flow->bucket);
@@ -260,9 +264,9 @@
 static bool recount_reopened(struct jt_core *core, struct jt_flow *flow,
 			     uint32_t service_id)
 {
-	if (!jt_place_has_room(core, flow->endpoint_id))
+	if (!jt_place_has_capacity(core, flow->endpoint_id))
 		return false;
-	jt_counts_opened(core, service_id, flow);
+	jt_counts_add_flow(core, service_id, flow);
 	return true;
 }
 
@@ -300,9 +304,9 @@
 		jt_cell_table(core->current, service_id)->defaults[bucket];
 
 	if (packet->tcp_flags & (JT_TCP_FIN | JT_TCP_RST))
-		jt_counts_orphan_closed(core, service_id,
-					config->groups[address->group].id,
-					endpoint_id);
+		jt_counts_inherited_closed(core, service_id,
+					   config->groups[address->group].id,
+					   endpoint_id);
 	forward_to(core, packet->token, endpoint_id, actions);
 }
 
@@ -339,8 +343,9 @@
 	uint32_t service_id = jt_service_id(core, address);
 	struct jt_flow *flow;
 
-	if (!jt_owner_serves(core, service_id, bucket)) {
-		jt_core_drop(core, actions, packet->token, JT_REASON_FROZEN);
+	if (!jt_owner_owns_bucket(core, service_id, bucket)) {
+		jt_core_drop(core, actions, packet->token,
+			     JT_REASON_OWNERSHIP_CHANGE);
 		return;
 	}
 	flow = jt_flow_table_find(core->flows, &packet->key);
@@ -357,7 +362,8 @@
 /* Held packets */
 
 /* Forwards a held packet whose record the replica has acknowledged. */
-static void release_held(struct jt_core *core, const struct jt_held *held,
+static void release_held(struct jt_core *core,
+			 const struct jt_pending_packet *held,
 			 struct jt_actions *actions)
 {
 	struct jt_flow *flow = jt_flow_table_find(core->flows, &held->key);
@@ -365,11 +371,12 @@
 
 	address = jt_config_address(core->current->config, &held->key);
 	if (flow == NULL || address == NULL || !jt_lease_valid(core) ||
-	    !jt_owner_serves(core, jt_service_id(core, address),
-			     flow->bucket)) {
+	    !jt_owner_owns_bucket(core, jt_service_id(core, address),
+				  flow->bucket)) {
 		if (flow != NULL)
 			flow->flags &= (uint8_t)~JT_FLOW_PENDING;
-		jt_core_drop(core, actions, held->token, JT_REASON_FROZEN);
+		jt_core_drop(core, actions, held->token,
+			     JT_REASON_OWNERSHIP_CHANGE);
 		return;
 	}
 	flow->flags &= (uint8_t)~JT_FLOW_PENDING;
@@ -379,10 +386,10 @@
 void jt_owner_acknowledged(struct jt_core *core, struct jt_peer *peer,
 			   uint32_t sequence, struct jt_actions *actions)
 {
-	struct jt_held **link = &core->held;
+	struct jt_pending_packet **link = &core->held;
 
 	while (*link != NULL) {
-		struct jt_held *held = *link;
+		struct jt_pending_packet *held = *link;
 
 		if (held->peer_id != peer->member.id ||
 		    held->sequence > sequence) {
@@ -399,10 +406,10 @@
  * client retransmits the packet. */
 static void drop_timed_out(struct jt_core *core, struct jt_actions *actions)
 {
-	struct jt_held **link = &core->held;
+	struct jt_pending_packet **link = &core->held;
 
 	while (*link != NULL) {
-		struct jt_held *held = *link;
+		struct jt_pending_packet *held = *link;
 
 		if (core->now_ms < held->since_ms + JT_HOLD_MS) {
 			link = &held->next;
--- a/src/core/jt_placement.c
+++ b/src/core/jt_placement.c
@@ -39,7 +39,7 @@
 	struct jt_share_usage uses[SHARE_LIMIT];
 	size_t count = 0, index = SIZE_MAX;
 
-	if (core->options.injected_faults & JT_BREAK_NO_ADMISSION)
+	if (core->options.injected_faults & JT_FAULT_NO_ADMISSION)
 		return true;
 	for (size_t i = 0; i < config->share_count; i++) {
 		const struct jt_share_config *share = &config->shares[i];
@@ -61,8 +61,8 @@
 
 /* Endpoint selection */
 
-uint64_t jt_place_ramp_permille(const struct jt_core *core,
-				uint32_t endpoint_id)
+uint64_t jt_place_slow_start_permille(const struct jt_core *core,
+				      uint32_t endpoint_id)
 {
 	uint64_t age, span = core->options.cold_start_ms;
 
@@ -98,16 +98,16 @@
 	candidate->id = endpoint->id;
 	candidate->open = jt_counts_endpoint(core, endpoint->id);
 	candidate->capacity = (uint64_t)endpoint->capacity *
-			      jt_place_ramp_permille(core, endpoint->id);
+			      jt_place_slow_start_permille(core, endpoint->id);
 	/* At least one flow is allowed, so that a cold endpoint can warm up. */
 	if (candidate->capacity < 1000)
 		candidate->capacity = 1000;
-	if (core->options.injected_faults & JT_BREAK_NO_ADMISSION)
+	if (core->options.injected_faults & JT_FAULT_NO_ADMISSION)
 		return true;
 	return (uint64_t)(candidate->open + 1) * 1000 <= candidate->capacity;
 }
 
-bool jt_place_has_room(const struct jt_core *core, uint32_t endpoint_id)
+bool jt_place_has_capacity(const struct jt_core *core, uint32_t endpoint_id)
 {
 	uint16_t e = jt_cell_endpoint(core->current, endpoint_id);
 	struct candidate candidate;
@@ -136,7 +136,7 @@
 
 		if (endpoint->service_id != service_id ||
 		    endpoint->state > worst ||
-		    jt_endpoint_view(core, endpoint->id)->unwanted ||
+		    jt_endpoint_view(core, endpoint->id)->undesired ||
 		    !candidate_init(core, endpoint, &candidate))
 			continue;
 		if (!found || less_loaded(&candidate, best))
@@ -150,14 +150,14 @@
 					    uint32_t endpoint_id)
 {
 	const struct jt_cell_state *states[3];
-	size_t count = jt_states_in_play(core, states);
+	size_t count = jt_live_states(core, states);
 	enum jt_endpoint_state worst = JT_ENDPOINT_UP;
 
 	for (size_t i = 0; i < count; i++) {
 		uint16_t e = jt_cell_endpoint(states[i], endpoint_id);
 
 		if (e == JT_NO_ENDPOINT)
-			return JT_ENDPOINT_GONE;
+			return JT_ENDPOINT_QUARANTINED;
 		if (states[i]->endpoints[e].state > worst)
 			worst = states[i]->endpoints[e].state;
 	}
@@ -169,7 +169,7 @@
 				    uint32_t endpoint_id)
 {
 	const struct jt_cell_state *states[3];
-	size_t count = jt_states_in_play(core, states);
+	size_t count = jt_live_states(core, states);
 
 	for (size_t i = 0; i < count; i++) {
 		const struct jt_table *table =
@@ -181,22 +181,22 @@
 	return true;
 }
 
-void jt_place_note_leaving(struct jt_core *core,
-			   const struct jt_cell_state *state)
+void jt_place_record_draining(struct jt_core *core,
+			      const struct jt_cell_state *state)
 {
 	for (size_t e = 0; e < state->endpoint_count; e++) {
 		struct jt_endpoint_view *view =
 			jt_endpoint_view(core, state->endpoints[e].id);
 
 		if (state->endpoints[e].state < JT_ENDPOINT_DRAINING &&
-		    !view->unwanted)
-			view->drain_ms = 0;
-		else if (view->drain_ms == 0)
-			view->drain_ms = core->now_ms;
+		    !view->undesired)
+			view->draining_since_ms = 0;
+		else if (view->draining_since_ms == 0)
+			view->draining_since_ms = core->now_ms;
 	}
 }
 
-void jt_place_note_wishes(struct jt_core *core)
+void jt_place_mark_undesired(struct jt_core *core)
 {
 	for (size_t i = 0; i < core->endpoint_count; i++) {
 		struct jt_endpoint_view *view = &core->endpoints[i];
@@ -206,9 +206,9 @@
 			if (core->newest->endpoints[e].id == view->id)
 				wanted = !core->newest->endpoints[e].draining;
 		}
-		view->unwanted = !wanted;
-		if (view->unwanted && view->drain_ms == 0)
-			view->drain_ms = core->now_ms;
+		view->undesired = !wanted;
+		if (view->undesired && view->draining_since_ms == 0)
+			view->draining_since_ms = core->now_ms;
 	}
 }
 
@@ -220,17 +220,17 @@
 {
 	const struct jt_table *table = jt_cell_table(core->current, service_id);
 	uint32_t id = table->defaults[bucket];
-	uint64_t since = jt_endpoint_view(core, id)->drain_ms;
+	uint64_t since = jt_endpoint_view(core, id)->draining_since_ms;
 	enum jt_endpoint_state state;
 	struct candidate candidate;
 
-	*reason = JT_REASON_FROZEN;
+	*reason = JT_REASON_OWNERSHIP_CHANGE;
 	if (id == 0 || !same_default_everywhere(core, service_id, bucket, id))
 		return false;
 	state = jt_place_worst_state(core, id);
 	if (state >= JT_ENDPOINT_DOWN ||
 	    ((state == JT_ENDPOINT_DRAINING ||
-	      jt_endpoint_view(core, id)->unwanted) &&
+	      jt_endpoint_view(core, id)->undesired) &&
 	     core->now_ms > since + JT_DRAIN_LIMIT_MS))
 		return false;
 	*reason = JT_REASON_NO_CAPACITY;
@@ -250,7 +250,7 @@
 	uint16_t replica = table->replica[bucket];
 
 	return replica != JT_NO_MEMBER &&
-	       jt_peer_suspect(core, core->current->members[replica].id);
+	       jt_peer_is_suspect(core, core->current->members[replica].id);
 }
 
 /* Selects the least loaded endpoint, with preference for the default one. */
@@ -259,11 +259,12 @@
 			   enum jt_reason *reason)
 {
 	const struct jt_table *table = jt_cell_table(core->current, service_id);
-	const struct jt_bucket_mark *mark = jt_owner_mark(core, service_id);
+	const struct jt_bucket_mark *mark =
+		jt_owner_bucket_marks(core, service_id);
 	uint16_t index = table->default_index[bucket];
 	const struct jt_cell_endpoint *default_endpoint;
 	struct candidate best, candidate;
-	uint64_t taken_over_ms = mark->owned_since_ms[bucket];
+	uint64_t taken_over_ms = mark->taken_over_ms[bucket];
 
 	*reason = JT_REASON_NO_CAPACITY;
 	if (!least_loaded(core, service_id, JT_ENDPOINT_UP, &best) &&
@@ -274,14 +275,14 @@
 		return true;
 	default_endpoint = &core->current->endpoints[index];
 	if (default_endpoint->state != JT_ENDPOINT_UP ||
-	    jt_endpoint_view(core, default_endpoint->id)->unwanted ||
+	    jt_endpoint_view(core, default_endpoint->id)->undesired ||
 	    !candidate_init(core, default_endpoint, &candidate))
 		return true;
 	/* A crashed owner may already have placed this flow on the default
 	 * endpoint. While the replica is unreachable, records can't be
 	 * replicated, and the default endpoint needs none. */
 	if ((taken_over_ms != 0 &&
-	     core->now_ms < taken_over_ms + JT_SETTLE_MS) ||
+	     core->now_ms < taken_over_ms + JT_TAKEOVER_DEFAULTS_MS) ||
 	    replica_lost(core, service_id, bucket)) {
 		*endpoint_id = default_endpoint->id;
 		return true;
@@ -295,18 +296,20 @@
 	return true;
 }
 
-bool jt_place_choose(struct jt_core *core,
-		     const struct jt_address_config *address, uint16_t bucket,
-		     uint32_t *endpoint_id, enum jt_reason *reason)
+bool jt_place_select_endpoint(struct jt_core *core,
+			      const struct jt_address_config *address,
+			      uint16_t bucket, uint32_t *endpoint_id,
+			      enum jt_reason *reason)
 {
 	uint32_t service_id = jt_service_id(core, address);
-	const struct jt_bucket_mark *mark = jt_owner_mark(core, service_id);
+	const struct jt_bucket_mark *mark =
+		jt_owner_bucket_marks(core, service_id);
 
 	if (!group_admitted(core, address)) {
 		*reason = JT_REASON_OVER_SHARE;
 		return false;
 	}
-	if (jt_bit_get(mark->closing, bucket) ||
+	if (jt_bit_get(mark->declared_clean, bucket) ||
 	    !jt_bucket_exceptional_all(core, service_id, bucket))
 		return choose_default(core, service_id, bucket, endpoint_id,
 				      reason);
--- a/src/core/jt_records.c
+++ b/src/core/jt_records.c
@@ -33,20 +33,21 @@
 		jt_endpoint_view(core, flow->endpoint_id);
 
 	if (!(flow->flags & JT_FLOW_COUNTED) || idle_s < JT_SLOT_IDLE_S ||
-	    !jt_service_counts_slots(core, address) || view->surplus_ms == 0 ||
-	    core->now_ms < view->surplus_ms + JT_SLOT_SURPLUS_MS)
+	    !jt_service_counts_slots(core, address) ||
+	    view->overcounted_since_ms == 0 ||
+	    core->now_ms < view->overcounted_since_ms + JT_SLOT_OVERCOUNT_MS)
 		return false;
-	view->surplus_ms = 0;
+	view->overcounted_since_ms = 0;
 	return true;
 }
 
 static uint32_t record_lifetime_s(const struct jt_core *core,
 				  const struct jt_flow *flow)
 {
-	if (flow->flags & JT_FLOW_SURPLUS)
-		return JT_SURPLUS_S;
+	if (flow->flags & JT_FLOW_UNASSIGNED)
+		return JT_UNASSIGNED_EXPIRY_S;
 	if (flow->flags & JT_FLOW_CLOSING)
-		return JT_LINGER_S;
+		return JT_CLOSED_EXPIRY_S;
 	return core->options.flow_idle_s;
 }
 
@@ -67,11 +68,11 @@
 		return;
 	}
 	if (address != NULL && reclaim_slot(core, address, flow, idle_s))
-		jt_counts_closed(core, jt_service_id(core, address), flow);
+		jt_counts_remove_flow(core, jt_service_id(core, address), flow);
 	if (idle_s < record_lifetime_s(core, flow))
 		return;
 	if (address != NULL)
-		jt_counts_closed(core, jt_service_id(core, address), flow);
+		jt_counts_remove_flow(core, jt_service_id(core, address), flow);
 	jt_flow_table_remove(core->flows, flow);
 }
 
@@ -94,7 +95,7 @@
 
 /* Records from peers */
 
-void jt_records_take(struct jt_core *core, const jt_wire_record *record)
+void jt_records_store(struct jt_core *core, const jt_wire_record *record)
 {
 	const struct jt_flow_key key = {
 		.source = record->source,
@@ -124,11 +125,11 @@
 	flow->flags = (uint8_t)(JT_FLOW_USED |
 				(record->bucket_protocol_flags &
 				 (JT_FLOW_REPLICATED | JT_FLOW_CLOSING)));
-	jt_activate_pass_on(core, flow);
+	jt_activate_forward_record(core, flow);
 	service_id = jt_service_id(core, address);
 	if (!(flow->flags & JT_FLOW_CLOSING) && core->activated &&
-	    jt_owner_serves(core, service_id, flow->bucket))
-		jt_counts_opened(core, service_id, flow);
+	    jt_owner_owns_bucket(core, service_id, flow->bucket))
+		jt_counts_add_flow(core, service_id, flow);
 }
 
 /* Change of owners */
@@ -136,7 +137,7 @@
 static void inherit_crashed_counts(struct jt_core *core,
 				   const struct jt_cell_state *before)
 {
-	size_t rank = jt_core_self(core, core->current);
+	size_t rank = jt_core_own_index(core, core->current);
 
 	if (before == NULL || rank == JT_NO_MEMBER)
 		return;
@@ -148,9 +149,9 @@
 		    jt_cell_member(core->current, id) != JT_NO_MEMBER)
 			continue;
 		if (!peer->leaving)
-			jt_counts_inherit(core, peer, rank,
-					  core->current->member_count);
-		jt_counts_forget(peer);
+			jt_counts_inherit_crashed(core, peer, rank,
+						  core->current->member_count);
+		jt_counts_clear_peer(peer);
 	}
 	jt_counts_sum_peers(core);
 }
@@ -181,12 +182,12 @@
 	for (size_t t = 0; t < core->current->table_count; t++) {
 		const struct jt_table *table = &core->current->tables[t];
 		struct jt_bucket_mark *mark =
-			jt_owner_mark(core, table->service_id);
+			jt_owner_bucket_marks(core, table->service_id);
 
 		for (size_t b = 0; b < JT_BUCKETS; b++) {
 			if (owner_crashed(core, before, table->service_id,
 					  (uint16_t)b))
-				mark->owned_since_ms[b] = core->now_ms;
+				mark->taken_over_ms[b] = core->now_ms;
 		}
 	}
 }
@@ -198,22 +199,22 @@
 {
 	bool counted = flow->flags & JT_FLOW_COUNTED;
 
-	flow->flags &= (uint8_t)~JT_FLOW_SURPLUS;
+	flow->flags &= (uint8_t)~JT_FLOW_UNASSIGNED;
 	if (flow->flags & JT_FLOW_CLOSING)
 		return;
 	if (!counted && owner_crashed(core, before, service_id, flow->bucket))
-		jt_counts_orphan_adopted(core, service_id, flow);
-	jt_counts_opened(core, service_id, flow);
+		jt_counts_inherited_recounted(core, service_id, flow);
+	jt_counts_add_flow(core, service_id, flow);
 }
 
-/* Counts a record if this node owns its bucket, or marks it as surplus if
+/* Counts a record if this node owns its bucket, or marks it as unassigned if
  * this node is neither owner nor replica. */
 static void recount_flow(struct jt_core *core,
 			 const struct jt_cell_state *before,
 			 struct jt_flow *flow)
 {
 	const struct jt_table *table = jt_records_table(core->current, flow);
-	uint16_t self = jt_core_self(core, core->current);
+	uint16_t self = jt_core_own_index(core, core->current);
 	bool member = table != NULL && self != JT_NO_MEMBER;
 
 	if (member && table->owner[flow->bucket] == self) {
@@ -223,13 +224,13 @@
 	flow->flags &= (uint8_t)~JT_FLOW_COUNTED;
 	if (member && table->replica[flow->bucket] == self &&
 	    (flow->flags & JT_FLOW_REPLICATED)) {
-		flow->flags &= (uint8_t)~JT_FLOW_SURPLUS;
+		flow->flags &= (uint8_t)~JT_FLOW_UNASSIGNED;
 		return;
 	}
 	/* It may belong to a state that this node hasn't received yet. */
-	if (!(flow->flags & JT_FLOW_SURPLUS))
+	if (!(flow->flags & JT_FLOW_UNASSIGNED))
 		flow->seen_s = (uint32_t)(core->now_ms / 1000);
-	flow->flags |= JT_FLOW_SURPLUS;
+	flow->flags |= JT_FLOW_UNASSIGNED;
 }
 
 void jt_records_recount(struct jt_core *core,
@@ -238,7 +239,7 @@
 	inherit_crashed_counts(core, before);
 	mark_taken_over_buckets(core, before);
 	for (size_t i = 0; i < core->endpoint_count; i++)
-		core->endpoints[i].own = 0;
+		core->endpoints[i].own_open = 0;
 	for (size_t i = 0; i < core->share_count; i++)
 		core->shares[i].own = 0;
 	for (size_t i = 0; i < core->flows->capacity; i++) {
@@ -253,21 +254,25 @@
 			  const struct jt_service_config *service,
 			  const uint8_t *recorded)
 {
-	struct jt_bucket_mark *mark = jt_owner_mark(core, table->service_id);
+	struct jt_bucket_mark *mark =
+		jt_owner_bucket_marks(core, table->service_id);
 
 	for (size_t b = 0; b < JT_BUCKETS; b++) {
 		uint16_t e = table->default_index[b];
 
 		if (core->clean_count >= JT_CLEAN_MAX)
 			return;
-		if (jt_bucket_is_free(b, service->free_permille) ||
+		if (jt_bucket_is_load_placed(b,
+					     service->load_placed_permille) ||
 		    !jt_bit_get(table->sticky, b) || e == JT_NO_ENDPOINT ||
-		    jt_bit_get(mark->closing, b) || jt_bit_get(recorded, b) ||
+		    jt_bit_get(mark->declared_clean, b) ||
+		    jt_bit_get(recorded, b) ||
 		    core->current->endpoints[e].state != JT_ENDPOINT_UP ||
-		    jt_place_ramp_permille(core, table->defaults[b]) < 1000 ||
-		    !jt_owner_serves(core, table->service_id, (uint16_t)b))
+		    jt_place_slow_start_permille(core, table->defaults[b]) <
+			    1000 ||
+		    !jt_owner_owns_bucket(core, table->service_id, (uint16_t)b))
 			continue;
-		jt_bit_set(mark->closing, b, true);
+		jt_bit_set(mark->declared_clean, b, true);
 		core->clean[core->clean_count].service_id = table->service_id;
 		core->clean[core->clean_count++].bucket = (u_int)b;
 	}
@@ -284,11 +289,11 @@
 	}
 }
 
-void jt_records_declare_clean(struct jt_core *core)
+void jt_records_declare_empty_buckets(struct jt_core *core)
 {
 	uint8_t recorded[JT_BUCKET_BITMAP] = {0};
 
-	if (!core->activated || core->tentative != NULL ||
+	if (!core->activated || core->accepted_state != NULL ||
 	    core->now_ms < core->clean_due_ms)
 		return;
 	core->clean_due_ms = core->now_ms + JT_CLEAN_SCAN_MS;
--- a/src/daemon/jt_founding.c
+++ b/src/daemon/jt_founding.c
@@ -45,7 +45,7 @@
 
 static void attempt_finish(struct jt_founding *founding, bool founded)
 {
-	struct jt_event event = {.kind = JT_EVENT_FOUND};
+	struct jt_event event = {.kind = JT_EVENT_CREATE_CELL};
 	bool member = jt_core_state(founding->node->core) != NULL;
 
 	founding->request_pending = false;
--- a/src/daemon/jt_health_probe.c
+++ b/src/daemon/jt_health_probe.c
@@ -115,7 +115,7 @@
 		page = json_loads(body, 0, NULL);
 	if (page != NULL) {
 		health->flags = flags_parse(page);
-		health->instance = instance_parse(page);
+		health->incarnation = instance_parse(page);
 		health->load = (uint32_t)json_integer_value(json_object_get(
 			page,
 			target->counts_slots ? "slots_used" : "connections"));
@@ -235,8 +235,9 @@
 			    JT_NO_ENDPOINT ||
 		    !jt_core_probes(probe->node->core, target->endpoint_id))
 			continue;
-		target->due_ms = now + jt_core_probe_pause(probe->node->core,
-							   PROBE_INTERVAL_MS);
+		target->due_ms =
+			now + jt_core_probe_interval(probe->node->core,
+						     PROBE_INTERVAL_MS);
 		probe_send(probe, target);
 	}
 }
--- a/src/daemon/jt_node.c
+++ b/src/daemon/jt_node.c
@@ -22,7 +22,7 @@
 struct jt_held_packet {
 	struct jt_held_packet *next;
 	uint64_t token;
-	struct jt_parsed parsed;
+	struct jt_parsed_packet parsed;
 	size_t length;
 	uint8_t data[];
 };
@@ -174,10 +174,11 @@
 	node->held_count++;
 }
 
-static void packet_refuse(struct jt_node *node, const struct jt_parsed *parsed)
+static void packet_refuse(struct jt_node *node,
+			  const struct jt_parsed_packet *parsed)
 {
 	uint8_t reset[JT_RESET_SIZE];
-	size_t length = jt_packet_reset(parsed, reset);
+	size_t length = jt_packet_make_reset(parsed, reset);
 
 	if (length == 0)
 		return;
@@ -187,7 +188,7 @@
 }
 
 static void packet_execute(struct jt_node *node, const struct jt_action *action,
-			   const struct jt_parsed *parsed,
+			   const struct jt_parsed_packet *parsed,
 			   const uint8_t *packet, size_t length)
 {
 	switch (action->kind) {
@@ -318,7 +319,7 @@
 			 const uint8_t *packet, size_t length, uint8_t hops)
 {
 	struct jt_event event = {.kind = kind};
-	struct jt_parsed *parsed = &node->packet_parsed;
+	struct jt_parsed_packet *parsed = &node->packet_parsed;
 
 	if (jt_packet_parse(packet, length, parsed) != JT_PACKET_OK)
 		return;
--- a/src/daemon/jt_node.h
+++ b/src/daemon/jt_node.h
@@ -71,7 +71,7 @@
 	const uint8_t *packet;
 	size_t packet_length;
 	uint64_t packet_token;
-	struct jt_parsed packet_parsed;
+	struct jt_parsed_packet packet_parsed;
 	bool publish_pending;
 	bool draining; /* stopping: reports itself not ready */
 	bool left;
--- a/src/daemon/jt_status.c
+++ b/src/daemon/jt_status.c
@@ -10,14 +10,14 @@
 	[JT_ENDPOINT_DRAINING] = "draining",
 	[JT_ENDPOINT_DOWN] = "down",
 	[JT_ENDPOINT_REMOVED] = "removed",
-	[JT_ENDPOINT_GONE] = "gone",
+	[JT_ENDPOINT_QUARANTINED] = "gone",
 };
 
 static const char *const reason_names[JT_REASON_COUNT] = {
 	[JT_REASON_NONE] = "none",
 	[JT_REASON_UNKNOWN_DESTINATION] = "unknown_destination",
 	[JT_REASON_NO_LEASE] = "no_lease",
-	[JT_REASON_FROZEN] = "frozen",
+	[JT_REASON_OWNERSHIP_CHANGE] = "frozen",
 	[JT_REASON_HOPS] = "hops",
 	[JT_REASON_NO_ENDPOINT] = "no_endpoint",
 	[JT_REASON_OVER_SHARE] = "over_share",
@@ -105,7 +105,7 @@
 {
 	const struct jt_cell_state *state = jt_core_state(node->core);
 	const struct jt_document *newest = jt_node_newest_document(node);
-	uint64_t active_on_all = jt_core_revision_everywhere(node->core);
+	uint64_t active_on_all = jt_core_revision_active_on_all(node->core);
 	json_t *status = json_pack(
 		"{s:s,s:s,s:b,s:b,s:b,s:I,s:I,s:I}", "node",
 		node->settings->name, "zone", node->settings->zone, "ready",
@@ -320,7 +320,7 @@
 	if (address == NULL)
 		return json_pack("{s:s}", "reason",
 				 "no address resource has this destination");
-	endpoint_id = jt_core_explain(node->core, key, &recorded, &owner);
+	endpoint_id = jt_core_lookup_flow(node->core, key, &recorded, &owner);
 	snprintf(id, sizeof(id), "%016" PRIx64, owner);
 	return json_pack(
 		"{s:s,s:s,s:s,s:s,s:i,s:b,s:s}", "address", address->name,
@@ -328,7 +328,7 @@
 		"group", state->config->groups[address->group].name, "endpoint",
 		endpoint_name(state->config, endpoint_id), "bucket",
 		(int)jt_flow_bucket(key), "through_owner",
-		(int)jt_core_bucket_relayed(node->core, address->service,
-					    jt_flow_bucket(key)),
+		(int)jt_core_bucket_needs_owner(node->core, address->service,
+						jt_flow_bucket(key)),
 		"owner", id);
 }
--- a/src/daemon/jt_traffic.c
+++ b/src/daemon/jt_traffic.c
@@ -172,7 +172,7 @@
  * the control thread must handle it. */
 static const struct sockaddr_in *
 table_lookup(const struct forwarding_table *table,
-	     const struct jt_parsed *parsed)
+	     const struct jt_parsed_packet *parsed)
 {
 	const struct jt_address_config *address;
 	const struct bucket_entry *entry;
@@ -192,7 +192,7 @@
 			  size_t length)
 {
 	const struct sockaddr_in *to = NULL;
-	struct jt_parsed parsed;
+	struct jt_parsed_packet parsed;
 	enum jt_packet_error error = jt_packet_parse(data, length, &parsed);
 
 	if (error != JT_PACKET_OK) {
@@ -376,7 +376,7 @@
 			uint16_t e = state->tables[s].default_index[b];
 
 			if (e == JT_NO_ENDPOINT ||
-			    jt_core_bucket_relayed(core, s, b))
+			    jt_core_bucket_needs_owner(core, s, b))
 				continue;
 			entry->direct = true;
 			jt_address_to_socket(state->endpoints[e].address,
--- a/src/lab/endpoints.c
+++ b/src/lab/endpoints.c
@@ -463,7 +463,7 @@
 			&e->history[e->history_count++ % HEALTH_SAMPLES];
 
 		sample->endpoint_id = e->id;
-		sample->instance = (uint8_t)(e->incarnation % 255 + 1);
+		sample->incarnation = (uint8_t)(e->incarnation % 255 + 1);
 		sample->flags = JT_REPORT_OK;
 		if (e->draining)
 			sample->flags |= JT_REPORT_DRAINING;
@@ -511,14 +511,14 @@
 
 	endpoint_health(world, e->id, &page);
 	if (page.flags == e->traced.flags &&
-	    page.instance == e->traced.instance && e->traced.endpoint_id)
+	    page.incarnation == e->traced.incarnation && e->traced.endpoint_id)
 		return;
 	e->traced = page;
 	e->traced.endpoint_id = e->id;
 	fprintf(world->options.trace,
 		"{\"t\":%llu,\"page\":[\"%u\",[%u,%u,%u]]}\n",
 		(unsigned long long)world_now(world), e->id, page.flags,
-		page.load, page.instance);
+		page.load, page.incarnation);
 }
 
 void endpoints_trace(struct world *world)
--- a/src/lab/plan.c
+++ b/src/lab/plan.c
@@ -70,7 +70,7 @@
 		s->services[i].slots = 2;
 		s->services[i].connections = 1000000;
 		s->services[i].health_lag_s = 2;
-		s->services[i].free_permille = 200;
+		s->services[i].load_placed_permille = 200;
 	}
 	for (unsigned g = 0; g < GROUPS; g++) {
 		struct scenario_group *group = &s->groups[g];
--- a/src/lab/run.c
+++ b/src/lab/run.c
@@ -16,15 +16,15 @@
 	const char *name;
 	unsigned flag;
 } feature_flags[] = {
-	{"replica", JT_BREAK_NO_REPLICA},
-	{"barrier", JT_BREAK_NO_BARRIER},
-	{"lease", JT_BREAK_NO_LEASE},
-	{"sticky", JT_BREAK_NO_STICKY},
-	{"quarantine", JT_BREAK_NO_QUARANTINE},
-	{"defaults", JT_BREAK_MOVE_DEFAULTS},
-	{"handover", JT_BREAK_NO_HANDOVER},
-	{"admission", JT_BREAK_NO_ADMISSION},
-	{"vote", JT_BREAK_SPLIT_VOTE},
+	{"replica", JT_FAULT_NO_REPLICA},
+	{"barrier", JT_FAULT_NO_BARRIER},
+	{"lease", JT_FAULT_NO_LEASE},
+	{"sticky", JT_FAULT_NO_STICKY},
+	{"quarantine", JT_FAULT_NO_QUARANTINE},
+	{"defaults", JT_FAULT_MOVE_DEFAULTS},
+	{"handover", JT_FAULT_NO_HANDOVER},
+	{"admission", JT_FAULT_NO_ADMISSION},
+	{"vote", JT_FAULT_SINGLE_VOTE},
 };
 
 static unsigned parse_feature(const char *name)
--- a/src/lab/scenario.c
+++ b/src/lab/scenario.c
@@ -199,7 +199,7 @@
 	    read_real(r, setting, "service_time_ms", 1, 3.6e6, 500,
 		      &service->service_time_ms) != 0 ||
 	    read_count(r, setting, "free_permille", 0, 1000, 200,
-		       &service->free_permille) != 0)
+		       &service->load_placed_permille) != 0)
 		return -1;
 	if (strcmp(kind, "stream") == 0)
 		service->kind = JT_SERVICE_STREAM;
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -30,7 +30,7 @@
 	unsigned connections;
 	double health_lag_s;
 	double service_time_ms;
-	unsigned free_permille;
+	unsigned load_placed_permille;
 };
 
 struct scenario_demand {
--- a/src/lab/trace.c
+++ b/src/lab/trace.c
@@ -48,9 +48,10 @@
 	for (size_t i = 0; i < config->service_count; i++)
 		json_array_append_new(
 			services,
-			json_pack("[I,i,i]", (json_int_t)config->services[i].id,
-				  (int)config->services[i].kind,
-				  (int)config->services[i].free_permille));
+			json_pack(
+				"[I,i,i]", (json_int_t)config->services[i].id,
+				(int)config->services[i].kind,
+				(int)config->services[i].load_placed_permille));
 	for (size_t i = 0; i < config->endpoint_count; i++) {
 		const struct jt_endpoint_config *e = &config->endpoints[i];
 
@@ -107,7 +108,8 @@
 
 		c->services[i].id = (uint32_t)integer_at(s, 0);
 		c->services[i].kind = (enum jt_service_kind)integer_at(s, 1);
-		c->services[i].free_permille = (uint32_t)integer_at(s, 2);
+		c->services[i].load_placed_permille =
+			(uint32_t)integer_at(s, 2);
 	}
 }
 
@@ -257,7 +259,7 @@
 		.endpoint_id = endpoint_id,
 		.flags = (unsigned)integer_at(page, 0),
 		.load = (uint32_t)integer_at(page, 1),
-		.instance = (uint8_t)integer_at(page, 2),
+		.incarnation = (uint8_t)integer_at(page, 2),
 	};
 	return true;
 }
--- a/src/lab/world.c
+++ b/src/lab/world.c
@@ -71,7 +71,8 @@
 			 s->services[i].name);
 		service->id = jt_name_id(service->name);
 		service->kind = s->services[i].kind;
-		service->free_permille = s->services[i].free_permille;
+		service->load_placed_permille =
+			s->services[i].load_placed_permille;
 	}
 	config->service_count = s->service_count;
 }
--- a/src/lab/world.h
+++ b/src/lab/world.h
@@ -23,7 +23,7 @@
 struct world_options {
 	uint64_t seed;
 	enum policy_kind policy;
-	unsigned injected_faults; /* enum jt_break */
+	unsigned injected_faults; /* enum jt_fault */
 	/* JSON lines: samples once a second and events, for reports; or NULL.
 	 */
 	FILE *timeline;
--- a/src/packet/jt_packet.c
+++ b/src/packet/jt_packet.c
@@ -68,7 +68,7 @@
 }
 
 static enum jt_packet_error parse_tcp(const uint8_t *tcp, size_t length,
-				      struct jt_parsed *parsed)
+				      struct jt_parsed_packet *parsed)
 {
 	size_t header;
 	uint8_t flags;
@@ -96,7 +96,7 @@
 }
 
 enum jt_packet_error jt_packet_parse(const uint8_t *packet, size_t length,
-				     struct jt_parsed *parsed)
+				     struct jt_parsed_packet *parsed)
 {
 	enum jt_packet_error error = parse_ipv4(packet, length);
 	const uint8_t *payload = packet + IPV4_HEADER;
@@ -152,8 +152,8 @@
 	       (destination & 0xffff) + JT_PROTOCOL_TCP + (uint32_t)length;
 }
 
-size_t jt_packet_reset(const struct jt_parsed *parsed,
-		       uint8_t reset[JT_RESET_SIZE])
+size_t jt_packet_make_reset(const struct jt_parsed_packet *parsed,
+			    uint8_t reset[JT_RESET_SIZE])
 {
 	uint8_t *tcp = reset + IPV4_HEADER;
 
--- a/src/packet/jt_packet.h
+++ b/src/packet/jt_packet.h
@@ -30,7 +30,7 @@
 };
 
 /* The header fields of a client packet. */
-struct jt_parsed {
+struct jt_parsed_packet {
 	struct jt_flow_key key;
 	uint8_t tcp_flags; /* 0 for UDP */
 	uint32_t sequence;
@@ -40,7 +40,7 @@
 
 /* Validates @packet; @parsed is valid only if JT_PACKET_OK is returned. */
 enum jt_packet_error jt_packet_parse(const uint8_t *packet, size_t length,
-				     struct jt_parsed *parsed);
+				     struct jt_parsed_packet *parsed);
 /* Returns the name of the error as used in metrics. */
 const char *jt_packet_error_name(enum jt_packet_error error);
 
@@ -48,8 +48,8 @@
  * Writes the TCP reset that answers @parsed (RFC 9293, 3.10.7.1), sent from
  * the service address. Returns its length, or 0 if none may be sent.
  */
-size_t jt_packet_reset(const struct jt_parsed *parsed,
-		       uint8_t reset[JT_RESET_SIZE]);
+size_t jt_packet_make_reset(const struct jt_parsed_packet *parsed,
+			    uint8_t reset[JT_RESET_SIZE]);
 
 /* Computes the Internet checksum (RFC 1071) of @data with the initial @sum. */
 uint16_t jt_checksum(const uint8_t *data, size_t length, uint32_t sum);
--- a/src/resource/jt_resource.c
+++ b/src/resource/jt_resource.c
@@ -10,7 +10,7 @@
 	MAX_SLOTS = 1000000,
 	MAX_CONNECTIONS = 10000000,
 	MAX_WEIGHT = 1000000,
-	DEFAULT_FREE_PERMILLE = 200,
+	DEFAULT_LOAD_PLACED_PERMILLE = 200,
 	MAX_RESOURCES = 100000,
 };
 
@@ -254,8 +254,9 @@
 	const char *kind = string_field(b->resource, "kind");
 
 	if (read_name(b, service->name) != 0 ||
-	    read_number(b, "free_permille", 0, 1000, DEFAULT_FREE_PERMILLE,
-			&service->free_permille) != 0)
+	    read_number(b, "free_permille", 0, 1000,
+			DEFAULT_LOAD_PLACED_PERMILLE,
+			&service->load_placed_permille) != 0)
 		return -1;
 	if (strcmp(kind, "stream") == 0)
 		service->kind = JT_SERVICE_STREAM;
--- a/tests/lone_core.h
+++ b/tests/lone_core.h
@@ -14,14 +14,14 @@
 						 unsigned endpoints,
 						 struct jt_address address,
 						 unsigned connections,
-						 unsigned free_permille)
+						 unsigned load_placed_permille)
 {
 	struct jt_config *c = talloc_zero(mem_ctx, struct jt_config);
 
 	c->revision = 1;
 	c->services = talloc_zero(c, struct jt_service_config);
 	c->services[0].id = 5;
-	c->services[0].free_permille = free_permille;
+	c->services[0].load_placed_permille = load_placed_permille;
 	c->service_count = 1;
 	c->endpoints =
 		talloc_zero_array(c, struct jt_endpoint_config, endpoints);
@@ -60,7 +60,7 @@
 	core = jt_core_create(mem_ctx, &options);
 	event.u.config = config;
 	jt_core_handle(core, &event, actions);
-	event.kind = JT_EVENT_FOUND;
+	event.kind = JT_EVENT_CREATE_CELL;
 	event.u.cell = 3;
 	jt_core_handle(core, &event, actions);
 	event.kind = JT_EVENT_TICK;
--- a/tests/proofs.cmake
+++ b/tests/proofs.cmake
@@ -1,4 +1,4 @@
-# Arguments: feature, flag of enum jt_break, first seed.
+# Arguments: feature, flag of enum jt_fault, first seed.
 jt_proof(replica 1 2)
 jt_proof(barrier 2 5)
 jt_proof(lease 4 3)
--- a/tests/test_packet.c
+++ b/tests/test_packet.c
@@ -36,7 +36,7 @@
 
 static void test_valid_packet(void **state)
 {
-	struct jt_parsed parsed;
+	struct jt_parsed_packet parsed;
 	uint8_t packet[40];
 
 	(void)state;
@@ -72,7 +72,7 @@
 		{33, JT_TCP_SYN | JT_TCP_FIN, JT_PACKET_FLAGS},
 		{33, JT_TCP_SYN | JT_TCP_ACK, JT_PACKET_FLAGS},
 	};
-	struct jt_parsed parsed;
+	struct jt_parsed_packet parsed;
 	uint8_t packet[40];
 
 	(void)state;
@@ -94,13 +94,13 @@
 
 static void test_reset(void **state)
 {
-	struct jt_parsed parsed, parsed_reset;
+	struct jt_parsed_packet parsed, parsed_reset;
 	uint8_t packet[40], reset[JT_RESET_SIZE];
 
 	(void)state;
 	make_syn(packet);
 	jt_packet_parse(packet, 40, &parsed);
-	assert_int_equal(jt_packet_reset(&parsed, reset), JT_RESET_SIZE);
+	assert_int_equal(jt_packet_make_reset(&parsed, reset), JT_RESET_SIZE);
 	assert_int_equal(jt_packet_parse(reset, JT_RESET_SIZE, &parsed_reset),
 			 JT_PACKET_OK);
 	assert_int_equal(parsed_reset.key.source, parsed.key.destination);
@@ -109,7 +109,7 @@
 	/* RFC 9293: a reset that does not acknowledge the SYN is ignored. */
 	assert_int_equal(parsed_reset.acknowledgment, 10);
 	parsed.tcp_flags = JT_TCP_RST;
-	assert_int_equal(jt_packet_reset(&parsed, reset), 0);
+	assert_int_equal(jt_packet_make_reset(&parsed, reset), 0);
 }
 
 int main(void)
--- a/tests/test_tables.c
+++ b/tests/test_tables.c
@@ -88,7 +88,7 @@
 {
 	memset(f, 0, sizeof(*f));
 	f->service.id = 77;
-	f->service.free_permille = 200;
+	f->service.load_placed_permille = 200;
 	f->config.services = &f->service;
 	f->config.service_count = 1;
 	f->config.revision = 1;
