--- a/fuzz/fuzz_cluster.c
+++ b/fuzz/fuzz_cluster.c
@@ -163,7 +163,8 @@
 	flow->delivered = flow->endpoint == to;
 }
 
-static void on_verdict(void *private_data, const struct jt_verdict *verdict)
+static void on_verdict(void *private_data,
+		       const struct jt_packet_verdict *verdict)
 {
 	struct fuzz *fuzz = private_data;
 	struct fuzz_flow *flow = &fuzz->flows[verdict->packet];
@@ -172,9 +173,9 @@
 	      flow - fuzz->flows, verdict->node, verdict->kind,
 	      verdict->kind ? -1 : endpoint_index(verdict->endpoint),
 	      verdict->reason);
-	if (verdict->kind == JT_VERDICT_FORWARD)
+	if (verdict->kind == JT_PACKET_FORWARDED)
 		check_forward(fuzz, flow, verdict->endpoint);
-	if (verdict->kind == JT_VERDICT_REFUSE) {
+	if (verdict->kind == JT_PACKET_REFUSED) {
 		if (flow->endpoint >= 0)
 			fail(fuzz,
 			     "flow %ld refused after endpoint %d accepted it",
@@ -474,12 +475,14 @@
 	trace(fuzz, "zones %u and %u %s", a, b,
 	      fuzz->partitioned ? "partitioned" : "reconnected");
 	for (unsigned z = 0; !fuzz->partitioned && z < ZONES; z++)
-		jt_cluster_cut(fuzz->cluster, z, (z + 1) % ZONES, false);
+		jt_cluster_set_partition(fuzz->cluster, z, (z + 1) % ZONES,
+					 false);
 	if (fuzz->partitioned)
-		jt_cluster_cut(fuzz->cluster, a, b, true);
+		jt_cluster_set_partition(fuzz->cluster, a, b, true);
 	/* Isolate one zone from all others. */
 	if (fuzz->partitioned && choice & 0x80)
-		jt_cluster_cut(fuzz->cluster, a, (a + 2) % ZONES, true);
+		jt_cluster_set_partition(fuzz->cluster, a, (a + 2) % ZONES,
+					 true);
 	fuzz->last_failure_us = jt_scheduler_now(fuzz->scheduler);
 	fuzz->last_failure_zone = ZONES;
 }
@@ -545,13 +548,13 @@
 	trace(fuzz, "store operation %d", operation_code % 4);
 	switch (operation_code % 4) {
 	case 0:
-		jt_cluster_store_down(fuzz->cluster, true);
+		jt_cluster_set_store_down(fuzz->cluster, true);
 		break;
 	case 1:
-		jt_cluster_store_down(fuzz->cluster, false);
+		jt_cluster_set_store_down(fuzz->cluster, false);
 		break;
 	case 2:
-		jt_cluster_store_lose_answers(fuzz->cluster, 1);
+		jt_cluster_drop_store_responses(fuzz->cluster, 1);
 		break;
 	default:
 		fuzz->shares[operation_code / 4 % 2] =
@@ -606,9 +609,10 @@
 /* Ends all faults and waits until every open flow must reach its endpoint. */
 static void recover(struct fuzz *fuzz)
 {
-	jt_cluster_store_down(fuzz->cluster, false);
+	jt_cluster_set_store_down(fuzz->cluster, false);
 	for (unsigned z = 0; z < ZONES; z++)
-		jt_cluster_cut(fuzz->cluster, z, (z + 1) % ZONES, false);
+		jt_cluster_set_partition(fuzz->cluster, z, (z + 1) % ZONES,
+					 false);
 	run(fuzz, SECOND);
 	for (uint8_t n = 0; n < NODES; n++) {
 		jt_cluster_resume(fuzz->cluster, n);
--- a/fuzz/fuzz_director.c
+++ b/fuzz/fuzz_director.c
@@ -617,7 +617,7 @@
 static void node_fetch_snapshot(struct world *world, int node, int from)
 {
 	struct jt_director_event event;
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 	TALLOC_CTX *frame = talloc_new(world);
 	struct jt_routing *routing;
 
--- a/fuzz/fuzz_message.c
+++ b/fuzz/fuzz_message.c
@@ -75,7 +75,7 @@
 		abort(); /* an unauthenticated message was accepted */
 	handle_body(data, size, now_ms++);
 	/* Handle the same bytes as the body of each message kind. */
-	for (uint8_t kind = 1; kind <= JT_WIRE_DETOUR; kind++) {
+	for (uint8_t kind = 1; kind <= JT_WIRE_RELAYED; kind++) {
 		memset(framed, 0, 16);
 		framed[7] = size > 0 && data[0] & 1 ? 2 : 3;
 		framed[15] = kind;
--- a/src/cluster/jt_cluster.c
+++ b/src/cluster/jt_cluster.c
@@ -22,8 +22,8 @@
 		.probe_interval_us = 2000000,
 		.leave_delay_us = 2000000,
 	};
-	for (int a = 0; a < JT_CLUSTER_ZONES; a++) {
-		for (int b = 0; b < JT_CLUSTER_ZONES; b++)
+	for (int a = 0; a < JT_CLUSTER_MAX_ZONES; a++) {
+		for (int b = 0; b < JT_CLUSTER_MAX_ZONES; b++)
 			options->zone_to_zone_us[a][b] = a == b ? 200 : 1500;
 	}
 }
@@ -47,7 +47,7 @@
 	cluster->actions = jt_actions_create(cluster);
 	cluster->frame = talloc_array(cluster, uint8_t, FRAME_BYTES);
 	cluster->listed =
-		talloc_array(cluster, struct jt_address, JT_CLUSTER_NODES);
+		talloc_array(cluster, struct jt_address, JT_CLUSTER_MAX_NODES);
 	cluster->store_tokens = options->store_operations_per_s;
 	return cluster;
 }
@@ -66,11 +66,11 @@
 
 static bool reachable(const struct jt_cluster *cluster, unsigned a, unsigned b)
 {
-	return !cluster->cut[a][b];
+	return !cluster->partitioned[a][b];
 }
 
-unsigned jt_cluster_cell_of(const struct jt_cluster *cluster,
-			    uint32_t service_id)
+unsigned jt_cluster_service_cell(const struct jt_cluster *cluster,
+				 uint32_t service_id)
 {
 	unsigned cells;
 
@@ -88,7 +88,7 @@
 			   const struct jt_action *action)
 {
 	struct jt_cluster *cluster = node->cluster;
-	struct jt_verdict verdict = {
+	struct jt_packet_verdict verdict = {
 		.node = node->index,
 		.packet = packet->packet,
 		.key = packet->key,
@@ -98,11 +98,11 @@
 	};
 
 	if (action->kind == JT_ACTION_FORWARD)
-		verdict.kind = JT_VERDICT_FORWARD;
+		verdict.kind = JT_PACKET_FORWARDED;
 	else if (action->kind == JT_ACTION_REFUSE)
-		verdict.kind = JT_VERDICT_REFUSE;
+		verdict.kind = JT_PACKET_REFUSED;
 	else
-		verdict.kind = JT_VERDICT_DROP;
+		verdict.kind = JT_PACKET_DROPPED;
 	cluster->options.on_verdict(cluster->options.private_data, &verdict);
 }
 
@@ -122,7 +122,7 @@
 static void transmit(struct node *from, struct datagram *datagram)
 {
 	struct jt_cluster *cluster = from->cluster;
-	struct node *to = datagram->to < JT_CLUSTER_NODES
+	struct node *to = datagram->to < JT_CLUSTER_MAX_NODES
 				  ? cluster->nodes[datagram->to]
 				  : NULL;
 
@@ -173,7 +173,8 @@
 
 	if (length == 0)
 		return;
-	node_spend(node, action->message->body.kind, length + UDP_OVERHEAD);
+	node_add_control_bytes(node, action->message->body.kind,
+			       length + UDP_OVERHEAD);
 	datagram = datagram_create(node, node_index(action->address), length);
 	memcpy(datagram->frame, cluster->frame, length);
 	transmit(node, datagram);
@@ -197,11 +198,11 @@
 	struct jt_cluster *cluster = node->cluster;
 	uint16_t index = node_index(action->address);
 	struct node *peer =
-		index < JT_CLUSTER_NODES ? cluster->nodes[index] : NULL;
+		index < JT_CLUSTER_MAX_NODES ? cluster->nodes[index] : NULL;
 	const struct jt_config *config;
 	struct datagram *datagram;
 
-	node_spend(node, JT_WIRE_CONFIG_REQUEST, UDP_OVERHEAD + 48);
+	node_add_control_bytes(node, JT_WIRE_CONFIG_REQUEST, UDP_OVERHEAD + 48);
 	if (peer == NULL || !node_running(peer) ||
 	    !reachable(cluster, node->zone, peer->zone))
 		return;
@@ -210,8 +211,8 @@
 		config = jt_core_newest_config(peer->core);
 	if (config == NULL)
 		return;
-	node_spend(peer, JT_WIRE_CONFIG,
-		   platform_document_bytes(config) + UDP_OVERHEAD);
+	node_add_control_bytes(peer, JT_WIRE_CONFIG,
+			       platform_document_bytes(config) + UDP_OVERHEAD);
 	datagram = datagram_create(peer, node->index, 0);
 	datagram->config = config;
 	transmit(peer, datagram);
@@ -366,8 +367,8 @@
 	address = config ? jt_config_address(config, key) : NULL;
 	if (address == NULL)
 		return false;
-	*cell = jt_cluster_cell_of(node->cluster,
-				   config->services[address->service].id);
+	*cell = jt_cluster_service_cell(node->cluster,
+					config->services[address->service].id);
 	return *cell != node->cell;
 }
 
@@ -614,11 +615,11 @@
 			   on_leave_timer, node, node->incarnation);
 }
 
-void jt_cluster_cut(struct jt_cluster *cluster, unsigned a, unsigned b,
-		    bool cut)
+void jt_cluster_set_partition(struct jt_cluster *cluster, unsigned a,
+			      unsigned b, bool partitioned)
 {
-	cluster->cut[a][b] = cut;
-	cluster->cut[b][a] = cut;
+	cluster->partitioned[a][b] = partitioned;
+	cluster->partitioned[b][a] = partitioned;
 }
 
 /* Read access */
--- a/src/cluster/jt_cluster.h
+++ b/src/cluster/jt_cluster.h
@@ -15,21 +15,21 @@
 #include "jt_scheduler.h"
 
 enum {
-	JT_CLUSTER_NODES = 4096,
-	JT_CLUSTER_ZONES = 32,
+	JT_CLUSTER_MAX_NODES = 4096,
+	JT_CLUSTER_MAX_ZONES = 32,
 	JT_NO_NODE = 0xffff,
 	JT_CLUSTER_KINDS = 17,
 };
 
-enum jt_verdict_kind {
-	JT_VERDICT_FORWARD,
-	JT_VERDICT_REFUSE,
-	JT_VERDICT_DROP,
+enum jt_packet_verdict_kind {
+	JT_PACKET_FORWARDED,
+	JT_PACKET_REFUSED,
+	JT_PACKET_DROPPED,
 };
 
 /* Outcome of a packet, reported exactly once per packet. */
-struct jt_verdict {
-	enum jt_verdict_kind kind;
+struct jt_packet_verdict {
+	enum jt_packet_verdict_kind kind;
 	uint16_t node;
 	uint64_t packet; /* as passed to jt_cluster_packet() */
 	struct jt_flow_key key;
@@ -50,7 +50,7 @@
 	uint64_t seed;
 	unsigned zone_count;
 	/* One-way latency between and within zones, microseconds. */
-	uint32_t zone_to_zone_us[JT_CLUSTER_ZONES][JT_CLUSTER_ZONES];
+	uint32_t zone_to_zone_us[JT_CLUSTER_MAX_ZONES][JT_CLUSTER_MAX_ZONES];
 	uint32_t loss_per_million;
 	uint32_t reorder_per_million;
 	uint32_t duplicate_per_million;
@@ -62,7 +62,7 @@
 	unsigned probe_interval_us;
 	uint32_t leave_delay_us; /* from SIGTERM to leaving the cell */
 	void (*on_verdict)(void *private_data,
-			   const struct jt_verdict *verdict);
+			   const struct jt_packet_verdict *verdict);
 	/* Reads an endpoint's health page; returns false if there is no
 	 * response. */
 	bool (*read_health)(void *private_data, uint32_t endpoint_id,
@@ -102,15 +102,18 @@
  * cell after leave_delay_us and then stops. */
 void jt_cluster_leave(struct jt_cluster *cluster, uint16_t node);
 /* Partitions two zones, or ends their partition. */
-void jt_cluster_cut(struct jt_cluster *cluster, unsigned zone_a,
-		    unsigned zone_b, bool cut);
+void jt_cluster_set_partition(struct jt_cluster *cluster, unsigned zone_a,
+			      unsigned zone_b, bool partitioned);
 
 /* Makes the store unreachable or reachable. */
-void jt_cluster_store_down(struct jt_cluster *cluster, bool down);
-void jt_cluster_store_slow(struct jt_cluster *cluster, uint32_t answer_us);
+void jt_cluster_set_store_down(struct jt_cluster *cluster, bool down);
+void jt_cluster_set_store_latency(struct jt_cluster *cluster,
+				  uint32_t answer_us);
 /* Drops the responses to the next @count writes that the store applies. */
-void jt_cluster_store_lose_answers(struct jt_cluster *cluster, uint32_t count);
-void jt_cluster_machine_list_lag(struct jt_cluster *cluster, uint32_t lag_us);
+void jt_cluster_drop_store_responses(struct jt_cluster *cluster,
+				     uint32_t count);
+void jt_cluster_set_machine_list_lag(struct jt_cluster *cluster,
+				     uint32_t lag_us);
 /*
  * Writes a configuration through a node's API. @config must outlive the
  * cluster and have a higher revision than any before. @on_accepted runs when
@@ -123,7 +126,8 @@
 			  void *object);
 /* Returns the newest revision in the store and the time of its write in
  * microseconds. */
-uint64_t jt_cluster_stored(const struct jt_cluster *cluster, uint64_t *when_us);
+uint64_t jt_cluster_stored_revision(const struct jt_cluster *cluster,
+				    uint64_t *when_us);
 
 /* Delivers a client's packet to a node, as the fabric does. */
 void jt_cluster_packet(struct jt_cluster *cluster, uint16_t node,
@@ -138,8 +142,8 @@
 const struct jt_core *jt_cluster_core(const struct jt_cluster *cluster,
 				      uint16_t node);
 /* Returns the cell that handles the flows of a service. */
-unsigned jt_cluster_cell_of(const struct jt_cluster *cluster,
-			    uint32_t service_id);
+unsigned jt_cluster_service_cell(const struct jt_cluster *cluster,
+				 uint32_t service_id);
 /* Returns a pseudo-random number less than @below, 0 if @below is 0. */
 uint32_t jt_cluster_random(struct jt_cluster *cluster, uint32_t below);
 
--- a/src/cluster/jt_cluster_platform.c
+++ b/src/cluster/jt_cluster_platform.c
@@ -57,7 +57,7 @@
 	if (call->node->incarnation == incarnation &&
 	    node_running(call->node)) {
 		event.u.witness = &call->reply;
-		node_tell(call->node, &event);
+		node_handle_event(call->node, &event);
 	}
 	talloc_free(call);
 }
@@ -72,7 +72,7 @@
 	if (cluster->store_down || request->proposal == NULL)
 		return;
 	node->store_operations += 2;
-	node_spend(node, PLATFORM, 2 * STORE_OVERHEAD);
+	node_add_control_bytes(node, PLATFORM, 2 * STORE_OVERHEAD);
 	call = talloc_zero(cluster, struct witness_call);
 	call->node = node;
 	call->reply.request = *request;
@@ -97,7 +97,7 @@
 	if (cluster_now_us(cluster) < node->candidates_us)
 		return;
 	node->candidates_us = cluster_now_us(cluster) + CANDIDATES_INTERVAL_US;
-	node_spend(node, PLATFORM, HTTP_OVERHEAD);
+	node_add_control_bytes(node, PLATFORM, HTTP_OVERHEAD);
 	for (size_t i = 0; i < cluster->node_count; i++) {
 		const struct node *other = cluster->nodes[i];
 
@@ -109,7 +109,7 @@
 	}
 	event.u.candidates.addresses = cluster->listed;
 	event.u.candidates.count = count;
-	node_tell(node, &event);
+	node_handle_event(node, &event);
 }
 
 static bool is_reader(const struct node *node)
@@ -126,9 +126,10 @@
 	if (node->incarnation != incarnation || !node_running(node) ||
 	    cluster->store_down || cluster->stored == NULL)
 		return;
-	node_spend(node, PLATFORM, platform_document_bytes(cluster->stored));
+	node_add_control_bytes(node, PLATFORM,
+			       platform_document_bytes(cluster->stored));
 	event.u.config = cluster->stored;
-	node_tell(node, &event);
+	node_handle_event(node, &event);
 }
 
 /* Simulates a watch: the store responds when it has a newer revision. */
@@ -146,7 +147,7 @@
 	if (known == NULL && !take_store_token(cluster))
 		return;
 	node->store_operations += known == NULL;
-	node_spend(node, PLATFORM, STORE_OVERHEAD);
+	node_add_control_bytes(node, PLATFORM, STORE_OVERHEAD);
 	jt_scheduler_after(cluster->scheduler, cluster->options.store_answer_us,
 			   on_store_read, node, node->incarnation);
 }
@@ -160,7 +161,7 @@
 		return;
 	node->founder_us = now + FOUNDER_RENEWAL_US;
 	node->store_operations += 2;
-	node_spend(node, PLATFORM, 2 * STORE_OVERHEAD);
+	node_add_control_bytes(node, PLATFORM, 2 * STORE_OVERHEAD);
 	cell->renewed_us = now;
 }
 
@@ -175,9 +176,10 @@
 
 	if (cell->id == 0)
 		return true;
-	if (node->observed_us == 0 || node->mark_us != cell->renewed_us) {
+	if (node->observed_us == 0 ||
+	    node->founder_renewed_us != cell->renewed_us) {
 		node->observed_us = now;
-		node->mark_us = cell->renewed_us;
+		node->founder_renewed_us = cell->renewed_us;
 	}
 	return now >= node->observed_us + FOUNDER_TIMEOUT_US;
 }
@@ -204,13 +206,13 @@
 	if (!take_store_token(cluster))
 		return;
 	node->store_operations++;
-	node_spend(node, PLATFORM, STORE_OVERHEAD);
+	node_add_control_bytes(node, PLATFORM, STORE_OVERHEAD);
 	if (!founder_record_expired(node, cell))
 		return;
 	cell->id = cluster_random64(cluster) | 1;
 	cell->renewed_us = now;
 	event.u.cell = cell->id;
-	node_tell(node, &event);
+	node_handle_event(node, &event);
 }
 
 static void probe_endpoints(struct node *node)
@@ -239,11 +241,11 @@
 				       node->core,
 				       cluster->options.probe_interval_us /
 					       1000);
-		node_spend(node, PLATFORM, HTTP_OVERHEAD);
+		node_add_control_bytes(node, PLATFORM, HTTP_OVERHEAD);
 		event.u.health.endpoint_id = id;
 		if (cluster->options.read_health(cluster->options.private_data,
 						 id, &event.u.health))
-			node_tell(node, &event);
+			node_handle_event(node, &event);
 		state = jt_core_state(node->core);
 		count = state ? state->endpoint_count : 0;
 	}
@@ -259,27 +261,30 @@
 
 /* Configuration writes and fault injection */
 
-void jt_cluster_store_down(struct jt_cluster *cluster, bool down)
+void jt_cluster_set_store_down(struct jt_cluster *cluster, bool down)
 {
 	cluster->store_down = down;
 }
 
-void jt_cluster_store_slow(struct jt_cluster *cluster, uint32_t answer_us)
+void jt_cluster_set_store_latency(struct jt_cluster *cluster,
+				  uint32_t answer_us)
 {
 	cluster->options.store_answer_us = answer_us;
 }
 
-void jt_cluster_store_lose_answers(struct jt_cluster *cluster, uint32_t count)
+void jt_cluster_drop_store_responses(struct jt_cluster *cluster, uint32_t count)
 {
-	cluster->lose_answers = count;
+	cluster->responses_to_drop = count;
 }
 
-void jt_cluster_machine_list_lag(struct jt_cluster *cluster, uint32_t lag_us)
+void jt_cluster_set_machine_list_lag(struct jt_cluster *cluster,
+				     uint32_t lag_us)
 {
 	cluster->options.machine_list_lag_us = lag_us;
 }
 
-uint64_t jt_cluster_stored(const struct jt_cluster *cluster, uint64_t *when_us)
+uint64_t jt_cluster_stored_revision(const struct jt_cluster *cluster,
+				    uint64_t *when_us)
 {
 	*when_us = cluster->stored_us;
 	return cluster->stored ? cluster->stored->revision : 0;
@@ -318,7 +323,7 @@
 		return;
 	}
 	event.u.config = write->config;
-	node_tell(node, &event);
+	node_handle_event(node, &event);
 	/* Accepted means committed by the cell, not only stored. */
 	state = jt_core_state(node->core);
 	if (state != NULL &&
@@ -350,9 +355,9 @@
 		return;
 	}
 	cluster->nodes[write->writer]->store_operations += 2;
-	node_spend(cluster->nodes[write->writer], PLATFORM,
-		   2 * STORE_OVERHEAD +
-			   2 * platform_document_bytes(write->config));
+	node_add_control_bytes(cluster->nodes[write->writer], PLATFORM,
+			       2 * STORE_OVERHEAD + 2 * platform_document_bytes(
+								write->config));
 	if (!write->took_effect) {
 		write->took_effect = true;
 		/* A newer revision that was stored first includes this one,
@@ -362,8 +367,8 @@
 			cluster->stored = write->config;
 			cluster->stored_us = cluster_now_us(cluster);
 		}
-		response_lost = cluster->lose_answers > 0;
-		cluster->lose_answers -= response_lost;
+		response_lost = cluster->responses_to_drop > 0;
+		cluster->responses_to_drop -= response_lost;
 	}
 	if (response_lost)
 		jt_scheduler_after(cluster->scheduler, WRITE_RETRY_US,
--- a/src/cluster/jt_cluster_private.h
+++ b/src/cluster/jt_cluster_private.h
@@ -56,7 +56,8 @@
 	uint64_t founder_us;	/* next access to the founder record */
 	/* Since when the founder record has been unchanged; 0: unknown. */
 	uint64_t observed_us;
-	uint64_t mark_us; /* renewal time of the record observed then */
+	uint64_t founder_renewed_us; /* renewal time of the record observed then
+				      */
 	uint64_t bytes_by_kind[JT_CLUSTER_KINDS];
 	uint64_t store_operations;
 	uint64_t *probe_due_us; /* by endpoint index in the cell state */
@@ -96,20 +97,20 @@
 	uint64_t random_state;
 	/* Handles an event for a node; called through node_tell(). */
 	void (*handle_event)(struct node *node, struct jt_event *event);
-	struct node *nodes[JT_CLUSTER_NODES];
+	struct node *nodes[JT_CLUSTER_MAX_NODES];
 	size_t node_count;
-	bool cut[JT_CLUSTER_ZONES][JT_CLUSTER_ZONES];
+	bool partitioned[JT_CLUSTER_MAX_ZONES][JT_CLUSTER_MAX_ZONES];
 	struct jt_keys keys;
 	struct jt_actions *actions;
 	bool in_event;
 	/* The simulated store. */
 	bool store_down;
-	uint32_t lose_answers; /* responses still to be dropped */
+	uint32_t responses_to_drop; /* responses still to be dropped */
 	const struct jt_config *stored;
 	uint64_t stored_us;
 	double store_tokens;
 	uint64_t store_refilled_us;
-	struct cell cells[JT_CLUSTER_NODES];
+	struct cell cells[JT_CLUSTER_MAX_NODES];
 	struct jt_address *listed; /* buffer for a node's machine list */
 	uint8_t *frame;		   /* buffer for an encoded message */
 };
@@ -131,7 +132,8 @@
 }
 
 /* Adds to the control traffic of a message kind. */
-static inline void node_spend(struct node *node, int kind, uint64_t bytes)
+static inline void node_add_control_bytes(struct node *node, int kind,
+					  uint64_t bytes)
 {
 	node->bytes_by_kind[kind] += bytes;
 }
@@ -140,7 +142,7 @@
 uint64_t cluster_random64(struct jt_cluster *cluster);
 
 /* Delivers an event from the platform to a node. */
-static inline void node_tell(struct node *node, struct jt_event *event)
+static inline void node_handle_event(struct node *node, struct jt_event *event)
 {
 	node->cluster->handle_event(node, event);
 }
--- a/src/core/jt_agree.c
+++ b/src/core/jt_agree.c
@@ -45,12 +45,12 @@
 	copy->endpoints.endpoints_val = talloc_memdup(
 		copy, from->endpoints.endpoints_val,
 		sizeof(jt_wire_endpoint) * from->endpoints.endpoints_len);
-	copy->clean.clean_val =
-		talloc_memdup(copy, from->clean.clean_val,
-			      sizeof(jt_wire_bucket) * from->clean.clean_len);
+	copy->clean_buckets.clean_buckets_val = talloc_memdup(
+		copy, from->clean_buckets.clean_buckets_val,
+		sizeof(jt_wire_bucket) * from->clean_buckets.clean_buckets_len);
 	if (copy->members.members_val == NULL ||
 	    copy->endpoints.endpoints_val == NULL ||
-	    copy->clean.clean_val == NULL) {
+	    copy->clean_buckets.clean_buckets_val == NULL) {
 		talloc_free(copy);
 		return NULL;
 	}
--- a/src/core/jt_cell.c
+++ b/src/core/jt_cell.c
@@ -291,8 +291,9 @@
 static bool proposal_cleans(const jt_wire_proposal *proposal,
 			    uint32_t service_id, size_t bucket)
 {
-	for (u_int i = 0; i < proposal->clean.clean_len; i++) {
-		const jt_wire_bucket *entry = &proposal->clean.clean_val[i];
+	for (u_int i = 0; i < proposal->clean_buckets.clean_buckets_len; i++) {
+		const jt_wire_bucket *entry =
+			&proposal->clean_buckets.clean_buckets_val[i];
 
 		if (entry->service_id == service_id && entry->bucket == bucket)
 			return true;
--- a/src/core/jt_coordinate.c
+++ b/src/core/jt_coordinate.c
@@ -290,12 +290,12 @@
 		talloc_zero_array(proposal, jt_wire_member, JT_MAX_MEMBERS);
 	proposal->endpoints.endpoints_val =
 		talloc_zero_array(proposal, jt_wire_endpoint, endpoints + 1);
-	proposal->clean.clean_val = talloc_zero_array(
+	proposal->clean_buckets.clean_buckets_val = talloc_zero_array(
 		proposal, jt_wire_bucket,
 		core->clean_received_count + core->clean_count + 1);
 	if (proposal->members.members_val == NULL ||
 	    proposal->endpoints.endpoints_val == NULL ||
-	    proposal->clean.clean_val == NULL) {
+	    proposal->clean_buckets.clean_buckets_val == NULL) {
 		talloc_free(proposal);
 		return NULL;
 	}
@@ -327,12 +327,14 @@
 	u_int count = 0;
 
 	for (size_t i = 0; i < core->clean_count; i++)
-		proposal->clean.clean_val[count++] = core->clean[i];
+		proposal->clean_buckets.clean_buckets_val[count++] =
+			core->clean[i];
 	for (size_t i = 0; i < core->clean_received_count; i++)
-		proposal->clean.clean_val[count++] = core->clean_received[i];
+		proposal->clean_buckets.clean_buckets_val[count++] =
+			core->clean_received[i];
 	if (count > JT_MAX_BUCKETS)
 		count = JT_MAX_BUCKETS;
-	proposal->clean.clean_len = count;
+	proposal->clean_buckets.clean_buckets_len = count;
 }
 
 static bool same_members(const struct jt_cell_state *state,
@@ -398,7 +400,7 @@
 	if (proposal->config_revision != state->config->revision ||
 	    !same_endpoints(state, proposal))
 		return true;
-	return proposal->clean.clean_len > 0 &&
+	return proposal->clean_buckets.clean_buckets_len > 0 &&
 	       core->now_ms >= core->committed_ms + CLEAN_INTERVAL_MS;
 }
 
--- a/src/core/jt_core.c
+++ b/src/core/jt_core.c
@@ -117,7 +117,7 @@
 {
 	const struct jt_member *through = jt_relay_member(core, to->id);
 	jt_wire_message *message;
-	jt_wire_detour *detour;
+	jt_wire_relayed *relayed;
 
 	if (through == NULL)
 		return jt_core_send(core, actions, to, kind);
@@ -127,10 +127,10 @@
 	message->from = core->options.node_id;
 	message->to = (u_int)to->id;
 	message->body.kind = kind;
-	detour = &jt_core_send(core, actions, through, JT_WIRE_DETOUR)
-			  ->jt_wire_body_u.detour;
-	detour->to = to->id;
-	detour->message = message;
+	relayed = &jt_core_send(core, actions, through, JT_WIRE_RELAYED)
+			   ->jt_wire_body_u.relayed;
+	relayed->to = to->id;
+	relayed->message = message;
 	return &message->body;
 }
 
@@ -263,26 +263,27 @@
 
 /* Relays a message to a member that its sender can't reach, one hop only. */
 static void core_relay_message(struct jt_core *core,
-			       const jt_wire_detour *detour,
+			       const jt_wire_relayed *relayed,
 			       struct jt_actions *actions)
 {
-	const struct jt_peer *peer = jt_peer_find(core, detour->to);
+	const struct jt_peer *peer = jt_peer_find(core, relayed->to);
 	jt_wire_body *body;
 
-	if (detour->message == NULL ||
-	    detour->message->body.kind == JT_WIRE_DETOUR)
+	if (relayed->message == NULL ||
+	    relayed->message->body.kind == JT_WIRE_RELAYED)
 		return;
-	if (detour->to == core->options.node_id) {
-		core_message(core, detour->message, actions);
+	if (relayed->to == core->options.node_id) {
+		core_message(core, relayed->message, actions);
 		return;
 	}
-	if (peer == NULL || (detour->message->body.kind != JT_WIRE_RECORDS &&
-			     detour->message->body.kind != JT_WIRE_RECORDS_ACK))
+	if (peer == NULL ||
+	    (relayed->message->body.kind != JT_WIRE_RECORDS &&
+	     relayed->message->body.kind != JT_WIRE_RECORDS_ACK))
 		return;
-	body = jt_core_send(core, actions, &peer->member, JT_WIRE_DETOUR);
-	body->jt_wire_body_u.detour.to = detour->to;
-	body->jt_wire_body_u.detour.message =
-		message_copy(actions->messages, detour->message);
+	body = jt_core_send(core, actions, &peer->member, JT_WIRE_RELAYED);
+	body->jt_wire_body_u.relayed.to = relayed->to;
+	body->jt_wire_body_u.relayed.message =
+		message_copy(actions->messages, relayed->message);
 }
 
 static void core_message(struct jt_core *core, const jt_wire_message *message,
@@ -328,8 +329,9 @@
 	case JT_WIRE_STATE:
 		jt_agree_message(core, message->from, body, actions);
 		break;
-	case JT_WIRE_DETOUR:
-		core_relay_message(core, &body->jt_wire_body_u.detour, actions);
+	case JT_WIRE_RELAYED:
+		core_relay_message(core, &body->jt_wire_body_u.relayed,
+				   actions);
 		break;
 	case JT_WIRE_RELAY:
 	case JT_WIRE_CONFIG_REQUEST:
--- a/src/core/jt_counts.c
+++ b/src/core/jt_counts.c
@@ -406,19 +406,22 @@
 		    jt_peer_is_suspect(core, peer->member.id))
 			continue;
 		coordinator = peer;
-		counts->clean.clean_val = talloc_memdup(
+		counts->clean_buckets.clean_buckets_val = talloc_memdup(
 			actions->messages, core->clean,
 			sizeof(jt_wire_bucket) * core->clean_count);
-		counts->clean.clean_len =
-			counts->clean.clean_val ? (u_int)core->clean_count : 0;
+		counts->clean_buckets.clean_buckets_len =
+			counts->clean_buckets.clean_buckets_val
+				? (u_int)core->clean_count
+				: 0;
 	}
 	clear_own_reports(core);
 }
 
 static void collect_clean(struct jt_core *core, const jt_wire_counts *counts)
 {
-	for (u_int i = 0; i < counts->clean.clean_len; i++) {
-		const jt_wire_bucket *entry = &counts->clean.clean_val[i];
+	for (u_int i = 0; i < counts->clean_buckets.clean_buckets_len; i++) {
+		const jt_wire_bucket *entry =
+			&counts->clean_buckets.clean_buckets_val[i];
 		bool known = false;
 
 		for (size_t k = 0; k < core->clean_received_count; k++) {
--- a/src/core/jt_members.c
+++ b/src/core/jt_members.c
@@ -160,8 +160,9 @@
 	heartbeat->transferred =
 		core->transferred_epoch >= jt_accepted_epoch(core);
 	heartbeat->config_revision = core->newest ? core->newest->revision : 0;
-	heartbeat->everywhere_behind = (u_int)(heartbeat->config_revision -
-					       core->revision_active_on_all);
+	heartbeat->revision_behind_active =
+		(u_int)(heartbeat->config_revision -
+			core->revision_active_on_all);
 	heartbeat->sent_ms = (u_int)core->now_ms;
 	heartbeat->echo_ms = peer->echo_ms;
 	heartbeat->leaving = core->leaving;
@@ -267,7 +268,7 @@
 {
 	struct jt_peer *peer = jt_peer_find(core, from);
 	uint64_t active_on_all =
-		heartbeat->config_revision - heartbeat->everywhere_behind;
+		heartbeat->config_revision - heartbeat->revision_behind_active;
 
 	if (core->current == NULL || peer == NULL)
 		return;
@@ -321,7 +322,7 @@
 		return;
 	core->join_due_ms = core->now_ms + JT_JOIN_MS;
 	body = jt_core_send(core, actions, &to, JT_WIRE_JOIN);
-	body->jt_wire_body_u.join.cut_off =
+	body->jt_wire_body_u.join.lease_lost =
 		core->current != NULL &&
 		jt_core_own_index(core, core->current) != JT_NO_MEMBER;
 	member = &body->jt_wire_body_u.join.member;
@@ -377,7 +378,7 @@
 	if (core->current == NULL ||
 	    jt_core_own_index(core, core->current) == JT_NO_MEMBER)
 		return;
-	if (jt_peer_get(core, &member) == NULL || join->cut_off ||
+	if (jt_peer_get(core, &member) == NULL || join->lease_lost ||
 	    jt_cell_member(core->current, member.id) != JT_NO_MEMBER)
 		return;
 	if (jt_members_coordinator(core)) {
--- a/src/daemon/jt_api.c
+++ b/src/daemon/jt_api.c
@@ -121,7 +121,7 @@
 	switch (result) {
 	case JT_CHANGE_CONFLICT:
 		return 409;
-	case JT_CHANGE_ABSENT:
+	case JT_CHANGE_NOT_FOUND:
 		return 404;
 	case JT_CHANGE_FORBIDDEN:
 		return 403;
@@ -167,7 +167,7 @@
 
 	for (size_t i = 0; i < count; i++) {
 		if (token->role == JT_ROLE_OPERATE)
-			changes[i].only_group =
+			changes[i].required_group =
 				talloc_strdup(changes, token->group);
 		if (!jt_api_change_allowed(token, &changes[i])) {
 			jt_api_reply_error(
--- a/src/daemon/jt_config_sync.c
+++ b/src/daemon/jt_config_sync.c
@@ -273,7 +273,7 @@
 {
 	static const enum jt_write_outcome outcomes[] = {
 		[JT_CHANGE_CONFLICT] = JT_WRITE_CONFLICT,
-		[JT_CHANGE_ABSENT] = JT_WRITE_ABSENT,
+		[JT_CHANGE_NOT_FOUND] = JT_WRITE_ABSENT,
 		[JT_CHANGE_INVALID] = JT_WRITE_INVALID,
 		[JT_CHANGE_FORBIDDEN] = JT_WRITE_FORBIDDEN,
 	};
@@ -309,7 +309,7 @@
 		write_retry_schedule(write);
 		return;
 	}
-	if (jt_change_written(document, write->id)) {
+	if (jt_change_has_write_id(document, write->id)) {
 		jt_node_add_document(write->sync->node, revision, value->value);
 		write_stored(write, revision);
 	} else if (write->changes == NULL) {
--- a/src/director/jt_director_node_packets.c
+++ b/src/director/jt_director_node_packets.c
@@ -192,7 +192,7 @@
 		jt_director_log_endpoint(node->log, action, "endpoint_dead");
 		if (!action->peers_know)
 			jt_peer_exchange_suspicion_send(
-				node->peers, JT_WIRE_FOUND_DEAD,
+				node->peers, JT_WIRE_DECLARED_DEAD,
 				action->endpoint_id, action->start_time_ms);
 		break;
 	case JT_DIRECTOR_OVERDUE_REPORT:
--- a/src/director/jt_director_node_sync.c
+++ b/src/director/jt_director_node_sync.c
@@ -246,7 +246,7 @@
 static bool
 on_snapshot_query(TALLOC_CTX *mem_ctx,
 		  const struct jt_snapshot_request *snapshot_request,
-		  jt_wire_knowledge *snapshot, void *private_data)
+		  jt_wire_snapshot *snapshot, void *private_data)
 {
 	const struct jt_director_node *node = private_data;
 
@@ -280,7 +280,7 @@
 
 /* Applies whole slices, in which missing endpoints do not exist. */
 static void slices_apply(struct jt_director_node *node,
-			 const jt_wire_knowledge *snapshot)
+			 const jt_wire_snapshot *snapshot)
 {
 	TALLOC_CTX *frame = talloc_new(node);
 	struct jt_director_event event;
@@ -292,7 +292,7 @@
 
 /* Applies a part of a peer's state snapshot: routing, endpoints and all zone
  * drains. */
-static void on_snapshot_part(const jt_wire_knowledge *snapshot,
+static void on_snapshot_part(const jt_wire_snapshot *snapshot,
 			     void *private_data)
 {
 	struct jt_director_node *node = private_data;
@@ -341,7 +341,7 @@
 	jt_directory_sync_snapshot_received(node->sync, snapshot->revision);
 }
 
-static void on_updates(const jt_wire_news *update, void *private_data)
+static void on_updates(const jt_wire_update *update, void *private_data)
 {
 	struct jt_director_node *node = private_data;
 	struct jt_director_event event = {.kind = JT_DIRECTOR_GOSSIP_UPDATES};
--- a/src/director/jt_peer_exchange.c
+++ b/src/director/jt_peer_exchange.c
@@ -129,18 +129,19 @@
 {
 	jt_wire_director_message message = {
 		.from = exchange->membership->id,
-		.body.kind = JT_WIRE_STANDING,
+		.body.kind = JT_WIRE_AVAILABILITY,
 	};
 	struct jt_own_state own = {0};
 
 	exchange->handler.own_state(&own, exchange->handler.private_data);
-	message.body.jt_wire_director_body_u.standing = (jt_wire_standing){
-		.zone = exchange->membership->zone_id,
-		.started = own.started,
-		.leaving = own.leaving,
-		.ready = own.ready,
-		.weight = own.reader_capacity,
-	};
+	message.body.jt_wire_director_body_u.availability =
+		(jt_wire_availability){
+			.zone = exchange->membership->zone_id,
+			.started = own.started,
+			.leaving = own.leaving,
+			.ready = own.ready,
+			.weight = own.reader_capacity,
+		};
 	jt_peer_sender_send_all(&exchange->sender, &message, only_zone);
 }
 
@@ -159,8 +160,8 @@
 
 /* Adds the zone drains that changed since the last update. Returns false if
  * there are too many. */
-static bool update_add_zones(const jt_wire_knowledge *snapshot,
-			     jt_wire_news *update)
+static bool update_add_zones(const jt_wire_snapshot *snapshot,
+			     jt_wire_update *update)
 {
 	jt_wire_zone_drain *zones = snapshot->zones.zones_val;
 	u_int count = 0;
@@ -168,7 +169,7 @@
 	for (u_int i = 0; i < snapshot->zones.zones_len; i++) {
 		if (zones[i].revision <= snapshot->since)
 			continue;
-		if (count == JT_DIRECTOR_MAX_NEWS_ZONES)
+		if (count == JT_DIRECTOR_MAX_UPDATE_ZONES)
 			return false;
 		zones[count++] = zones[i];
 	}
@@ -180,9 +181,9 @@
 static void update_add_entries(struct jt_peer_exchange *exchange,
 			       TALLOC_CTX *frame,
 			       const struct jt_own_state *own,
-			       jt_wire_news *update)
+			       jt_wire_update *update)
 {
-	jt_wire_knowledge snapshot = {0};
+	jt_wire_snapshot snapshot = {0};
 	const struct jt_snapshot_request snapshot_request = {
 		.since = exchange->sent_revision,
 		.version = own->routing_version,
@@ -195,7 +196,7 @@
 					exchange->handler.private_data) ||
 	    !jt_snapshot_is_complete(&snapshot) ||
 	    snapshot.since != exchange->sent_revision ||
-	    snapshot.entries.entries_len > JT_DIRECTOR_MAX_NEWS ||
+	    snapshot.entries.entries_len > JT_DIRECTOR_MAX_UPDATE_ENTRIES ||
 	    !update_add_zones(&snapshot, update))
 		return;
 	update->since = snapshot.since;
@@ -213,9 +214,9 @@
 		jt_membership_update_targets(exchange->membership, targets);
 	jt_wire_director_message message = {
 		.from = exchange->membership->id,
-		.body.kind = JT_WIRE_NEWS,
+		.body.kind = JT_WIRE_UPDATE,
 	};
-	jt_wire_news *update = &message.body.jt_wire_director_body_u.news;
+	jt_wire_update *update = &message.body.jt_wire_director_body_u.update;
 	TALLOC_CTX *frame = talloc_new(exchange);
 	struct jt_own_state own = {0};
 
@@ -304,7 +305,7 @@
 	exchange->handler.own_state(&own, exchange->handler.private_data);
 	/* The sender looks for a peer to synchronise from. */
 	if (!digest->started &&
-	    (own.started || (own.accepts_flows && !digest->places) ||
+	    (own.started || (own.accepts_flows && !digest->accepts_flows) ||
 	     jt_membership_knows_source(exchange->membership)))
 		source_digest_send(exchange, from, digest->zone, &own, now_ms);
 	if (digest->revision <= own.revision &&
@@ -336,23 +337,23 @@
 			     struct jt_address from,
 			     const jt_wire_director_message *message)
 {
-	const jt_wire_news *update;
+	const jt_wire_update *update;
 
 	switch (message->body.kind) {
 	case JT_WIRE_DIGEST:
 		digest_receive(exchange, message->from, from,
 			       &message->body.jt_wire_director_body_u.digest);
 		break;
-	case JT_WIRE_NEWS:
-		update = &message->body.jt_wire_director_body_u.news;
+	case JT_WIRE_UPDATE:
+		update = &message->body.jt_wire_director_body_u.update;
 		exchange->handler.updates(update,
 					  exchange->handler.private_data);
 		digest_receive(exchange, message->from, from, &update->digest);
 		break;
-	case JT_WIRE_STANDING:
+	case JT_WIRE_AVAILABILITY:
 		if (jt_membership_record_availability(
 			    exchange->membership, message->from, from,
-			    &message->body.jt_wire_director_body_u.standing,
+			    &message->body.jt_wire_director_body_u.availability,
 			    jt_clock_ms()))
 			peer_discovered_log(exchange, from);
 		break;
@@ -370,15 +371,16 @@
 			&message->body.jt_wire_director_body_u.suspicion,
 			exchange->handler.private_data);
 		break;
-	case JT_WIRE_FLOW_QUESTION:
+	case JT_WIRE_FLOW_LOOKUP:
 		jt_peer_flows_reply(
 			&exchange->sender, &exchange->handler.flows, from,
-			&message->body.jt_wire_director_body_u.flow_question);
+			&message->body.jt_wire_director_body_u.flow_lookup);
 		break;
-	case JT_WIRE_FLOW_ANSWER:
+	case JT_WIRE_FLOW_LOOKUP_RESPONSE:
 		jt_peer_flows_response_handle(
 			&exchange->handler.flows,
-			&message->body.jt_wire_director_body_u.flow_answer);
+			&message->body.jt_wire_director_body_u
+				 .flow_lookup_response);
 		break;
 	default:
 		break;
@@ -618,13 +620,13 @@
 	static const char *const names[] = {
 		[JT_WIRE_DIGEST] = "digest",
 		[JT_WIRE_SUSPICION] = "suspicion",
-		[JT_WIRE_KNOWLEDGE] = "knowledge",
+		[JT_WIRE_SNAPSHOT] = "knowledge",
 		[JT_WIRE_LOADS] = "loads",
-		[JT_WIRE_NEWS] = "news",
-		[JT_WIRE_STANDING] = "standing",
+		[JT_WIRE_UPDATE] = "news",
+		[JT_WIRE_AVAILABILITY] = "standing",
 		[JT_WIRE_FAILURES] = "failures",
-		[JT_WIRE_FLOW_QUESTION] = "flow_question",
-		[JT_WIRE_FLOW_ANSWER] = "flow_answer",
+		[JT_WIRE_FLOW_LOOKUP] = "flow_question",
+		[JT_WIRE_FLOW_LOOKUP_RESPONSE] = "flow_answer",
 	};
 
 	return names[kind];
--- a/src/director/jt_peer_exchange.h
+++ b/src/director/jt_peer_exchange.h
@@ -22,15 +22,15 @@
 	 * of @mem_ctx. Returns false if memory runs out. */
 	bool (*snapshot)(TALLOC_CTX *mem_ctx,
 			 const struct jt_snapshot_request *snapshot_request,
-			 jt_wire_knowledge *snapshot, void *private_data);
+			 jt_wire_snapshot *snapshot, void *private_data);
 	/* A part of a state snapshot was received. */
-	void (*snapshot_part)(const jt_wire_knowledge *snapshot,
+	void (*snapshot_part)(const jt_wire_snapshot *snapshot,
 			      void *private_data);
 	/* The snapshot is complete; @whole summarises its parts. */
 	void (*snapshot_complete)(const struct jt_snapshot_fetch *whole,
 				  void *private_data);
 	/* Gossip updates were received. */
-	void (*updates)(const jt_wire_news *update, void *private_data);
+	void (*updates)(const jt_wire_update *update, void *private_data);
 	/* A peer with no newer state than this node has all that the store
 	 * held at @as_of_ms, when @reader read it. */
 	void (*store_age)(uint64_t as_of_ms, uint64_t reader,
--- a/src/director/jt_peer_flows.c
+++ b/src/director/jt_peer_flows.c
@@ -32,10 +32,10 @@
 	size_t count = jt_membership_flow_lookup_targets(membership, targets);
 	jt_wire_director_message message = {
 		.from = membership->id,
-		.body.kind = JT_WIRE_FLOW_QUESTION,
+		.body.kind = JT_WIRE_FLOW_LOOKUP,
 	};
 
-	message.body.jt_wire_director_body_u.flow_question.flow =
+	message.body.jt_wire_director_body_u.flow_lookup.flow =
 		flow_wire(key, sequence);
 	for (size_t i = 0; i < count; i++)
 		jt_peer_sender_send(sender, targets[i], &message);
@@ -45,27 +45,27 @@
 void jt_peer_flows_reply(struct jt_peer_sender *sender,
 			 const struct jt_peer_flow_handler *handler,
 			 struct jt_address to,
-			 const jt_wire_flow_question *question)
+			 const jt_wire_flow_lookup *lookup)
 {
-	struct jt_flow_key key = flow_key(&question->flow);
+	struct jt_flow_key key = flow_key(&lookup->flow);
 	jt_wire_director_message message = {
 		.from = sender->membership->id,
-		.body.kind = JT_WIRE_FLOW_ANSWER,
+		.body.kind = JT_WIRE_FLOW_LOOKUP_RESPONSE,
 	};
-	jt_wire_flow_answer *answer =
-		&message.body.jt_wire_director_body_u.flow_answer;
+	jt_wire_flow_lookup_response *response =
+		&message.body.jt_wire_director_body_u.flow_lookup_response;
 
-	answer->flow = question->flow;
-	answer->label = handler->label(&key, question->flow.sequence,
-				       handler->private_data);
+	response->flow = lookup->flow;
+	response->label = handler->label(&key, lookup->flow.sequence,
+					 handler->private_data);
 	jt_peer_sender_send(sender, to, &message);
 }
 
 void jt_peer_flows_response_handle(const struct jt_peer_flow_handler *handler,
-				   const jt_wire_flow_answer *answer)
+				   const jt_wire_flow_lookup_response *response)
 {
-	struct jt_flow_key key = flow_key(&answer->flow);
+	struct jt_flow_key key = flow_key(&response->flow);
 
-	handler->answered(&key, answer->flow.sequence, answer->label,
+	handler->answered(&key, response->flow.sequence, response->label,
 			  handler->private_data);
 }
--- a/src/director/jt_peer_flows.h
+++ b/src/director/jt_peer_flows.h
@@ -29,9 +29,10 @@
 void jt_peer_flows_reply(struct jt_peer_sender *sender,
 			 const struct jt_peer_flow_handler *handler,
 			 struct jt_address to,
-			 const jt_wire_flow_question *question);
+			 const jt_wire_flow_lookup *lookup);
 /* Passes a peer's answer to the handler. */
-void jt_peer_flows_response_handle(const struct jt_peer_flow_handler *handler,
-				   const jt_wire_flow_answer *answer);
+void jt_peer_flows_response_handle(
+	const struct jt_peer_flow_handler *handler,
+	const jt_wire_flow_lookup_response *response);
 
 #endif
--- a/src/director/jt_peer_frames.h
+++ b/src/director/jt_peer_frames.h
@@ -14,7 +14,7 @@
 };
 
 /* Number of message kinds: enum jt_wire_director_kind starts at 1. */
-enum { JT_MESSAGE_KINDS = JT_WIRE_FLOW_ANSWER + 1 };
+enum { JT_MESSAGE_KINDS = JT_WIRE_FLOW_LOOKUP_RESPONSE + 1 };
 
 /* Counters of messages and snapshots since the start. */
 struct jt_peer_counters {
--- a/src/director/jt_peer_snapshots.c
+++ b/src/director/jt_peer_snapshots.c
@@ -43,7 +43,7 @@
 }
 
 static void part_apply(struct jt_peer_snapshots *snapshots,
-		       const jt_wire_knowledge *snapshot)
+		       const jt_wire_snapshot *snapshot)
 {
 	struct jt_snapshot_fetch *fetched = &snapshots->fetched;
 	void *private_data = snapshots->handler.private_data;
@@ -61,9 +61,9 @@
 	if (!jt_peer_frames_open(snapshots->frames, (const uint8_t *)body,
 				 length, &message))
 		return false;
-	if (message.body.kind == JT_WIRE_KNOWLEDGE)
+	if (message.body.kind == JT_WIRE_SNAPSHOT)
 		part_apply(snapshots,
-			   &message.body.jt_wire_director_body_u.knowledge);
+			   &message.body.jt_wire_director_body_u.snapshot);
 	jt_peer_frames_free(&message);
 	return true;
 }
@@ -163,7 +163,7 @@
 
 /* Sets the age of this node's store data, and the node that read it. */
 static void snapshot_set_age(const struct jt_peer_snapshots *snapshots,
-			     jt_wire_knowledge *snapshot)
+			     jt_wire_snapshot *snapshot)
 {
 	struct jt_own_state own = {0};
 
@@ -178,12 +178,12 @@
 {
 	jt_wire_director_message message = {
 		.from = snapshots->membership->id,
-		.body.kind = JT_WIRE_KNOWLEDGE,
+		.body.kind = JT_WIRE_SNAPSHOT,
 	};
 	xdrproc_t encode = (xdrproc_t)xdr_jt_wire_director_message;
 	TALLOC_CTX *frame = talloc_new(snapshots);
-	jt_wire_knowledge *snapshot =
-		&message.body.jt_wire_director_body_u.knowledge;
+	jt_wire_snapshot *snapshot =
+		&message.body.jt_wire_director_body_u.snapshot;
 	const struct jt_snapshot_request snapshot_request = {
 		.since = query_number(request, "since"),
 		.version = query_number(request, "version"),
--- a/src/director/jt_peer_snapshots.h
+++ b/src/director/jt_peer_snapshots.h
@@ -22,9 +22,9 @@
 	 * of @mem_ctx. Returns false if memory runs out. */
 	bool (*snapshot)(TALLOC_CTX *mem_ctx,
 			 const struct jt_snapshot_request *snapshot_request,
-			 jt_wire_knowledge *snapshot, void *private_data);
+			 jt_wire_snapshot *snapshot, void *private_data);
 	/* A part of a snapshot was received. */
-	void (*snapshot_part)(const jt_wire_knowledge *snapshot,
+	void (*snapshot_part)(const jt_wire_snapshot *snapshot,
 			      void *private_data);
 	/* The snapshot is complete; @whole summarises its parts. */
 	void (*snapshot_complete)(const struct jt_snapshot_fetch *whole,
--- a/src/http/jt_http_client.c
+++ b/src/http/jt_http_client.c
@@ -32,8 +32,8 @@
 	size_t length;
 	size_t total_bytes; /* transferred in both directions */
 	long status;
-	void (*on_part)(const char *, size_t, void *);
-	void *part_data;
+	void (*on_body)(const char *, size_t, void *);
+	void *on_body_data;
 	char *header_name; /* header to return, NULL: none */
 	char *header_value;
 };
@@ -182,8 +182,8 @@
 	size_t length = size * count;
 
 	state->total_bytes += length;
-	if (state->on_part != NULL) {
-		state->on_part(data, length, state->part_data);
+	if (state->on_body != NULL) {
+		state->on_body(data, length, state->on_body_data);
 		return length;
 	}
 	if (state->length + length > BODY_LIMIT)
@@ -281,8 +281,8 @@
 		return NULL;
 	state->req = req;
 	state->client = client;
-	state->on_part = call->on_part;
-	state->part_data = call->part_data;
+	state->on_body = call->on_body;
+	state->on_body_data = call->on_body_data;
 	state->easy = curl_easy_init();
 	if (state->easy == NULL) {
 		tevent_req_error(req, 1);
@@ -312,8 +312,9 @@
 	curl_easy_setopt(state->easy, CURLOPT_WRITEFUNCTION, on_data);
 	curl_easy_setopt(state->easy, CURLOPT_WRITEDATA, state);
 	curl_easy_setopt(state->easy, CURLOPT_PRIVATE, state);
-	if (call->want != NULL) {
-		state->header_name = talloc_strdup(state, call->want);
+	if (call->response_header != NULL) {
+		state->header_name =
+			talloc_strdup(state, call->response_header);
 		curl_easy_setopt(state->easy, CURLOPT_HEADERFUNCTION,
 				 on_header);
 		curl_easy_setopt(state->easy, CURLOPT_HEADERDATA, state);
@@ -351,7 +352,7 @@
 	return 0;
 }
 
-const char *jt_http_wanted(struct tevent_req *req)
+const char *jt_http_response_header(struct tevent_req *req)
 {
 	struct http_state *state = tevent_req_data(req, struct http_state);
 
--- a/src/http/jt_http_client.h
+++ b/src/http/jt_http_client.h
@@ -22,12 +22,12 @@
 	const char *body;	/* NULL: none */
 	const char *token;	/* bearer token, NULL: none */
 	const char *request_id; /* X-Request-Id header, NULL: none */
-	const char *ca;	  /* file of CA certificates, NULL: the system's */
-	long timeout_ms;  /* for the whole request; 0: none */
-	const char *want; /* response header to return, NULL: none */
+	const char *ca;	 /* file of CA certificates, NULL: the system's */
+	long timeout_ms; /* for the whole request; 0: none */
+	const char *response_header; /* response header to return, NULL: none */
 	/* Receives parts of a streamed body; NULL: the body is buffered. */
-	void (*on_part)(const char *data, size_t length, void *private_data);
-	void *part_data;
+	void (*on_body)(const char *data, size_t length, void *private_data);
+	void *on_body_data;
 };
 
 /* Creates a client; returns NULL on failure. */
@@ -46,9 +46,9 @@
  */
 int jt_http_recv(struct tevent_req *req, TALLOC_CTX *mem_ctx, long *status,
 		 char **body, size_t *bytes);
-/* Returns the value of the header named by jt_http_call.want, NULL if the
- * response lacks it; valid until jt_http_recv(). */
-const char *jt_http_wanted(struct tevent_req *req);
+/* Returns the value of the header named by jt_http_call.response_header, NULL
+ * if the response lacks it; valid until jt_http_recv(). */
+const char *jt_http_response_header(struct tevent_req *req);
 /* Like jt_http_recv(), for a binary body of @length bytes. */
 int jt_http_recv_bytes(struct tevent_req *req, TALLOC_CTX *mem_ctx,
 		       long *status, char **body, size_t *length);
--- a/src/http/jt_http_server.c
+++ b/src/http/jt_http_server.c
@@ -294,7 +294,7 @@
 	request_resume(request);
 }
 
-void jt_http_stream(struct jt_http_request *request, const char *part)
+void jt_http_stream_write(struct jt_http_request *request, const char *part)
 {
 	size_t length = strlen(part);
 
--- a/src/http/jt_http_server.h
+++ b/src/http/jt_http_server.h
@@ -59,10 +59,11 @@
 {
 	jt_http_reply_bytes(request, status, type, body, strlen(body));
 }
-/* Starts a streamed response; its parts are sent with jt_http_stream(). */
+/* Starts a streamed response; its parts are sent with jt_http_stream_write().
+ */
 void jt_http_stream_start(struct jt_http_request *request, const char *type);
 /* Queues a part of a streamed response. */
-void jt_http_stream(struct jt_http_request *request, const char *part);
+void jt_http_stream_write(struct jt_http_request *request, const char *part);
 /* Sets a callback for the end of the request, with or without a response. */
 void jt_http_on_close(struct jt_http_request *request,
 		      void (*callback)(void *private_data), void *private_data);
--- a/src/http_plain/jt_event_loop.c
+++ b/src/http_plain/jt_event_loop.c
@@ -187,7 +187,7 @@
 	return events->base;
 }
 
-void jt_event_loop_wake(struct jt_event_loop *events)
+void jt_event_loop_poll_soon(struct jt_event_loop *events)
 {
 	jt_timer_set(events->timer, 0);
 }
--- a/src/http_plain/jt_event_loop.h
+++ b/src/http_plain/jt_event_loop.h
@@ -21,7 +21,7 @@
 struct event_base *jt_event_loop_base(const struct jt_event_loop *events);
 /* Schedules a poll of the base; needed after calls to libevent from outside
  * its callbacks. */
-void jt_event_loop_wake(struct jt_event_loop *events);
+void jt_event_loop_poll_soon(struct jt_event_loop *events);
 /* Must be called when libevent opens a socket, since it may have got the
  * descriptor of a closed one. */
 void jt_event_loop_socket_opened(struct jt_event_loop *events);
--- a/src/http_plain/jt_http_plain_client.c
+++ b/src/http_plain/jt_http_plain_client.c
@@ -129,7 +129,7 @@
 	struct jt_http_client *client = private_data;
 
 	connections_free(&client->closing);
-	jt_event_loop_wake(client->events);
+	jt_event_loop_poll_soon(client->events);
 }
 
 /* Frees the connection from a timer, since libevent may be using it. */
@@ -355,7 +355,7 @@
 				request_target(call->url)) != 0)
 		state->request = NULL;
 	state->starting = false;
-	jt_event_loop_wake(state->client->events);
+	jt_event_loop_poll_soon(state->client->events);
 	return state->request != NULL;
 }
 
@@ -372,10 +372,11 @@
 	state->req = req;
 	state->client = client;
 	tevent_req_set_cleanup_fn(req, state_cleanup);
-	if (call->want != NULL)
-		state->header_name = talloc_strdup(state, call->want);
+	if (call->response_header != NULL)
+		state->header_name =
+			talloc_strdup(state, call->response_header);
 	state->timer = jt_timer_create(state, client->loop, on_timeout, state);
-	if (call->ca != NULL || call->on_part != NULL || state->timer == NULL ||
+	if (call->ca != NULL || call->on_body != NULL || state->timer == NULL ||
 	    !start_request(state, call)) {
 		tevent_req_error(req, EIO);
 		return tevent_req_post(req, client->loop);
@@ -403,7 +404,7 @@
 	return failed ? -1 : 0;
 }
 
-const char *jt_http_wanted(struct tevent_req *req)
+const char *jt_http_response_header(struct tevent_req *req)
 {
 	struct http_state *state = tevent_req_data(req, struct http_state);
 
--- a/src/http_plain/jt_http_plain_server.c
+++ b/src/http_plain/jt_http_plain_server.c
@@ -167,7 +167,7 @@
 	evhttp_set_gencb(server->http, on_request, server);
 	if (!listen_at(server, opts->address))
 		goto fail;
-	jt_event_loop_wake(server->events);
+	jt_event_loop_poll_soon(server->events);
 	return server;
 fail:
 	talloc_free(server);
@@ -235,7 +235,7 @@
 	evbuffer_add(output, body, length);
 	evhttp_send_reply(http_request, (int)status, NULL, NULL);
 	talloc_free(request);
-	jt_event_loop_wake(events);
+	jt_event_loop_poll_soon(events);
 }
 
 void jt_http_on_close(struct jt_http_request *request,
--- a/src/lab/baseline.c
+++ b/src/lab/baseline.c
@@ -39,7 +39,7 @@
 };
 
 struct baseline {
-	struct baseline_node nodes[JT_CLUSTER_NODES];
+	struct baseline_node nodes[JT_CLUSTER_MAX_NODES];
 	bool *usable; /* by endpoint: up according to its health page */
 	size_t usable_count;
 };
@@ -64,7 +64,7 @@
 				      (health.flags & JT_REPORT_OK) &&
 				      !e->draining;
 	}
-	for (size_t n = 0; n < JT_CLUSTER_NODES; n++) {
+	for (size_t n = 0; n < JT_CLUSTER_MAX_NODES; n++) {
 		if (baseline->nodes[n].running && !baseline->nodes[n].paused)
 			baseline->nodes[n].bytes +=
 				PROBE_BYTES * world->endpoint_count +
@@ -235,13 +235,13 @@
 			   const struct jt_flow_key *key, uint64_t packet,
 			   uint32_t endpoint, uint8_t hops)
 {
-	struct jt_verdict verdict = {
+	struct jt_packet_verdict verdict = {
 		.node = node, .packet = packet, .key = *key, .hops = hops};
 
 	if (endpoint == UINT32_MAX) {
-		verdict.kind = JT_VERDICT_DROP;
+		verdict.kind = JT_PACKET_DROPPED;
 	} else {
-		verdict.kind = JT_VERDICT_FORWARD;
+		verdict.kind = JT_PACKET_FORWARDED;
 		verdict.endpoint = world->endpoints[endpoint]->address;
 	}
 	flows_on_verdict(world, &verdict);
--- a/src/lab/flows.c
+++ b/src/lab/flows.c
@@ -449,7 +449,8 @@
 	talloc_free(arrival);
 }
 
-void flows_on_verdict(void *private_data, const struct jt_verdict *verdict)
+void flows_on_verdict(void *private_data,
+		      const struct jt_packet_verdict *verdict)
 {
 	struct world *world = private_data;
 	struct flow *flow = world->flows[verdict->packet >> 36];
@@ -458,7 +459,7 @@
 
 	world->metrics.packets++;
 	world->metrics.relayed += verdict->hops > 0;
-	if (verdict->kind == JT_VERDICT_DROP ||
+	if (verdict->kind == JT_PACKET_DROPPED ||
 	    (flow->generation & 0xfff) != (verdict->packet >> 24 & 0xfff))
 		return;
 	arrival = talloc_zero(world, struct packet_arrival);
@@ -468,7 +469,7 @@
 	arrival->kind = verdict->packet >> 20 & 0xf;
 	arrival->message = verdict->packet & 0xfffff;
 	arrival->address = verdict->endpoint;
-	arrival->is_refusal = verdict->kind == JT_VERDICT_REFUSE;
+	arrival->is_refusal = verdict->kind == JT_PACKET_REFUSED;
 	delay = arrival->is_refusal
 			? client_delay(world)
 			: (uint64_t)(world->scenario->zone_to_zone_ms * 700);
--- a/src/lab/label.c
+++ b/src/lab/label.c
@@ -51,13 +51,13 @@
 };
 
 struct label_world {
-	struct label_node nodes[JT_CLUSTER_NODES];
+	struct label_node nodes[JT_CLUSTER_MAX_NODES];
 	struct label_entry *entries;
 	size_t entry_count;
 	uint64_t revision;
 	uint64_t routed_revision; /* revision last sent to the nodes */
 	struct jt_director_actions *actions;
-	uint64_t node_ids[JT_CLUSTER_NODES];
+	uint64_t node_ids[JT_CLUSTER_MAX_NODES];
 	/* The packet being processed. */
 	uint16_t node;
 	uint64_t packet;
@@ -282,7 +282,7 @@
 {
 	world->label = talloc_zero(world, struct label_world);
 	world->label->actions = jt_director_actions_create(world->label);
-	for (uint64_t n = 0; n < JT_CLUSTER_NODES; n++)
+	for (uint64_t n = 0; n < JT_CLUSTER_MAX_NODES; n++)
 		world->label->node_ids[n] = n + 1;
 	on_discovery_poll(world, 0);
 }
@@ -493,10 +493,11 @@
 			   on_peer_responses, held, 0);
 }
 
-static void report_verdict(struct world *world, enum jt_verdict_kind kind,
+static void report_verdict(struct world *world,
+			   enum jt_packet_verdict_kind kind,
 			   struct jt_address endpoint)
 {
-	struct jt_verdict verdict = {
+	struct jt_packet_verdict verdict = {
 		.kind = kind,
 		.node = world->label->node,
 		.packet = world->label->packet,
@@ -516,11 +517,11 @@
 
 	switch (action->kind) {
 	case JT_DIRECTOR_FORWARD:
-		report_verdict(world, JT_VERDICT_FORWARD, action->address);
+		report_verdict(world, JT_PACKET_FORWARDED, action->address);
 		break;
 	case JT_DIRECTOR_RESET:
 		if (processing)
-			report_verdict(world, JT_VERDICT_REFUSE,
+			report_verdict(world, JT_PACKET_REFUSED,
 				       action->address);
 		else
 			reset_other_flow(world, &action->key,
--- a/src/lab/oracle.c
+++ b/src/lab/oracle.c
@@ -201,7 +201,7 @@
 
 	if (world->cluster == NULL)
 		return;
-	stored = jt_cluster_stored(world->cluster, &when);
+	stored = jt_cluster_stored_revision(world->cluster, &when);
 	for (size_t i = 0; i < world->revision_count; i++) {
 		struct pending_revision *r = &world->revisions[i];
 
@@ -233,12 +233,12 @@
 			alive = info.life == JT_NODE_RUNNING ||
 				info.life == JT_NODE_LEAVING;
 			if (world_time_s(world) <= 0)
-				world->node_bytes[n + JT_CLUSTER_NODES] =
+				world->node_bytes[n + JT_CLUSTER_MAX_NODES] =
 					info.store_operations;
 			world->metrics.store_operations +=
 				info.store_operations -
-				world->node_bytes[n + JT_CLUSTER_NODES];
-			world->node_bytes[n + JT_CLUSTER_NODES] =
+				world->node_bytes[n + JT_CLUSTER_MAX_NODES];
+			world->node_bytes[n + JT_CLUSTER_MAX_NODES] =
 				info.store_operations;
 		} else {
 			bytes = baseline_bytes(world, n);
--- a/src/lab/trace.c
+++ b/src/lab/trace.c
@@ -224,17 +224,18 @@
 	return &replay->flows[slot];
 }
 
-static void on_verdict(void *private_data, const struct jt_verdict *verdict)
+static void on_verdict(void *private_data,
+		       const struct jt_packet_verdict *verdict)
 {
 	struct replay *replay = private_data;
 	struct replay_flow *flow = find_flow(replay, &verdict->key);
 
-	if (verdict->kind == JT_VERDICT_REFUSE) {
+	if (verdict->kind == JT_PACKET_REFUSED) {
 		replay->refused++;
 		replay->refused_and_forwarded += flow->endpoint != 0;
 		flow->refused = true;
 	}
-	if (verdict->kind != JT_VERDICT_FORWARD)
+	if (verdict->kind != JT_PACKET_FORWARDED)
 		return;
 	replay->forwarded++;
 	replay->refused_and_forwarded += flow->refused;
@@ -299,9 +300,9 @@
 	else if (strcmp(kind, "leave") == 0)
 		jt_cluster_leave(cluster, a);
 	else if (strcmp(kind, "cut") == 0 || strcmp(kind, "mend") == 0)
-		jt_cluster_cut(cluster, a, b, kind[0] == 'c');
+		jt_cluster_set_partition(cluster, a, b, kind[0] == 'c');
 	else if (strcmp(kind, "store_down") == 0)
-		jt_cluster_store_down(cluster, a != 0);
+		jt_cluster_set_store_down(cluster, a != 0);
 	else if (strcmp(kind, "page") == 0)
 		json_object_set_new(replay->pages,
 				    json_string_value(json_array_get(value, 0)),
--- a/src/lab/world.c
+++ b/src/lab/world.c
@@ -300,7 +300,7 @@
 		if (z == a || (b != SCENARIO_ZONES && z != b))
 			continue;
 		trace_fault(world, cut ? "cut" : "mend", a, z);
-		jt_cluster_cut(world->cluster, a, z, cut);
+		jt_cluster_set_partition(world->cluster, a, z, cut);
 	}
 }
 
@@ -472,21 +472,21 @@
 	switch (event->kind) {
 	case EVENT_STORE_DOWN:
 		trace_fault(world, "store_down", begin, 0);
-		jt_cluster_store_down(world->cluster, begin);
+		jt_cluster_set_store_down(world->cluster, begin);
 		break;
 	case EVENT_STORE_SLOW:
-		jt_cluster_store_slow(
+		jt_cluster_set_store_latency(
 			world->cluster,
 			(uint32_t)(1000 * (begin ? event->value
 						 : s->store_answer_ms)));
 		break;
 	case EVENT_STORE_ANSWER_LOST:
 		if (begin)
-			jt_cluster_store_lose_answers(world->cluster,
-						      (uint32_t)event->value);
+			jt_cluster_drop_store_responses(world->cluster,
+							(uint32_t)event->value);
 		break;
 	case EVENT_MACHINE_LIST_LAG:
-		jt_cluster_machine_list_lag(
+		jt_cluster_set_machine_list_lag(
 			world->cluster,
 			(uint32_t)(1e6 * (begin ? event->value
 						: s->machine_list_lag_s)));
@@ -631,8 +631,8 @@
 	jt_cluster_options_init(&options);
 	options.seed = world->options.seed * 2 + 1;
 	options.zone_count = (unsigned)s->zone_count;
-	for (int a = 0; a < JT_CLUSTER_ZONES; a++) {
-		for (int b = 0; b < JT_CLUSTER_ZONES; b++) {
+	for (int a = 0; a < JT_CLUSTER_MAX_ZONES; a++) {
+		for (int b = 0; b < JT_CLUSTER_MAX_ZONES; b++) {
 			if (a != b)
 				options.zone_to_zone_us[a][b] =
 					(uint32_t)(s->zone_to_zone_ms * 1000);
@@ -675,13 +675,13 @@
 	world->end_us = BOOT_US + (uint64_t)(scenario->duration_s * SECOND_US);
 	world->load_end_us = world->end_us - COOLDOWN_US;
 	world->node_revision =
-		talloc_zero_array(world, uint64_t, JT_CLUSTER_NODES);
+		talloc_zero_array(world, uint64_t, JT_CLUSTER_MAX_NODES);
 	world->node_bytes =
-		talloc_zero_array(world, uint64_t, 2 * JT_CLUSTER_NODES);
+		talloc_zero_array(world, uint64_t, 2 * JT_CLUSTER_MAX_NODES);
 	world->bytes_at_minute =
-		talloc_zero_array(world, uint64_t, JT_CLUSTER_NODES);
+		talloc_zero_array(world, uint64_t, JT_CLUSTER_MAX_NODES);
 	world->unready_polls =
-		talloc_zero_array(world, uint8_t, JT_CLUSTER_NODES);
+		talloc_zero_array(world, uint8_t, JT_CLUSTER_MAX_NODES);
 	for (size_t i = 0; i < scenario->service_count; i++)
 		world->health_lag_s[i] = scenario->services[i].health_lag_s;
 	create_demands(world);
--- a/src/lab/world_private.h
+++ b/src/lab/world_private.h
@@ -160,7 +160,7 @@
 	struct demand_state *demands;
 	size_t demand_count;
 	/* Nodes to which the fabric sends packets. */
-	uint16_t live[JT_CLUSTER_NODES];
+	uint16_t live[JT_CLUSTER_MAX_NODES];
 	size_t live_count;
 	uint8_t *unready_polls;
 	/* Latest configuration of the operators. */
@@ -198,7 +198,8 @@
 /* flows.c */
 void flows_start(struct world *world);
 /* Handles the decision of a balancer about one packet. */
-void flows_on_verdict(void *private_data, const struct jt_verdict *verdict);
+void flows_on_verdict(void *private_data,
+		      const struct jt_packet_verdict *verdict);
 /* Events at the client side of a flow. */
 void flow_on_reset(struct world *world, struct flow *flow);
 void flow_on_syn_ack(struct world *world, struct flow *flow, uint32_t endpoint);
--- a/src/label/jt_membership.c
+++ b/src/label/jt_membership.c
@@ -150,11 +150,11 @@
  * was new or had been lost. A new process at a known address starts with no
  * revision. Returns NULL if the message is this node's own or memory runs
  * out. */
-static struct jt_peer *peer_update_direct(struct jt_membership *membership,
-					  uint64_t from,
-					  struct jt_address address,
-					  const jt_wire_standing *availability,
-					  uint64_t now_ms, bool *is_new)
+static struct jt_peer *
+peer_update_direct(struct jt_membership *membership, uint64_t from,
+		   struct jt_address address,
+		   const jt_wire_availability *availability, uint64_t now_ms,
+		   bool *is_new)
 {
 	struct jt_peer *peer;
 
@@ -187,7 +187,7 @@
 
 bool jt_membership_record_availability(struct jt_membership *membership,
 				       uint64_t from, struct jt_address address,
-				       const jt_wire_standing *availability,
+				       const jt_wire_availability *availability,
 				       uint64_t now_ms)
 {
 	bool is_new;
@@ -201,7 +201,7 @@
 			  struct jt_address address,
 			  const jt_wire_digest *digest, uint64_t now_ms)
 {
-	const jt_wire_standing availability = {
+	const jt_wire_availability availability = {
 		.zone = digest->zone,
 		.started = digest->started,
 		.leaving = digest->leaving,
@@ -217,7 +217,7 @@
 		return false;
 	peer->routing_version = digest->routing_version;
 	peer->revision = digest->revision;
-	peer->accepts_flows = digest->places;
+	peer->accepts_flows = digest->accepts_flows;
 	for (u_int i = 0; i < digest->peers.peers_len; i++)
 		peer_update_indirect(membership, &digest->peers.peers_val[i],
 				     now_ms);
--- a/src/label/jt_membership.h
+++ b/src/label/jt_membership.h
@@ -125,7 +125,7 @@
 /* Records an availability message; returns the same as jt_membership_digest. */
 bool jt_membership_record_availability(struct jt_membership *membership,
 				       uint64_t from, struct jt_address address,
-				       const jt_wire_standing *availability,
+				       const jt_wire_availability *availability,
 				       uint64_t now_ms);
 /*
  * Chooses the peers that get a digest in this round. Returns the number of
--- a/src/label/jt_membership_digest.c
+++ b/src/label/jt_membership_digest.c
@@ -14,7 +14,7 @@
 	digest->started = own->started;
 	digest->leaving = own->leaving;
 	digest->ready = own->ready;
-	digest->places = own->accepts_flows;
+	digest->accepts_flows = own->accepts_flows;
 	digest->weight = own->reader_capacity;
 	digest->store_age_ms = jt_own_store_age_ms(own, now_ms);
 	digest->store_reader = own->store_reader;
--- a/src/label/jt_snapshot.c
+++ b/src/label/jt_snapshot.c
@@ -31,7 +31,7 @@
 static bool routing_write(TALLOC_CTX *mem_ctx, const struct jt_routing *routing,
 			  jt_wire_routing *wire)
 {
-	wire->number = routing->version;
+	wire->routing_version = routing->version;
 	wire->flow_idle_ms = routing->flow_idle_ms;
 	wire->routes.routes_val = talloc_zero_array(mem_ctx, jt_wire_route,
 						    routing->route_count + 1);
@@ -166,7 +166,7 @@
 static bool entries_write(TALLOC_CTX *mem_ctx,
 			  const struct jt_endpoint_table *table, uint32_t first,
 			  uint64_t since, uint64_t now_ms,
-			  jt_wire_knowledge *snapshot, uint32_t *end)
+			  jt_wire_snapshot *snapshot, uint32_t *end)
 {
 	jt_wire_entry *entries;
 	size_t max_count, count = 0;
@@ -188,7 +188,7 @@
  * few, at least half of them. */
 static bool partial_entries_write(TALLOC_CTX *mem_ctx,
 				  const struct jt_director *director,
-				  uint64_t now_ms, jt_wire_knowledge *snapshot)
+				  uint64_t now_ms, jt_wire_snapshot *snapshot)
 {
 	uint32_t first = (uint32_t)(now_ms % (JT_DIRECTOR_SLICES / 2)), end;
 
@@ -198,7 +198,7 @@
 }
 
 static bool zones_write(TALLOC_CTX *mem_ctx, const struct jt_zone_drains *zones,
-			jt_wire_knowledge *snapshot)
+			jt_wire_snapshot *snapshot)
 {
 	jt_wire_zone_drain *wire =
 		talloc_array(mem_ctx, jt_wire_zone_drain, zones->count + 1);
@@ -221,7 +221,7 @@
 
 bool jt_snapshot_write(TALLOC_CTX *mem_ctx, const struct jt_director *director,
 		       const struct jt_snapshot_request *request,
-		       uint64_t now_ms, jt_wire_knowledge *snapshot)
+		       uint64_t now_ms, jt_wire_snapshot *snapshot)
 {
 	const struct jt_routing *routing = jt_director_routing(director);
 	struct jt_listing_gap gap;
@@ -235,7 +235,7 @@
 	gap = jt_listing_gaps_after(&director->gaps, snapshot->since);
 	snapshot->gap_from = gap.from;
 	snapshot->gap_to = gap.to;
-	snapshot->forgotten = director->gaps.incomplete_before;
+	snapshot->incomplete_before = director->gaps.incomplete_before;
 	snapshot->complete = director->counters.entries_refused == 0;
 	snapshot->slice = request->slice < JT_DIRECTOR_SLICES
 				  ? request->slice
@@ -254,7 +254,7 @@
 }
 
 bool jt_snapshot_slices_event(TALLOC_CTX *mem_ctx,
-			      const jt_wire_knowledge *snapshot,
+			      const jt_wire_snapshot *snapshot,
 			      struct jt_director_event *event)
 {
 	size_t count = snapshot->entries.entries_len;
@@ -280,7 +280,7 @@
 	return true;
 }
 
-bool jt_snapshot_is_complete(const jt_wire_knowledge *snapshot)
+bool jt_snapshot_is_complete(const jt_wire_snapshot *snapshot)
 {
 	return snapshot->slice == 0 &&
 	       snapshot->slice_next == JT_DIRECTOR_SLICES;
@@ -342,12 +342,12 @@
 {
 	struct jt_routing *routing;
 
-	if (wire->number == 0)
+	if (wire->routing_version == 0)
 		return NULL;
 	routing = talloc_zero(mem_ctx, struct jt_routing);
 	if (routing == NULL)
 		return NULL;
-	routing->version = wire->number;
+	routing->version = wire->routing_version;
 	routing->flow_idle_ms = wire->flow_idle_ms;
 	if (!routing_fill(wire, routing))
 		TALLOC_FREE(routing);
--- a/src/label/jt_snapshot.h
+++ b/src/label/jt_snapshot.h
@@ -22,14 +22,14 @@
  */
 bool jt_snapshot_write(TALLOC_CTX *mem_ctx, const struct jt_director *director,
 		       const struct jt_snapshot_request *request,
-		       uint64_t now_ms, jt_wire_knowledge *snapshot);
+		       uint64_t now_ms, jt_wire_snapshot *snapshot);
 /* Fills in the event that some slices were received whole; its ids are owned by
  * @mem_ctx. Returns false if they were not, or memory runs out. */
 bool jt_snapshot_slices_event(TALLOC_CTX *mem_ctx,
-			      const jt_wire_knowledge *snapshot,
+			      const jt_wire_snapshot *snapshot,
 			      struct jt_director_event *event);
 /* Returns true if @snapshot holds all slices. */
-bool jt_snapshot_is_complete(const jt_wire_knowledge *snapshot);
+bool jt_snapshot_is_complete(const jt_wire_snapshot *snapshot);
 
 /* Returns the routing of @wire as a talloc child of @mem_ctx; NULL if it has
  * none, it is invalid or memory runs out. */
--- a/src/label/jt_snapshot_fetch.c
+++ b/src/label/jt_snapshot_fetch.c
@@ -31,14 +31,14 @@
  * the changes did not send what was created and removed since the fetch began,
  * which is a gap as well. */
 static void gap_merge(struct jt_snapshot_fetch *fetch,
-		      const jt_wire_knowledge *snapshot)
+		      const jt_wire_snapshot *snapshot)
 {
 	struct jt_listing_gap gap = {snapshot->gap_from, snapshot->gap_to};
 
 	if (snapshot->since < fetch->since)
 		gap = (struct jt_listing_gap){fetch->since, snapshot->revision};
-	if (snapshot->forgotten > fetch->incomplete_before)
-		fetch->incomplete_before = snapshot->forgotten;
+	if (snapshot->incomplete_before > fetch->incomplete_before)
+		fetch->incomplete_before = snapshot->incomplete_before;
 	if (gap.to == 0)
 		return;
 	if (fetch->gap.to == 0 || gap.from < fetch->gap.from)
@@ -48,8 +48,7 @@
 }
 
 bool jt_snapshot_fetch_record(struct jt_snapshot_fetch *fetch,
-			      const jt_wire_knowledge *snapshot,
-			      uint64_t now_ms)
+			      const jt_wire_snapshot *snapshot, uint64_t now_ms)
 {
 	uint64_t as_of_ms = now_ms > snapshot->store_age_ms
 				    ? now_ms - snapshot->store_age_ms
--- a/src/label/jt_snapshot_fetch.h
+++ b/src/label/jt_snapshot_fetch.h
@@ -36,7 +36,7 @@
  * snapshot; @fetch then describes the result until the next call of
  * jt_snapshot_fetch_request. Ignores an answer to another request. */
 bool jt_snapshot_fetch_record(struct jt_snapshot_fetch *fetch,
-			      const jt_wire_knowledge *snapshot,
+			      const jt_wire_snapshot *snapshot,
 			      uint64_t now_ms);
 
 #endif
--- a/src/proto/jt_director_proto.h
+++ b/src/proto/jt_director_proto.h
@@ -23,8 +23,8 @@
 #define JT_DIRECTOR_MAX_LOADS 96
 #define JT_DIRECTOR_MAX_FAILURES 12
 #define JT_DIRECTOR_MAX_ZONES 64
-#define JT_DIRECTOR_MAX_NEWS 16
-#define JT_DIRECTOR_MAX_NEWS_ZONES 2
+#define JT_DIRECTOR_MAX_UPDATE_ENTRIES 16
+#define JT_DIRECTOR_MAX_UPDATE_ZONES 2
 
 struct jt_wire_peer {
 	u_quad_t id;
@@ -43,7 +43,7 @@
 	bool_t started;
 	bool_t leaving;
 	bool_t ready;
-	bool_t places;
+	bool_t accepts_flows;
 	u_int weight;
 	u_int store_age_ms;
 	u_quad_t store_reader;
@@ -54,17 +54,17 @@
 };
 typedef struct jt_wire_digest jt_wire_digest;
 
-struct jt_wire_standing {
+struct jt_wire_availability {
 	u_int zone;
 	bool_t started;
 	bool_t leaving;
 	bool_t ready;
 	u_int weight;
 };
-typedef struct jt_wire_standing jt_wire_standing;
+typedef struct jt_wire_availability jt_wire_availability;
 
 enum jt_wire_suspicion_kind {
-	JT_WIRE_FOUND_DEAD = 1,
+	JT_WIRE_DECLARED_DEAD = 1,
 	JT_WIRE_ANSWERS_OVERDUE = 2,
 };
 typedef enum jt_wire_suspicion_kind jt_wire_suspicion_kind;
@@ -136,7 +136,7 @@
 typedef struct jt_wire_service jt_wire_service;
 
 struct jt_wire_routing {
-	u_quad_t number;
+	u_quad_t routing_version;
 	u_int flow_idle_ms;
 	struct {
 		u_int routes_len;
@@ -174,7 +174,7 @@
 };
 typedef struct jt_wire_zone_drain jt_wire_zone_drain;
 
-struct jt_wire_news {
+struct jt_wire_update {
 	jt_wire_digest digest;
 	u_quad_t since;
 	u_quad_t gap_from;
@@ -188,16 +188,16 @@
 		jt_wire_zone_drain *zones_val;
 	} zones;
 };
-typedef struct jt_wire_news jt_wire_news;
+typedef struct jt_wire_update jt_wire_update;
 
-struct jt_wire_knowledge {
+struct jt_wire_snapshot {
 	u_int slice;
 	u_int slice_next;
 	u_quad_t since;
 	u_quad_t revision;
 	u_quad_t gap_from;
 	u_quad_t gap_to;
-	u_quad_t forgotten;
+	u_quad_t incomplete_before;
 	bool_t complete;
 	u_int initial_sync_ms;
 	u_int store_age_ms;
@@ -212,7 +212,7 @@
 		jt_wire_zone_drain *zones_val;
 	} zones;
 };
-typedef struct jt_wire_knowledge jt_wire_knowledge;
+typedef struct jt_wire_snapshot jt_wire_snapshot;
 
 struct jt_wire_flow {
 	u_int source;
@@ -224,27 +224,27 @@
 };
 typedef struct jt_wire_flow jt_wire_flow;
 
-struct jt_wire_flow_question {
+struct jt_wire_flow_lookup {
 	jt_wire_flow flow;
 };
-typedef struct jt_wire_flow_question jt_wire_flow_question;
+typedef struct jt_wire_flow_lookup jt_wire_flow_lookup;
 
-struct jt_wire_flow_answer {
+struct jt_wire_flow_lookup_response {
 	jt_wire_flow flow;
 	u_int label;
 };
-typedef struct jt_wire_flow_answer jt_wire_flow_answer;
+typedef struct jt_wire_flow_lookup_response jt_wire_flow_lookup_response;
 
 enum jt_wire_director_kind {
 	JT_WIRE_DIGEST = 1,
 	JT_WIRE_SUSPICION = 2,
-	JT_WIRE_KNOWLEDGE = 3,
+	JT_WIRE_SNAPSHOT = 3,
 	JT_WIRE_LOADS = 4,
-	JT_WIRE_NEWS = 5,
-	JT_WIRE_STANDING = 6,
+	JT_WIRE_UPDATE = 5,
+	JT_WIRE_AVAILABILITY = 6,
 	JT_WIRE_FAILURES = 7,
-	JT_WIRE_FLOW_QUESTION = 8,
-	JT_WIRE_FLOW_ANSWER = 9,
+	JT_WIRE_FLOW_LOOKUP = 8,
+	JT_WIRE_FLOW_LOOKUP_RESPONSE = 9,
 };
 typedef enum jt_wire_director_kind jt_wire_director_kind;
 
@@ -253,13 +253,13 @@
 	union {
 		jt_wire_digest digest;
 		jt_wire_suspicion suspicion;
-		jt_wire_knowledge knowledge;
+		jt_wire_snapshot snapshot;
 		jt_wire_loads loads;
-		jt_wire_news news;
-		jt_wire_standing standing;
+		jt_wire_update update;
+		jt_wire_availability availability;
 		jt_wire_failures failures;
-		jt_wire_flow_question flow_question;
-		jt_wire_flow_answer flow_answer;
+		jt_wire_flow_lookup flow_lookup;
+		jt_wire_flow_lookup_response flow_lookup_response;
 	} jt_wire_director_body_u;
 };
 typedef struct jt_wire_director_body jt_wire_director_body;
@@ -275,7 +275,7 @@
 #if defined(__STDC__) || defined(__cplusplus)
 extern  bool_t xdr_jt_wire_peer (XDR *, jt_wire_peer*);
 extern  bool_t xdr_jt_wire_digest (XDR *, jt_wire_digest*);
-extern  bool_t xdr_jt_wire_standing (XDR *, jt_wire_standing*);
+extern  bool_t xdr_jt_wire_availability (XDR *, jt_wire_availability*);
 extern  bool_t xdr_jt_wire_suspicion_kind (XDR *, jt_wire_suspicion_kind*);
 extern  bool_t xdr_jt_wire_suspicion (XDR *, jt_wire_suspicion*);
 extern  bool_t xdr_jt_wire_failure (XDR *, jt_wire_failure*);
@@ -288,11 +288,11 @@
 extern  bool_t xdr_jt_wire_routing (XDR *, jt_wire_routing*);
 extern  bool_t xdr_jt_wire_entry (XDR *, jt_wire_entry*);
 extern  bool_t xdr_jt_wire_zone_drain (XDR *, jt_wire_zone_drain*);
-extern  bool_t xdr_jt_wire_news (XDR *, jt_wire_news*);
-extern  bool_t xdr_jt_wire_knowledge (XDR *, jt_wire_knowledge*);
+extern  bool_t xdr_jt_wire_update (XDR *, jt_wire_update*);
+extern  bool_t xdr_jt_wire_snapshot (XDR *, jt_wire_snapshot*);
 extern  bool_t xdr_jt_wire_flow (XDR *, jt_wire_flow*);
-extern  bool_t xdr_jt_wire_flow_question (XDR *, jt_wire_flow_question*);
-extern  bool_t xdr_jt_wire_flow_answer (XDR *, jt_wire_flow_answer*);
+extern  bool_t xdr_jt_wire_flow_lookup (XDR *, jt_wire_flow_lookup*);
+extern  bool_t xdr_jt_wire_flow_lookup_response (XDR *, jt_wire_flow_lookup_response*);
 extern  bool_t xdr_jt_wire_director_kind (XDR *, jt_wire_director_kind*);
 extern  bool_t xdr_jt_wire_director_body (XDR *, jt_wire_director_body*);
 extern  bool_t xdr_jt_wire_director_message (XDR *, jt_wire_director_message*);
@@ -300,7 +300,7 @@
 #else /* K&R C */
 extern bool_t xdr_jt_wire_peer ();
 extern bool_t xdr_jt_wire_digest ();
-extern bool_t xdr_jt_wire_standing ();
+extern bool_t xdr_jt_wire_availability ();
 extern bool_t xdr_jt_wire_suspicion_kind ();
 extern bool_t xdr_jt_wire_suspicion ();
 extern bool_t xdr_jt_wire_failure ();
@@ -313,11 +313,11 @@
 extern bool_t xdr_jt_wire_routing ();
 extern bool_t xdr_jt_wire_entry ();
 extern bool_t xdr_jt_wire_zone_drain ();
-extern bool_t xdr_jt_wire_news ();
-extern bool_t xdr_jt_wire_knowledge ();
+extern bool_t xdr_jt_wire_update ();
+extern bool_t xdr_jt_wire_snapshot ();
 extern bool_t xdr_jt_wire_flow ();
-extern bool_t xdr_jt_wire_flow_question ();
-extern bool_t xdr_jt_wire_flow_answer ();
+extern bool_t xdr_jt_wire_flow_lookup ();
+extern bool_t xdr_jt_wire_flow_lookup_response ();
 extern bool_t xdr_jt_wire_director_kind ();
 extern bool_t xdr_jt_wire_director_body ();
 extern bool_t xdr_jt_wire_director_message ();
--- a/src/proto/jt_director_proto.x
+++ b/src/proto/jt_director_proto.x
@@ -19,8 +19,8 @@
 const JT_DIRECTOR_MAX_FAILURES = 12;
 const JT_DIRECTOR_MAX_ZONES = 64;
 /* Entries and zone drains of a gossip update; they fit into one datagram. */
-const JT_DIRECTOR_MAX_NEWS = 16;
-const JT_DIRECTOR_MAX_NEWS_ZONES = 2;
+const JT_DIRECTOR_MAX_UPDATE_ENTRIES = 16;
+const JT_DIRECTOR_MAX_UPDATE_ZONES = 2;
 
 struct jt_wire_peer {
 	unsigned hyper id;
@@ -39,7 +39,7 @@
 	bool started;
 	bool leaving;
 	bool ready;                  /* announced to the routers as ready */
-	bool places;                 /* accepts new flows */
+	bool accepts_flows;          /* accepts new flows */
 	unsigned int weight;         /* as store reader; 0: not eligible */
 	unsigned int store_age_ms;   /* age of the newest store state known */
 	unsigned hyper store_reader; /* node that read that state */
@@ -51,7 +51,7 @@
  * or stops accepting flows. It carries no versions or revisions: otherwise all
  * peers that are behind would fetch the state from this node at once.
  */
-struct jt_wire_standing {
+struct jt_wire_availability {
 	unsigned int zone;
 	bool started;
 	bool leaving;
@@ -61,14 +61,14 @@
 
 /* Kinds of failure reports about an endpoint. */
 enum jt_wire_suspicion_kind {
-	JT_WIRE_FOUND_DEAD = 1,     /* declared dead */
+	JT_WIRE_DECLARED_DEAD = 1,  /* declared dead */
 	JT_WIRE_ANSWERS_OVERDUE = 2 /* alive, but responses are overdue */
 };
 
 struct jt_wire_suspicion {
 	jt_wire_suspicion_kind kind;
 	unsigned hyper endpoint_id;
-	unsigned hyper start_time_ms; /* start time of the incarnation concerned */
+	unsigned hyper start_time_ms; /* of the incarnation concerned */
 };
 
 /* Request results observed by the sender at an endpoint with failures, since
@@ -89,10 +89,11 @@
 struct jt_wire_load {
 	unsigned int label; /* of the endpoint */
 	unsigned int flows; /* open through the sender */
-	unsigned int recent_load_permille; /* recent load through the sender, in
-			             * thousandths of requests */
-	unsigned int response_ratio; /* hundredths of responses << 16 | signed logarithm
-			     * of the relative response time in thousandths */
+	/* Recent load through the sender, in thousandths of requests. */
+	unsigned int recent_load_permille;
+	/* Hundredths of responses << 16 | signed logarithm of the relative
+	 * response time in thousandths. */
+	unsigned int response_ratio;
 };
 
 /* Flows and recent load of endpoints through the sender. Endpoints without
@@ -125,7 +126,7 @@
 };
 
 struct jt_wire_routing {
-	unsigned hyper number; /* version; 0: none known */
+	unsigned hyper routing_version; /* 0: none known */
 	unsigned int flow_idle_ms;
 	jt_wire_route routes<JT_DIRECTOR_MAX_ROUTES>;
 	jt_wire_service services<JT_DIRECTOR_MAX_SERVICES>;
@@ -138,7 +139,7 @@
 
 struct jt_wire_entry {
 	unsigned hyper id;
-	unsigned hyper start_time_ms;      /* start time of the incarnation; 0: unknown */
+	unsigned hyper start_time_ms; /* of the incarnation; 0: unknown */
 	unsigned int service_id;
 	unsigned int zone_id;
 	unsigned int address;
@@ -163,13 +164,13 @@
  * receiver with a revision before `since`, or an older routing, fetches the
  * missing state.
  */
-struct jt_wire_news {
+struct jt_wire_update {
 	jt_wire_digest digest; /* without peers */
 	unsigned hyper since;
-	unsigned hyper gap_from;      /* as in jt_wire_knowledge */
+	unsigned hyper gap_from;      /* as in jt_wire_snapshot */
 	unsigned hyper gap_to;
-	jt_wire_entry entries<JT_DIRECTOR_MAX_NEWS>;
-	jt_wire_zone_drain zones<JT_DIRECTOR_MAX_NEWS_ZONES>;
+	jt_wire_entry entries<JT_DIRECTOR_MAX_UPDATE_ENTRIES>;
+	jt_wire_zone_drain zones<JT_DIRECTOR_MAX_UPDATE_ZONES>;
 };
 
 /*
@@ -178,7 +179,7 @@
  * peer has it. The peer requests slice after slice, from any peer, until it
  * has all of them.
  */
-struct jt_wire_knowledge {
+struct jt_wire_snapshot {
 	unsigned int slice;      /* first slice contained */
 	/* First slice after those contained. If equal to `slice`, the sender is
 	 * not started and sends some of the endpoints known so far. */
@@ -190,10 +191,11 @@
 	 * observe the changes between these revisions; 0: no gap. */
 	unsigned hyper gap_from;
 	unsigned hyper gap_to;
-	unsigned hyper forgotten;    /* changes before it may be missing */
+	unsigned hyper incomplete_before; /* changes before it may be missing */
 	bool complete;               /* the sender dropped no entry or drain */
-	unsigned int initial_sync_ms;    /* left of the initial synchronisation;
-	                              * entries may be missing until then */
+	/* Left of the initial synchronisation; entries may be missing until
+	 * then. */
+	unsigned int initial_sync_ms;
 	unsigned int store_age_ms;   /* age of the store state contained */
 	unsigned hyper store_reader; /* node that read that state */
 	jt_wire_routing routing;
@@ -216,12 +218,12 @@
  * sender: asks the nodes from which routers may have moved the flow for its
  * endpoint.
  */
-struct jt_wire_flow_question {
+struct jt_wire_flow_lookup {
 	jt_wire_flow flow;
 };
 
-/* Response to a jt_wire_flow_question. */
-struct jt_wire_flow_answer {
+/* Response to a jt_wire_flow_lookup. */
+struct jt_wire_flow_lookup_response {
 	jt_wire_flow flow;
 	unsigned int label; /* of its endpoint; 0: unknown to the sender */
 };
@@ -229,13 +231,13 @@
 enum jt_wire_director_kind {
 	JT_WIRE_DIGEST = 1,
 	JT_WIRE_SUSPICION = 2,
-	JT_WIRE_KNOWLEDGE = 3,
+	JT_WIRE_SNAPSHOT = 3,
 	JT_WIRE_LOADS = 4,
-	JT_WIRE_NEWS = 5,
-	JT_WIRE_STANDING = 6,
+	JT_WIRE_UPDATE = 5,
+	JT_WIRE_AVAILABILITY = 6,
 	JT_WIRE_FAILURES = 7,
-	JT_WIRE_FLOW_QUESTION = 8,
-	JT_WIRE_FLOW_ANSWER = 9
+	JT_WIRE_FLOW_LOOKUP = 8,
+	JT_WIRE_FLOW_LOOKUP_RESPONSE = 9
 };
 
 union jt_wire_director_body switch (jt_wire_director_kind kind) {
@@ -243,20 +245,20 @@
 	jt_wire_digest digest;
 case JT_WIRE_SUSPICION:
 	jt_wire_suspicion suspicion;
-case JT_WIRE_KNOWLEDGE:
-	jt_wire_knowledge knowledge;
+case JT_WIRE_SNAPSHOT:
+	jt_wire_snapshot snapshot;
 case JT_WIRE_LOADS:
 	jt_wire_loads loads;
-case JT_WIRE_NEWS:
-	jt_wire_news news;
-case JT_WIRE_STANDING:
-	jt_wire_standing standing;
+case JT_WIRE_UPDATE:
+	jt_wire_update update;
+case JT_WIRE_AVAILABILITY:
+	jt_wire_availability availability;
 case JT_WIRE_FAILURES:
 	jt_wire_failures failures;
-case JT_WIRE_FLOW_QUESTION:
-	jt_wire_flow_question flow_question;
-case JT_WIRE_FLOW_ANSWER:
-	jt_wire_flow_answer flow_answer;
+case JT_WIRE_FLOW_LOOKUP:
+	jt_wire_flow_lookup flow_lookup;
+case JT_WIRE_FLOW_LOOKUP_RESPONSE:
+	jt_wire_flow_lookup_response flow_lookup_response;
 };
 
 struct jt_wire_director_message {
--- a/src/proto/jt_director_proto_xdr.c
+++ b/src/proto/jt_director_proto_xdr.c
@@ -95,7 +95,7 @@
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->ready))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->places))
+			 if (!xdr_bool (xdrs, &objp->accepts_flows))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->weight))
 				 return FALSE;
@@ -106,7 +106,7 @@
 		IXDR_PUT_BOOL(buf, objp->started);
 		IXDR_PUT_BOOL(buf, objp->leaving);
 		IXDR_PUT_BOOL(buf, objp->ready);
-		IXDR_PUT_BOOL(buf, objp->places);
+		IXDR_PUT_BOOL(buf, objp->accepts_flows);
 		IXDR_PUT_U_LONG(buf, objp->weight);
 		IXDR_PUT_U_LONG(buf, objp->store_age_ms);
 		}
@@ -131,7 +131,7 @@
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->ready))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->places))
+			 if (!xdr_bool (xdrs, &objp->accepts_flows))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->weight))
 				 return FALSE;
@@ -142,7 +142,7 @@
 		objp->started = IXDR_GET_BOOL(buf);
 		objp->leaving = IXDR_GET_BOOL(buf);
 		objp->ready = IXDR_GET_BOOL(buf);
-		objp->places = IXDR_GET_BOOL(buf);
+		objp->accepts_flows = IXDR_GET_BOOL(buf);
 		objp->weight = IXDR_GET_U_LONG(buf);
 		objp->store_age_ms = IXDR_GET_U_LONG(buf);
 		}
@@ -166,7 +166,7 @@
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->ready))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->places))
+	 if (!xdr_bool (xdrs, &objp->accepts_flows))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->weight))
 		 return FALSE;
@@ -181,7 +181,7 @@
 }
 
 bool_t
-xdr_jt_wire_standing (XDR *xdrs, jt_wire_standing *objp)
+xdr_jt_wire_availability (XDR *xdrs, jt_wire_availability *objp)
 {
 	register int32_t *buf;
 
@@ -504,7 +504,7 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_u_quad_t (xdrs, &objp->number))
+	 if (!xdr_u_quad_t (xdrs, &objp->routing_version))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->flow_idle_ms))
 		 return FALSE;
@@ -641,7 +641,7 @@
 }
 
 bool_t
-xdr_jt_wire_news (XDR *xdrs, jt_wire_news *objp)
+xdr_jt_wire_update (XDR *xdrs, jt_wire_update *objp)
 {
 	register int32_t *buf;
 
@@ -653,17 +653,17 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->gap_to))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->entries.entries_val, (u_int *) &objp->entries.entries_len, JT_DIRECTOR_MAX_NEWS,
+	 if (!xdr_array (xdrs, (char **)&objp->entries.entries_val, (u_int *) &objp->entries.entries_len, JT_DIRECTOR_MAX_UPDATE_ENTRIES,
 		sizeof (jt_wire_entry), (xdrproc_t) xdr_jt_wire_entry))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->zones.zones_val, (u_int *) &objp->zones.zones_len, JT_DIRECTOR_MAX_NEWS_ZONES,
+	 if (!xdr_array (xdrs, (char **)&objp->zones.zones_val, (u_int *) &objp->zones.zones_len, JT_DIRECTOR_MAX_UPDATE_ZONES,
 		sizeof (jt_wire_zone_drain), (xdrproc_t) xdr_jt_wire_zone_drain))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_jt_wire_knowledge (XDR *xdrs, jt_wire_knowledge *objp)
+xdr_jt_wire_snapshot (XDR *xdrs, jt_wire_snapshot *objp)
 {
 	register int32_t *buf;
 
@@ -681,7 +681,7 @@
 			 return FALSE;
 		 if (!xdr_u_quad_t (xdrs, &objp->gap_to))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->forgotten))
+		 if (!xdr_u_quad_t (xdrs, &objp->incomplete_before))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -721,7 +721,7 @@
 			 return FALSE;
 		 if (!xdr_u_quad_t (xdrs, &objp->gap_to))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->forgotten))
+		 if (!xdr_u_quad_t (xdrs, &objp->incomplete_before))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -762,7 +762,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->gap_to))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->forgotten))
+	 if (!xdr_u_quad_t (xdrs, &objp->incomplete_before))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->complete))
 		 return FALSE;
@@ -855,7 +855,7 @@
 }
 
 bool_t
-xdr_jt_wire_flow_question (XDR *xdrs, jt_wire_flow_question *objp)
+xdr_jt_wire_flow_lookup (XDR *xdrs, jt_wire_flow_lookup *objp)
 {
 	register int32_t *buf;
 
@@ -865,7 +865,7 @@
 }
 
 bool_t
-xdr_jt_wire_flow_answer (XDR *xdrs, jt_wire_flow_answer *objp)
+xdr_jt_wire_flow_lookup_response (XDR *xdrs, jt_wire_flow_lookup_response *objp)
 {
 	register int32_t *buf;
 
@@ -902,32 +902,32 @@
 		 if (!xdr_jt_wire_suspicion (xdrs, &objp->jt_wire_director_body_u.suspicion))
 			 return FALSE;
 		break;
-	case JT_WIRE_KNOWLEDGE:
-		 if (!xdr_jt_wire_knowledge (xdrs, &objp->jt_wire_director_body_u.knowledge))
+	case JT_WIRE_SNAPSHOT:
+		 if (!xdr_jt_wire_snapshot (xdrs, &objp->jt_wire_director_body_u.snapshot))
 			 return FALSE;
 		break;
 	case JT_WIRE_LOADS:
 		 if (!xdr_jt_wire_loads (xdrs, &objp->jt_wire_director_body_u.loads))
 			 return FALSE;
 		break;
-	case JT_WIRE_NEWS:
-		 if (!xdr_jt_wire_news (xdrs, &objp->jt_wire_director_body_u.news))
+	case JT_WIRE_UPDATE:
+		 if (!xdr_jt_wire_update (xdrs, &objp->jt_wire_director_body_u.update))
 			 return FALSE;
 		break;
-	case JT_WIRE_STANDING:
-		 if (!xdr_jt_wire_standing (xdrs, &objp->jt_wire_director_body_u.standing))
+	case JT_WIRE_AVAILABILITY:
+		 if (!xdr_jt_wire_availability (xdrs, &objp->jt_wire_director_body_u.availability))
 			 return FALSE;
 		break;
 	case JT_WIRE_FAILURES:
 		 if (!xdr_jt_wire_failures (xdrs, &objp->jt_wire_director_body_u.failures))
 			 return FALSE;
 		break;
-	case JT_WIRE_FLOW_QUESTION:
-		 if (!xdr_jt_wire_flow_question (xdrs, &objp->jt_wire_director_body_u.flow_question))
+	case JT_WIRE_FLOW_LOOKUP:
+		 if (!xdr_jt_wire_flow_lookup (xdrs, &objp->jt_wire_director_body_u.flow_lookup))
 			 return FALSE;
 		break;
-	case JT_WIRE_FLOW_ANSWER:
-		 if (!xdr_jt_wire_flow_answer (xdrs, &objp->jt_wire_director_body_u.flow_answer))
+	case JT_WIRE_FLOW_LOOKUP_RESPONSE:
+		 if (!xdr_jt_wire_flow_lookup_response (xdrs, &objp->jt_wire_director_body_u.flow_lookup_response))
 			 return FALSE;
 		break;
 	default:
--- a/src/proto/jt_proto.h
+++ b/src/proto/jt_proto.h
@@ -56,9 +56,9 @@
 		jt_wire_endpoint *endpoints_val;
 	} endpoints;
 	struct {
-		u_int clean_len;
-		jt_wire_bucket *clean_val;
-	} clean;
+		u_int clean_buckets_len;
+		jt_wire_bucket *clean_buckets_val;
+	} clean_buckets;
 };
 typedef struct jt_wire_proposal jt_wire_proposal;
 
@@ -74,7 +74,7 @@
 	u_int accepted_ahead;
 	bool_t transferred;
 	u_quad_t config_revision;
-	u_int everywhere_behind;
+	u_int revision_behind_active;
 	u_int sent_ms;
 	u_int echo_ms;
 	bool_t leaving;
@@ -107,15 +107,15 @@
 		jt_wire_report *reports_val;
 	} reports;
 	struct {
-		u_int clean_len;
-		jt_wire_bucket *clean_val;
-	} clean;
+		u_int clean_buckets_len;
+		jt_wire_bucket *clean_buckets_val;
+	} clean_buckets;
 };
 typedef struct jt_wire_counts jt_wire_counts;
 
 struct jt_wire_join {
 	jt_wire_member member;
-	bool_t cut_off;
+	bool_t lease_lost;
 };
 typedef struct jt_wire_join jt_wire_join;
 
@@ -238,11 +238,11 @@
 };
 typedef struct jt_wire_config jt_wire_config;
 
-struct jt_wire_detour {
+struct jt_wire_relayed {
 	u_quad_t to;
 	struct jt_wire_message *message;
 };
-typedef struct jt_wire_detour jt_wire_detour;
+typedef struct jt_wire_relayed jt_wire_relayed;
 
 enum jt_wire_kind {
 	JT_WIRE_HEARTBEAT = 1,
@@ -260,7 +260,7 @@
 	JT_WIRE_RELAY = 13,
 	JT_WIRE_CONFIG_REQUEST = 14,
 	JT_WIRE_CONFIG = 15,
-	JT_WIRE_DETOUR = 16,
+	JT_WIRE_RELAYED = 16,
 };
 typedef enum jt_wire_kind jt_wire_kind;
 
@@ -282,7 +282,7 @@
 		jt_wire_relay relay;
 		jt_wire_config_request config_request;
 		jt_wire_config config;
-		jt_wire_detour detour;
+		jt_wire_relayed relayed;
 	} jt_wire_body_u;
 };
 typedef struct jt_wire_body jt_wire_body;
@@ -320,7 +320,7 @@
 extern  bool_t xdr_jt_wire_relay (XDR *, jt_wire_relay*);
 extern  bool_t xdr_jt_wire_config_request (XDR *, jt_wire_config_request*);
 extern  bool_t xdr_jt_wire_config (XDR *, jt_wire_config*);
-extern  bool_t xdr_jt_wire_detour (XDR *, jt_wire_detour*);
+extern  bool_t xdr_jt_wire_relayed (XDR *, jt_wire_relayed*);
 extern  bool_t xdr_jt_wire_kind (XDR *, jt_wire_kind*);
 extern  bool_t xdr_jt_wire_body (XDR *, jt_wire_body*);
 extern  bool_t xdr_jt_wire_message (XDR *, jt_wire_message*);
@@ -349,7 +349,7 @@
 extern bool_t xdr_jt_wire_relay ();
 extern bool_t xdr_jt_wire_config_request ();
 extern bool_t xdr_jt_wire_config ();
-extern bool_t xdr_jt_wire_detour ();
+extern bool_t xdr_jt_wire_relayed ();
 extern bool_t xdr_jt_wire_kind ();
 extern bool_t xdr_jt_wire_body ();
 extern bool_t xdr_jt_wire_message ();
--- a/src/proto/jt_proto.x
+++ b/src/proto/jt_proto.x
@@ -41,7 +41,7 @@
 	unsigned hyper config_revision;
 	jt_wire_member members<JT_MAX_MEMBERS>;
 	jt_wire_endpoint endpoints<JT_MAX_ENDPOINTS>;
-	jt_wire_bucket clean<JT_MAX_BUCKETS>;
+	jt_wire_bucket clean_buckets<JT_MAX_BUCKETS>;
 };
 
 struct jt_wire_ballot {
@@ -59,8 +59,8 @@
 	unsigned int accepted_ahead;    /* accepted epoch minus epoch */
 	bool transferred;               /* handover of the epoch's records is done */
 	unsigned hyper config_revision; /* newest known */
-	unsigned int everywhere_behind; /* config_revision minus the revision that
-	                                 * is in force at all members */
+	/* config_revision minus the revision that is in force at all members */
+	unsigned int revision_behind_active;
 	unsigned int sent_ms;           /* low half of the sender's clock */
 	unsigned int echo_ms;           /* last sent_ms received from the peer */
 	bool leaving;
@@ -84,13 +84,14 @@
 	unsigned int endpoints<JT_MAX_ENDPOINTS>;
 	unsigned int shares<JT_MAX_ENDPOINTS>;
 	jt_wire_report reports<JT_MAX_ENDPOINTS>;
-	jt_wire_bucket clean<JT_MAX_BUCKETS>;
+	jt_wire_bucket clean_buckets<JT_MAX_BUCKETS>;
 };
 
 struct jt_wire_join {
 	jt_wire_member member;
-	bool cut_off; /* from a member without a lease, which only asks for the
-	              * current state */
+	/* From a member without a lease, which only asks for the current
+	 * state. */
+	bool lease_lost;
 };
 
 struct jt_wire_prepare {
@@ -176,7 +177,7 @@
 
 /* A message relayed through a third member, since the sender can't reach the
  * receiver directly. */
-struct jt_wire_detour {
+struct jt_wire_relayed {
 	unsigned hyper to;
 	struct jt_wire_message *message;
 };
@@ -197,7 +198,7 @@
 	JT_WIRE_RELAY = 13,
 	JT_WIRE_CONFIG_REQUEST = 14,
 	JT_WIRE_CONFIG = 15,
-	JT_WIRE_DETOUR = 16
+	JT_WIRE_RELAYED = 16
 };
 
 union jt_wire_body switch (jt_wire_kind kind) {
@@ -231,8 +232,8 @@
 	jt_wire_config_request config_request;
 case JT_WIRE_CONFIG:
 	jt_wire_config config;
-case JT_WIRE_DETOUR:
-	jt_wire_detour detour;
+case JT_WIRE_RELAYED:
+	jt_wire_relayed relayed;
 };
 
 /*
--- a/src/proto/jt_proto_xdr.c
+++ b/src/proto/jt_proto_xdr.c
@@ -111,7 +111,7 @@
 	 if (!xdr_array (xdrs, (char **)&objp->endpoints.endpoints_val, (u_int *) &objp->endpoints.endpoints_len, JT_MAX_ENDPOINTS,
 		sizeof (jt_wire_endpoint), (xdrproc_t) xdr_jt_wire_endpoint))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->clean.clean_val, (u_int *) &objp->clean.clean_len, JT_MAX_BUCKETS,
+	 if (!xdr_array (xdrs, (char **)&objp->clean_buckets.clean_buckets_val, (u_int *) &objp->clean_buckets.clean_buckets_len, JT_MAX_BUCKETS,
 		sizeof (jt_wire_bucket), (xdrproc_t) xdr_jt_wire_bucket))
 		 return FALSE;
 	return TRUE;
@@ -148,7 +148,7 @@
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 5 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
-			 if (!xdr_u_int (xdrs, &objp->everywhere_behind))
+			 if (!xdr_u_int (xdrs, &objp->revision_behind_active))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->sent_ms))
 				 return FALSE;
@@ -160,7 +160,7 @@
 				 return FALSE;
 
 		} else {
-		IXDR_PUT_U_LONG(buf, objp->everywhere_behind);
+		IXDR_PUT_U_LONG(buf, objp->revision_behind_active);
 		IXDR_PUT_U_LONG(buf, objp->sent_ms);
 		IXDR_PUT_U_LONG(buf, objp->echo_ms);
 		IXDR_PUT_BOOL(buf, objp->leaving);
@@ -183,7 +183,7 @@
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 5 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
-			 if (!xdr_u_int (xdrs, &objp->everywhere_behind))
+			 if (!xdr_u_int (xdrs, &objp->revision_behind_active))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->sent_ms))
 				 return FALSE;
@@ -195,7 +195,7 @@
 				 return FALSE;
 
 		} else {
-		objp->everywhere_behind = IXDR_GET_U_LONG(buf);
+		objp->revision_behind_active = IXDR_GET_U_LONG(buf);
 		objp->sent_ms = IXDR_GET_U_LONG(buf);
 		objp->echo_ms = IXDR_GET_U_LONG(buf);
 		objp->leaving = IXDR_GET_BOOL(buf);
@@ -217,7 +217,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->config_revision))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->everywhere_behind))
+	 if (!xdr_u_int (xdrs, &objp->revision_behind_active))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->sent_ms))
 		 return FALSE;
@@ -261,7 +261,7 @@
 	 if (!xdr_array (xdrs, (char **)&objp->reports.reports_val, (u_int *) &objp->reports.reports_len, JT_MAX_ENDPOINTS,
 		sizeof (jt_wire_report), (xdrproc_t) xdr_jt_wire_report))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->clean.clean_val, (u_int *) &objp->clean.clean_len, JT_MAX_BUCKETS,
+	 if (!xdr_array (xdrs, (char **)&objp->clean_buckets.clean_buckets_val, (u_int *) &objp->clean_buckets.clean_buckets_len, JT_MAX_BUCKETS,
 		sizeof (jt_wire_bucket), (xdrproc_t) xdr_jt_wire_bucket))
 		 return FALSE;
 	return TRUE;
@@ -274,7 +274,7 @@
 
 	 if (!xdr_jt_wire_member (xdrs, &objp->member))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->cut_off))
+	 if (!xdr_bool (xdrs, &objp->lease_lost))
 		 return FALSE;
 	return TRUE;
 }
@@ -525,7 +525,7 @@
 }
 
 bool_t
-xdr_jt_wire_detour (XDR *xdrs, jt_wire_detour *objp)
+xdr_jt_wire_relayed (XDR *xdrs, jt_wire_relayed *objp)
 {
 	register int32_t *buf;
 
@@ -614,8 +614,8 @@
 		 if (!xdr_jt_wire_config (xdrs, &objp->jt_wire_body_u.config))
 			 return FALSE;
 		break;
-	case JT_WIRE_DETOUR:
-		 if (!xdr_jt_wire_detour (xdrs, &objp->jt_wire_body_u.detour))
+	case JT_WIRE_RELAYED:
+		 if (!xdr_jt_wire_relayed (xdrs, &objp->jt_wire_body_u.relayed))
 			 return FALSE;
 		break;
 	default:
--- a/src/resource/jt_change.c
+++ b/src/resource/jt_change.c
@@ -44,8 +44,8 @@
 	const char *group =
 		json_string_value(json_object_get(current, "group"));
 
-	if (current == NULL || change->only_group == NULL ||
-	    (group != NULL && strcmp(group, change->only_group) == 0))
+	if (current == NULL || change->required_group == NULL ||
+	    (group != NULL && strcmp(group, change->required_group) == 0))
 		return JT_CHANGE_OK;
 	set_error(error, change, "group",
 		  "is not the group for which the token is valid");
@@ -94,7 +94,7 @@
 	if (change->resource == NULL) {
 		if (current == NULL) {
 			set_error(error, change, "", "does not exist");
-			return JT_CHANGE_ABSENT;
+			return JT_CHANGE_NOT_FOUND;
 		}
 		json_array_remove(list, index);
 		return JT_CHANGE_OK;
@@ -177,7 +177,7 @@
 	return result;
 }
 
-bool jt_change_written(const json_t *document, const char *write_id)
+bool jt_change_has_write_id(const json_t *document, const char *write_id)
 {
 	const json_t *ids = json_object_get(document, "write_ids");
 
--- a/src/resource/jt_change.h
+++ b/src/resource/jt_change.h
@@ -29,13 +29,13 @@
 	bool has_version;
 	uint64_t version; /* 0: must not exist yet */
 	/* If set, an existing resource must belong to this group. */
-	const char *only_group;
+	const char *required_group;
 };
 
 enum jt_change_result {
 	JT_CHANGE_OK,
 	JT_CHANGE_CONFLICT,  /* the resource has another version */
-	JT_CHANGE_ABSENT,    /* the resource to delete does not exist */
+	JT_CHANGE_NOT_FOUND, /* the resource to delete does not exist */
 	JT_CHANGE_INVALID,   /* the resulting document is invalid */
 	JT_CHANGE_FORBIDDEN, /* the resource is of another group */
 };
@@ -52,7 +52,7 @@
 				      struct jt_resource_error *error);
 
 /* Returns true if @write_id is among the last JT_WRITE_IDS writes. */
-bool jt_change_written(const json_t *document, const char *write_id);
+bool jt_change_has_write_id(const json_t *document, const char *write_id);
 
 /*
  * Converts the resources of a posted document to changes, allocated below
--- a/src/standin/store.c
+++ b/src/standin/store.c
@@ -127,8 +127,8 @@
 				    "header", header_json(store), "events",
 				    "type", type, "kv", entry_json(entry));
 		text = json_dumps(message, JSON_COMPACT);
-		jt_http_stream(w->request, text);
-		jt_http_stream(w->request, "\n");
+		jt_http_stream_write(w->request, text);
+		jt_http_stream_write(w->request, "\n");
 		free(text);
 		json_decref(message);
 	}
@@ -313,7 +313,7 @@
 	store->watchers = watcher;
 	jt_http_on_close(request, on_watcher_closed, watcher);
 	jt_http_stream_start(request, "application/json");
-	jt_http_stream(request, "{\"result\":{\"created\":true}}\n");
+	jt_http_stream_write(request, "{\"result\":{\"created\":true}}\n");
 	entry = entry_find(store, key);
 	if (entry != NULL &&
 	    entry->mod_revision >= uint64_field(create, "start_revision"))
--- a/src/store/jt_store.c
+++ b/src/store/jt_store.c
@@ -321,8 +321,8 @@
 	json_decref(body);
 	call.url = talloc_asprintf(state, "%s/v3/watch", store->url);
 	call.body = text;
-	call.on_part = on_watch_data;
-	call.part_data = state;
+	call.on_body = on_watch_data;
+	call.on_body_data = state;
 	store->operations++;
 	subreq = jt_http_send(state, store->http, &call);
 	free(text);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -435,7 +435,7 @@
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
 	struct jt_snapshot_request request = {0};
 	struct jt_routing *routing;
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 
 	(void)state;
 	event.u.routing = model->routing;
--- a/tests/test_director.c
+++ b/tests/test_director.c
@@ -383,7 +383,7 @@
 		       *fixture = fixture_with_two_endpoints(0);
 	struct jt_endpoint_entry entry =
 		make_entry(0x201, SERVICE_EXPORT, ZONE_A, 9);
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 
 	(void)state;
 	entry.address = make_entry(0x101, 0, 0, 0).address;
@@ -414,7 +414,7 @@
 /* Returns how many entries a snapshot for a node that knows all up to @since
  * holds. */
 static u_int snapshot_entries_since(struct fixture *fixture, uint64_t since,
-				    jt_wire_knowledge *snapshot)
+				    jt_wire_snapshot *snapshot)
 {
 	assert_true(
 		jt_snapshot_write(fixture, fixture->director,
@@ -427,7 +427,7 @@
 {
 	struct fixture *fixture = fixture_with_two_endpoints(0);
 	uint64_t version = jt_director_routing(fixture->director)->version;
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 
 	(void)state;
 	fixture_add_endpoint(fixture, 0x101, SERVICE_BOARD, ZONE_A, 20);
@@ -438,12 +438,12 @@
 	assert_int_equal(snapshot.entries.entries_val[0].removed_revision, 30);
 	assert_int_equal(snapshot_entries_since(fixture, 30, &snapshot), 0);
 	/* The routing is sent only to a node that lacks its version. */
-	assert_int_equal(snapshot.routing.number, version);
+	assert_int_equal(snapshot.routing.routing_version, version);
 	assert_true(jt_snapshot_write(
 		fixture, fixture->director,
 		&(struct jt_snapshot_request){.since = 30, .version = version},
 		fixture->now_ms, &snapshot));
-	assert_int_equal(snapshot.routing.number, 0);
+	assert_int_equal(snapshot.routing.routing_version, 0);
 	talloc_free(fixture);
 }
 
@@ -481,7 +481,7 @@
 {
 	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_director_event tick = {.kind = JT_DIRECTOR_TICK};
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 
 	(void)state;
 	fixture_remove_entry(fixture, 0x102, 30);
--- a/tests/test_flow_rate.c
+++ b/tests/test_flow_rate.c
@@ -258,7 +258,7 @@
 	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct jt_endpoint_entry cold =
 		make_entry(0x103, SERVICE_BOARD, ZONE_A, 20);
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 
 	(void)state;
 	cold.cold_left_ms = 2000;
--- a/tests/test_http_plain.c
+++ b/tests/test_http_plain.c
@@ -177,7 +177,7 @@
 static void test_binary_body_and_header_of_reply(void **state)
 {
 	struct fixture *fixture = fixture_create();
-	struct jt_http_call call = {.want = "content-type"};
+	struct jt_http_call call = {.response_header = "content-type"};
 	struct tevent_req *req = fixture_send(fixture, "/bytes", call);
 	size_t length = 0;
 	char *body = NULL;
@@ -185,7 +185,8 @@
 
 	(void)state;
 	assert_true(tevent_req_poll(req, fixture->loop));
-	assert_string_equal(jt_http_wanted(req), "application/octet-stream");
+	assert_string_equal(jt_http_response_header(req),
+			    "application/octet-stream");
 	assert_int_equal(
 		jt_http_recv_bytes(req, fixture, &status, &body, &length), 0);
 	assert_int_equal(length, 3);
--- a/tests/test_incarnations.c
+++ b/tests/test_incarnations.c
@@ -687,7 +687,7 @@
 	struct fixture *fixture = fixture_with_started_endpoints(),
 		       *peer = fixture_create(0);
 	const struct jt_snapshot_request request = {0};
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 	struct jt_director_event event;
 
 	(void)state;
--- a/tests/test_knowledge_fetch.c
+++ b/tests/test_knowledge_fetch.c
@@ -7,10 +7,10 @@
 
 enum { NOW_MS = 100000, ANSWER_BYTES = 25000 };
 
-static jt_wire_knowledge make_part(uint32_t slice, uint32_t next,
-				   uint64_t revision)
+static jt_wire_snapshot make_part(uint32_t slice, uint32_t next,
+				  uint64_t revision)
 {
-	return (jt_wire_knowledge){
+	return (jt_wire_snapshot){
 		.slice = slice,
 		.slice_next = next,
 		.revision = revision,
@@ -23,7 +23,7 @@
 {
 	struct jt_own_state own = {0};
 	struct jt_snapshot_fetch fetch = {0};
-	jt_wire_knowledge part;
+	jt_wire_snapshot part;
 
 	(void)state;
 	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).slice, 0);
@@ -51,7 +51,7 @@
 {
 	struct jt_own_state own = {.started = true, .revision = 20};
 	struct jt_snapshot_fetch fetch = {0};
-	jt_wire_knowledge part = make_part(0, 300, 40);
+	jt_wire_snapshot part = make_part(0, 300, 40);
 
 	(void)state;
 	part.since = 20;
@@ -67,7 +67,7 @@
 {
 	struct jt_own_state own = {.started = true, .revision = 20};
 	struct jt_snapshot_fetch fetch = {0};
-	jt_wire_knowledge part = make_part(0, 300, 40);
+	jt_wire_snapshot part = make_part(0, 300, 40);
 
 	(void)state;
 	part.since = 20;
@@ -84,10 +84,10 @@
 {
 	const struct jt_own_state own = {0};
 	struct jt_snapshot_fetch fetch = {0};
-	jt_wire_knowledge late = make_part(0, JT_DIRECTOR_SLICES, 40);
-	jt_wire_knowledge wrong_slice = make_part(300, JT_DIRECTOR_SLICES, 40);
-	jt_wire_knowledge empty = make_part(0, 0, 40);
-	jt_wire_knowledge wrong_since = make_part(0, JT_DIRECTOR_SLICES, 40);
+	jt_wire_snapshot late = make_part(0, JT_DIRECTOR_SLICES, 40);
+	jt_wire_snapshot wrong_slice = make_part(300, JT_DIRECTOR_SLICES, 40);
+	jt_wire_snapshot empty = make_part(0, 0, 40);
+	jt_wire_snapshot wrong_since = make_part(0, JT_DIRECTOR_SLICES, 40);
 
 	(void)state;
 	assert_false(jt_snapshot_fetch_record(&fetch, &late, NOW_MS));
--- a/tests/test_learning.c
+++ b/tests/test_learning.c
@@ -122,7 +122,7 @@
 {
 	struct fixture *from = fixture_with_one_endpoint(0),
 		       *to = fixture_create(0);
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 
 	(void)state;
 	from->now_ms += 500;
--- a/tests/test_list_gaps.c
+++ b/tests/test_list_gaps.c
@@ -74,7 +74,7 @@
 }
 
 static void write_snapshot(struct fixture *fixture, uint64_t since,
-			   jt_wire_knowledge *snapshot)
+			   jt_wire_snapshot *snapshot)
 {
 	const struct jt_snapshot_request request = {.since = since,
 						    .version = 1};
@@ -85,7 +85,7 @@
 
 /* Applies a peer's snapshot as the driver does. */
 static void apply_snapshot(struct fixture *fixture,
-			   const jt_wire_knowledge *snapshot, uint64_t since)
+			   const jt_wire_snapshot *snapshot, uint64_t since)
 {
 	struct jt_snapshot_fetch fetch = {0};
 	const struct jt_own_state own = {
@@ -115,7 +115,7 @@
 {
 	struct fixture *watching = fixture_watching(),
 		       *listing = fixture_from_listing();
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 
 	(void)state;
 	write_snapshot(listing, 18, &snapshot);
@@ -136,7 +136,7 @@
 	struct fixture *watching = fixture_watching(),
 		       *listing = fixture_from_listing(),
 		       *other = fixture_watching();
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 
 	(void)state;
 	write_snapshot(listing, 18, &snapshot);
@@ -158,7 +158,7 @@
 	struct fixture *watching = fixture_watching(),
 		       *relisted = fixture_watching(),
 		       *other = fixture_watching();
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 
 	(void)state;
 	fixture_add_endpoint(other, ADDED, SERVICE_BOARD, ZONE_A, 20);
@@ -183,7 +183,7 @@
 {
 	struct fixture *fixture = fixture_watching();
 	struct jt_director_event event = {.kind = JT_DIRECTOR_CAUGHT_UP};
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 
 	(void)state;
 	fixture_add_endpoint(fixture, ADDED, SERVICE_BOARD, ZONE_A, 20);
@@ -202,7 +202,7 @@
 {
 	struct fixture *watching = fixture_watching(),
 		       *listing = fixture_from_listing();
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 	struct jt_director_event event;
 
 	(void)state;
@@ -222,7 +222,7 @@
 {
 	struct fixture *watching = fixture_watching(),
 		       *listing = fixture_from_listing();
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 	struct jt_director_event event;
 
 	(void)state;
--- a/tests/test_many_endpoints.c
+++ b/tests/test_many_endpoints.c
@@ -54,7 +54,7 @@
 	struct jt_snapshot_fetch fetch = {0};
 	const struct jt_own_state own = {0};
 	struct jt_director_event event;
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 	bool complete = false;
 	u_int most = 0;
 
@@ -94,7 +94,7 @@
 	const struct jt_own_state own = {0};
 	const struct jt_snapshot_request request =
 		jt_snapshot_fetch_request(&fetch, &own);
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 
 	(void)state;
 	fixture_set_routing(from, 1, 50, 50);
@@ -103,7 +103,7 @@
 	assert_true(jt_snapshot_write(from, from->director, &request,
 				      from->now_ms, &snapshot));
 	assert_in_range(snapshot.entries.entries_len, 1, 600);
-	assert_int_equal(snapshot.routing.number, 1);
+	assert_int_equal(snapshot.routing.routing_version, 1);
 	assert_false(jt_snapshot_fetch_record(&fetch, &snapshot, from->now_ms));
 	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).slice, 0);
 	talloc_free(from);
@@ -115,7 +115,7 @@
 	enum { FEW = 200 };
 	struct fixture *from = fixture_create(0);
 	const struct jt_snapshot_request request = {0};
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 	u_int least = FEW;
 
 	(void)state;
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -425,7 +425,7 @@
 		jt_membership_create(NULL, 1, address_of(0), 1);
 	const struct jt_own_state own = {.started = true, .revision = 11};
 	jt_wire_digest digest = {.revision = 12, .started = TRUE};
-	const jt_wire_standing availability = {
+	const jt_wire_availability availability = {
 		.zone = 1, .started = TRUE, .ready = TRUE};
 
 	(void)state;
@@ -456,9 +456,9 @@
 {
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
-	const jt_wire_standing other_zone = {
+	const jt_wire_availability other_zone = {
 		.zone = 2, .started = TRUE, .leaving = TRUE};
-	const jt_wire_standing same_zone = {
+	const jt_wire_availability same_zone = {
 		.zone = 1, .started = TRUE, .leaving = TRUE};
 
 	(void)state;
@@ -478,7 +478,7 @@
 
 /* Reports @availability for @count nodes, at the addresses from @first on. */
 static void report_availability(struct jt_membership *membership, int first,
-				int count, jt_wire_standing availability)
+				int count, jt_wire_availability availability)
 {
 	for (int i = first; i < first + count; i++)
 		jt_membership_record_availability(membership, 100 + (uint64_t)i,
@@ -499,13 +499,13 @@
  * zones, but not to nodes that have not started. */
 static void test_flow_lookups_go_to_zone_peers(void **state)
 {
-	const jt_wire_standing serving = {
+	const jt_wire_availability serving = {
 		.zone = 1, .started = TRUE, .ready = TRUE};
-	const jt_wire_standing other_zone = {
+	const jt_wire_availability other_zone = {
 		.zone = 2, .started = TRUE, .ready = TRUE};
-	const jt_wire_standing other_zone_leaving = {
+	const jt_wire_availability other_zone_leaving = {
 		.zone = 2, .started = TRUE, .leaving = TRUE, .ready = TRUE};
-	const jt_wire_standing starting = {.zone = 1};
+	const jt_wire_availability starting = {.zone = 1};
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
 	struct jt_address targets[JT_FLOW_LOOKUP_FANOUT];
@@ -529,7 +529,7 @@
 /* The only node of a zone looks flows up in other zones. */
 static void test_single_node_looks_up_in_other_zones(void **state)
 {
-	const jt_wire_standing other_zone = {
+	const jt_wire_availability other_zone = {
 		.zone = 2, .started = TRUE, .ready = TRUE};
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
@@ -546,9 +546,9 @@
  * asked first. */
 static void test_flow_lookups_are_bounded(void **state)
 {
-	const jt_wire_standing serving = {
+	const jt_wire_availability serving = {
 		.zone = 1, .started = TRUE, .ready = TRUE};
-	const jt_wire_standing leaving = {
+	const jt_wire_availability leaving = {
 		.zone = 1, .started = TRUE, .leaving = TRUE};
 	struct jt_membership *membership =
 		jt_membership_create(NULL, 1, address_of(0), 1);
@@ -603,7 +603,7 @@
 	(void)state;
 	jt_membership_digest(membership, 1001, address_of(1), &digest, 1000);
 	assert_null(jt_membership_fetch(membership, &own, 1000));
-	digest.places = true;
+	digest.accepts_flows = true;
 	jt_membership_digest(membership, 1002, address_of(2), &digest, 1000);
 	peer = jt_membership_fetch(membership, &own, 1000);
 	assert_non_null(peer);
--- a/tests/test_resource.c
+++ b/tests/test_resource.c
@@ -131,8 +131,8 @@
 			 JT_CHANGE_CONFLICT);
 	assert_string_equal(error.resource, "shares/s/a");
 	assert_string_equal(error.field, "version");
-	assert_true(jt_change_written(document, "one"));
-	assert_false(jt_change_written(document, "two"));
+	assert_true(jt_change_has_write_id(document, "one"));
+	assert_false(jt_change_has_write_id(document, "two"));
 	json_decref(document);
 }
 
@@ -157,7 +157,7 @@
 	removal.name = "zzz";
 	assert_int_equal(
 		jt_change_apply(document, &removal, 1, "id", &after, &error),
-		JT_CHANGE_ABSENT);
+		JT_CHANGE_NOT_FOUND);
 	json_decref(document);
 }
 
@@ -173,8 +173,8 @@
 		assert_int_equal(change(&document, "{}", id, &error),
 				 JT_CHANGE_OK);
 	}
-	assert_false(jt_change_written(document, "w0"));
-	assert_true(jt_change_written(document, "w1"));
+	assert_false(jt_change_has_write_id(document, "w0"));
+	assert_true(jt_change_has_write_id(document, "w1"));
 	json_decref(document);
 }
 
@@ -188,7 +188,7 @@
 	struct jt_change change = {.kind = JT_RESOURCE_ADDRESS,
 				   .name = "x",
 				   .resource = address,
-				   .only_group = "b"};
+				   .required_group = "b"};
 	struct jt_resource_error error;
 	json_t *after;
 
@@ -197,7 +197,7 @@
 		jt_change_apply(document, &change, 1, "id", &after, &error),
 		JT_CHANGE_FORBIDDEN);
 	assert_string_equal(error.field, "group");
-	change.only_group = "a";
+	change.required_group = "a";
 	json_object_set_new(address, "group", json_string("a"));
 	assert_int_equal(
 		jt_change_apply(document, &change, 1, "id", &after, &error),
--- a/tests/test_tables.c
+++ b/tests/test_tables.c
@@ -169,8 +169,8 @@
 	for (u_int b = 0; b < JT_BUCKETS; b++)
 		buckets[b] = (jt_wire_bucket){77, b};
 	f.proposal.epoch = 4;
-	f.proposal.clean.clean_val = buckets;
-	f.proposal.clean.clean_len = JT_BUCKETS;
+	f.proposal.clean_buckets.clean_buckets_val = buckets;
+	f.proposal.clean_buckets.clean_buckets_len = JT_BUCKETS;
 	clean = jt_cell_apply(NULL, 9, returned, &f.proposal, &f.config, 0);
 	assert_int_equal(count_exceptional_buckets(clean), free_buckets);
 	talloc_free(first);
--- a/tests/test_zone_drains.c
+++ b/tests/test_zone_drains.c
@@ -286,7 +286,7 @@
 {
 	struct fixture *fixture = fixture_with_two_zones(0),
 		       *other = fixture_with_two_zones(0);
-	jt_wire_knowledge snapshot;
+	jt_wire_snapshot snapshot;
 	struct jt_zone_drain *drains;
 
 	(void)state;
