--- a/fuzz/fuzz_cluster.c
+++ b/fuzz/fuzz_cluster.c
@@ -70,7 +70,7 @@
 	uint64_t drain_revision[ENDPOINTS];
 };
 
-/* Set by the driver: the features to disable, without which runs must fail,
+/* Set by the driver: the faults to inject, with which runs must fail,
  * and whether to log each step to stderr. */
 unsigned fuzz_injected_faults;
 int fuzz_verbose;
--- a/src/cluster/jt_cluster_private.h
+++ b/src/cluster/jt_cluster_private.h
@@ -95,7 +95,7 @@
 	struct jt_cluster_options options;
 	struct jt_scheduler *scheduler;
 	uint64_t random_state;
-	/* Handles an event for a node; called through node_tell(). */
+	/* Handles an event for a node; called through node_handle_event(). */
 	void (*handle_event)(struct node *node, struct jt_event *event);
 	struct node *nodes[JT_CLUSTER_MAX_NODES];
 	size_t node_count;
--- a/src/director/jt_director_node_sync.c
+++ b/src/director/jt_director_node_sync.c
@@ -314,7 +314,7 @@
 
 /*
  * Completes a snapshot. Changes up to its revision are known, removals
- * included, except for the gap and the forgotten changes in the event. The
+ * included, except for the gap and the incomplete part in the event. The
  * peers' last read of the store counts as one of this node.
  */
 static void on_snapshot_complete(const struct jt_snapshot_fetch *snapshot,
--- a/src/label/admission/jt_concurrency_limit.c
+++ b/src/label/admission/jt_concurrency_limit.c
@@ -143,15 +143,15 @@
 /* Updates the lowest decile. The initial value is capped, as if the service
  * were fast relative to the target. */
 static void fast_delay_update(struct jt_concurrency_limit *limit,
-			      double quick_ms, uint32_t target_ms)
+			      double delay_ms, uint32_t target_ms)
 {
 	double difference_ms;
 
 	if (limit->fast_delay_ms == 0)
 		limit->fast_delay_ms =
-			fmin(quick_ms,
+			fmin(delay_ms,
 			     target_ms * DELAY_PART / ALLOWED_TO_FAST_DELAY);
-	difference_ms = quick_ms - limit->fast_delay_ms;
+	difference_ms = delay_ms - limit->fast_delay_ms;
 	/* Under a limit even the fastest answers include queueing. */
 	if (difference_ms < 0)
 		limit->fast_delay_ms += difference_ms * FAST_DELAY_FALL_FACTOR;
--- a/src/label/jt_choose.h
+++ b/src/label/jt_choose.h
@@ -3,7 +3,7 @@
  *
  * New flows are split over the parts of a route by weight: each goes to the
  * part that is furthest behind its weight. Within a service the endpoint with
- * the lowest recent load, relative to its capacity and measured speed, is
+ * the lowest recent load, relative to its capacity and response ratio, is
  * chosen. Endpoints of this node's zone are preferred unless endpoints of other
  * zones are clearly less loaded.
  */
