--- a/src/director/jt_director_node_packets.c
+++ b/src/director/jt_director_node_packets.c
@@ -1,4 +1,5 @@
-/* What a director node does with an event: decide, act, pass packets on. */
+/* Passes events to the decision library and carries out the resulting
+ * actions. */
 #include "jt_director_log.h"
 #include "jt_director_node_private.h"
 #include "jt_flow_lookup.h"
@@ -10,8 +11,8 @@
 #include <sys/socket.h>
 
 enum {
-	PACKET_BATCH = 64, /* datagrams before other events get a turn */
-	HELD_LIMIT = 1024, /* packets that wait for what is not known yet */
+	PACKET_BATCH = 64, /* datagrams read before other events are handled */
+	HELD_LIMIT = 1024, /* packets held at once */
 };
 
 /* Actions */
@@ -28,9 +29,10 @@
 		node->traffic.send_failed++;
 }
 
-/* The id of the request that begins in the packet in hand, or "". */
-static void packet_request(const struct jt_director_node *node,
-			   char request[JT_REQUEST_ID_SIZE])
+/* Copies the id of the request that begins in the current packet; "" if there
+ * is none. */
+static void packet_request_id(const struct jt_director_node *node,
+			      char request[JT_REQUEST_ID_SIZE])
 {
 	request[0] = '\0';
 	node->environment->codec->request(node->buffer + JT_HEADROOM_MAX,
@@ -43,7 +45,7 @@
 {
 	char request[JT_REQUEST_ID_SIZE];
 
-	packet_request(node, request);
+	packet_request_id(node, request);
 	if (request[0] != '\0')
 		jt_director_log_request(node->log, action, request,
 					node->event_ms);
@@ -53,11 +55,11 @@
 			const struct jt_director_action *action)
 {
 	uint8_t *packet = node->buffer + JT_HEADROOM_MAX;
-	size_t before = node->environment->codec->wrap(
+	size_t prefix_length = node->environment->codec->wrap(
 		packet, action->endpoint_id, action->label);
 
-	datagram_send(node, action->address, packet - before,
-		      node->packet_length + before);
+	datagram_send(node, action->address, packet - prefix_length,
+		      node->packet_length + prefix_length);
 	node->traffic.forwarded++;
 	log_request(node, action);
 }
@@ -111,16 +113,16 @@
 {
 	char request[JT_REQUEST_ID_SIZE] = "";
 
-	/* A reset may concern another flow than the packet in hand. */
+	/* A reset may concern another flow than the current packet. */
 	if (action->kind != JT_DIRECTOR_RESET)
-		packet_request(node, request);
+		packet_request_id(node, request);
 	jt_director_log_flow(node->log, action, request, node->event_ms);
 }
 
-/* Whether the decision on a packet is worth a line: packets that follow their
- * label are not, nor is one that is held on. */
-static bool is_told(const struct jt_director_node *node,
-		    const struct jt_director_action *action)
+/* Returns true if the decision is logged. Packets that follow their label are
+ * not, and a held packet is logged only once. */
+static bool is_logged(const struct jt_director_node *node,
+		      const struct jt_director_action *action)
 {
 	if (action->kind == JT_DIRECTOR_HOLD)
 		return node->held_since_ms == 0;
@@ -138,10 +140,10 @@
 		jt_peer_exchange_failures(node->peers, failures, count, peers);
 }
 
-/* The answers come later. Held packets are offered again in good time, however
- * often peers are asked meanwhile: the timer is not put off. */
-static void act_flow_ask(struct jt_director_node *node,
-			 const struct jt_director_action *action)
+/* Queries peers about a flow. A running timer is not restarted, so that
+ * repeated queries don't delay the retry of held packets. */
+static void act_flow_query(struct jt_director_node *node,
+			   const struct jt_director_action *action)
 {
 	size_t peers = jt_peer_exchange_ask_flow(node->peers, &action->key,
 						 action->first_sequence);
@@ -164,7 +166,7 @@
 	case JT_DIRECTOR_RESET:
 	case JT_DIRECTOR_HOLD:
 	case JT_DIRECTOR_DROP:
-		if (is_told(node, action))
+		if (is_logged(node, action))
 			log_flow(node, action);
 		break;
 	default:
@@ -215,7 +217,7 @@
 					 "endpoint_restarted");
 		break;
 	case JT_DIRECTOR_SEEN:
-		/* A whole list is told in one line. */
+		/* A full listing is logged in one line. */
 		if (jt_director_started(node->director))
 			jt_director_log_endpoint(node->log, action,
 						 "endpoint_state");
@@ -232,7 +234,7 @@
 		act_hold(node);
 		break;
 	case JT_DIRECTOR_FLOW_ASK:
-		act_flow_ask(node, action);
+		act_flow_query(node, action);
 		break;
 	case JT_DIRECTOR_DROP:
 		break;
@@ -252,8 +254,8 @@
 
 /* Packets */
 
-/* How long the packet in hand was held: never 0, which is one that just came.
- */
+/* Returns how long the current packet was held, at least 1: 0 means a new
+ * packet. */
 static uint32_t held_ms(const struct jt_director_node *node)
 {
 	uint64_t held_ms = jt_clock_ms() - node->held_since_ms;
@@ -261,7 +263,7 @@
 	return held_ms > 0 ? (uint32_t)held_ms : 1;
 }
 
-static void packet_take(struct jt_director_node *node, size_t length)
+static void packet_handle(struct jt_director_node *node, size_t length)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_PACKET};
 
@@ -274,22 +276,22 @@
 		event.u.packet.held_ms = held_ms(node);
 	node->packet_length = length;
 	jt_director_node_event(node, &event);
-	/* One that was held is no sign that routers still use this node. */
+	/* A held packet doesn't show that routers still send to this node. */
 	if (node->held_since_ms == 0)
 		jt_leave_packet(&node->leave, event.now_ms);
 }
 
-/* Offer a held packet again: it may be held on, since when it was first. */
-static void held_offer(struct jt_director_node *node,
-		       const struct held_packet *held)
+/* Retries a held packet. If it is held again, it keeps its original time. */
+static void held_packet_retry(struct jt_director_node *node,
+			      const struct held_packet *held)
 {
 	memcpy(node->buffer + JT_HEADROOM_MAX, held->data, held->length);
 	node->held_since_ms = held->since_ms;
-	packet_take(node, held->length);
+	packet_handle(node, held->length);
 	node->held_since_ms = 0;
 }
 
-/* Offer held packets again once the node places flows, each of them once. */
+/* Retries each held packet once if the node accepts new flows. */
 void jt_director_node_release(struct jt_director_node *node)
 {
 	size_t count = node->held_count;
@@ -301,7 +303,7 @@
 
 		STAILQ_REMOVE_HEAD(&node->held, next);
 		node->held_count--;
-		held_offer(node, held);
+		held_packet_retry(node, held);
 		talloc_free(held);
 	}
 }
@@ -323,7 +325,7 @@
 		if (length < 0)
 			return;
 		node->traffic.received++;
-		packet_take(node, (size_t)length);
+		packet_handle(node, (size_t)length);
 	}
 }
 
--- a/src/director_daemon/main.c
+++ b/src/director_daemon/main.c
@@ -1,4 +1,4 @@
-/* jaspertrack-director: one balancer node that places flows by label. */
+/* jaspertrack-director: a load balancer node that assigns flows by label. */
 #include "director_process.h"
 #include "jt_version.h"
 
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Names the settings file where --config does not. */
+/* Names the settings file if --config is not given. */
 #define SETTINGS_VARIABLE "JASPERTRACK_SETTINGS"
 
 struct options {
@@ -20,25 +20,25 @@
 {
 	printf("Usage: " DIRECTOR_PROGRAM);
 	arg_print_syntax(stdout, table, "\n");
-	printf("Runs one balancer node that places flows by label. SIGTERM "
-	       "leaves without\ncutting flows; SIGHUP reads the settings "
-	       "again, as does a change of the file.\n\n");
+	printf("Runs a load balancer node that assigns flows by label. "
+	       "SIGTERM shuts it down\nwithout breaking flows; SIGHUP "
+	       "reloads the settings, as does a change of the file.\n\n");
 	arg_print_glossary(stdout, table, "  %-26s %s\n");
-	printf("\nWithout --config the file is the one that %s names.\n"
+	printf("\nWithout --config, the file is taken from %s.\n"
 	       "Example: %s --config node.cfg --check\n",
 	       SETTINGS_VARIABLE, DIRECTOR_PROGRAM);
 }
 
-/* EXIT_DONE with *run true when there is something to do. */
+/* Returns EXIT_DONE with *run true if the node should run. */
 static int parse_arguments(int argc, char **argv, struct options *options,
 			   bool *run)
 {
 	struct arg_file *config =
-		arg_file0("c", "config", "FILE", "settings (libconfig)");
+		arg_file0("c", "config", "FILE", "settings file (libconfig)");
 	struct arg_lit *check =
-		arg_lit0(NULL, "check", "check the settings and stop");
-	struct arg_lit *help = arg_lit0("h", "help", "this text");
-	struct arg_lit *version = arg_lit0(NULL, "version", "the version");
+		arg_lit0(NULL, "check", "check the settings and exit");
+	struct arg_lit *help = arg_lit0("h", "help", "show this help");
+	struct arg_lit *version = arg_lit0(NULL, "version", "show the version");
 	struct arg_end *end = arg_end(8);
 	void *table[] = {config, check, help, version, end};
 	int errors = arg_parse(argc, argv, table);
@@ -74,7 +74,7 @@
 	bool run;
 	int result;
 
-	/* Until the handlers stand, these must not end the process. */
+	/* Until the handlers are installed, these must not end the process. */
 	signal(SIGHUP, SIG_IGN);
 	signal(SIGPIPE, SIG_IGN);
 	result = parse_arguments(argc, argv, &options, &run);
