--- a/include/jaspertrack/core-t.h
+++ b/include/jaspertrack/core-t.h
@@ -49,13 +49,13 @@
 	uint64_t node_id; /* unique; a restarted process uses a new one */
 	uint32_t zone;	  /* hash of the zone's name */
 	struct jt_address address;
-	uint32_t heartbeat_ms;
-	uint32_t counts_ms;
-	uint32_t lease_ms;
-	uint32_t suspect_ms;
-	uint32_t quarantine_ms;
-	uint32_t flow_idle_s;
-	uint32_t cold_start_ms;
+	uint32_t heartbeat_ms;	/* minimum interval of heartbeats */
+	uint32_t counts_ms;	/* minimum interval of counts messages */
+	uint32_t lease_ms;	/* validity of a lease after its grant */
+	uint32_t suspect_ms;	/* a peer silent for longer is suspected */
+	uint32_t quarantine_ms; /* quarantine of a removed endpoint's address */
+	uint32_t flow_idle_s;	/* idle time after which a record is removed */
+	uint32_t cold_start_ms; /* slow-start time of an endpoint that is up */
 	/* Fraction of an idle group's share that is reserved, thousandths. */
 	uint32_t reserve_permille;
 	size_t flow_limit;	  /* records of the flow table */
--- a/include/jaspertrack/director-t.h
+++ b/include/jaspertrack/director-t.h
@@ -239,9 +239,9 @@
 		} updates;
 		struct {
 			uint64_t id;
-			uint64_t
-				start_time_ms; /* of the reported incarnation */
-		} suspicion;		       /* also JT_DIRECTOR_OVERDUE */
+			/* Of the reported incarnation. */
+			uint64_t start_time_ms;
+		} suspicion; /* also JT_DIRECTOR_OVERDUE */
 		struct {
 			uint64_t id;
 			uint64_t start_time_ms; /* of the probed incarnation */
@@ -351,13 +351,13 @@
 struct jt_director_action {
 	enum jt_director_action_kind kind;
 	enum jt_director_reason reason;
-	struct jt_flow_key key; /* forward, reset, drop, hold, flow ask */
+	struct jt_flow_key key; /* forward, reset, drop, hold, flow lookup */
 	uint64_t endpoint_id;
 	uint64_t start_time_ms; /* of the endpoint's incarnation */
 	uint32_t label;
 	struct jt_address address; /* of the endpoint */
 	uint32_t reset_sequence;
-	uint32_t first_sequence; /* flow ask: of the flow's SYN */
+	uint32_t first_sequence; /* flow lookup: of the flow's SYN */
 	enum jt_incarnation_state state;
 	enum jt_death_cause cause;
 	uint64_t revision;   /* of the endpoint's entry */
@@ -385,13 +385,14 @@
 	size_t capacity;
 };
 
-/* Faults that tests inject to verify that the checks detect them. */
+/* Fault injection: tests disable a protection to check that they detect it. */
 enum jt_director_fault {
 	JT_DIRECTOR_FAULT_NONE = 0,
 	/* Declares silent endpoints dead. */
 	JT_DIRECTOR_FAULT_GUESS_DEATH = 1 << 0,
-	JT_DIRECTOR_FAULT_NO_DETECTOR = 1 << 1, /* never declares death */
-	JT_DIRECTOR_FAULT_VERSION = 1 << 2,	/* accepts older routing */
+	JT_DIRECTOR_FAULT_NO_DETECTOR =
+		1 << 1,			    /* never declares endpoints dead */
+	JT_DIRECTOR_FAULT_VERSION = 1 << 2, /* accepts older routing */
 	/* Reassigns retransmitted SYNs. */
 	JT_DIRECTOR_FAULT_PLACE_COPIES = 1 << 3,
 	/* Assigns flows to draining endpoints. */
--- a/src/director/jt_director_log.c
+++ b/src/director/jt_director_log.c
@@ -1,16 +1,16 @@
 #include "jt_director_log.h"
 #include "jt_net.h"
 
-enum { FLOW_TEXT = 2 * JT_ADDRESS_TEXT_SIZE };
+enum { FLOW_TEXT_SIZE = 2 * JT_ADDRESS_TEXT_SIZE };
 
 static const char *flow_format(const struct jt_flow_key *key,
-			       char text[FLOW_TEXT])
+			       char text[FLOW_TEXT_SIZE])
 {
 	struct jt_address from = {key->source, key->source_port};
 	struct jt_address to = {key->destination, key->destination_port};
 	char source[JT_ADDRESS_TEXT_SIZE], destination[JT_ADDRESS_TEXT_SIZE];
 
-	snprintf(text, FLOW_TEXT, "%s>%s", jt_address_format(from, source),
+	snprintf(text, FLOW_TEXT_SIZE, "%s>%s", jt_address_format(from, source),
 		 jt_address_format(to, destination));
 	return text;
 }
@@ -52,7 +52,7 @@
 			const struct jt_director_action *action)
 {
 	const struct jt_admission_state *admission = &action->admission;
-	char flow[FLOW_TEXT];
+	char flow[FLOW_TEXT_SIZE];
 
 	jt_log_line(log, LOG_INFO,
 		    "event=flow flow=%s decision=reset reason=overloaded "
@@ -68,7 +68,7 @@
 			  const struct jt_director_action *action,
 			  const char *request, uint64_t now_ms)
 {
-	char flow[FLOW_TEXT], address[JT_ADDRESS_TEXT_SIZE];
+	char flow[FLOW_TEXT_SIZE], address[JT_ADDRESS_TEXT_SIZE];
 
 	if (action->reason == JT_DIRECTOR_LABELLED ||
 	    !is_allowed(log, reason_class(action->reason), now_ms))
@@ -98,7 +98,7 @@
 			     const struct jt_director_action *action,
 			     const char *request, uint64_t now_ms)
 {
-	char flow[FLOW_TEXT];
+	char flow[FLOW_TEXT_SIZE];
 
 	if (!is_allowed(log, JT_LOG_ORDINARY, now_ms))
 		return;
@@ -117,7 +117,7 @@
 					  const struct jt_flow_key *key,
 					  uint32_t label, uint64_t now_ms)
 {
-	char flow[FLOW_TEXT];
+	char flow[FLOW_TEXT_SIZE];
 
 	if (!is_allowed(log, JT_LOG_ORDINARY, now_ms))
 		return;
--- a/src/director/jt_director_log.h
+++ b/src/director/jt_director_log.h
@@ -19,7 +19,7 @@
 void jt_director_log_request(const struct jt_log *log,
 			     const struct jt_director_action *action,
 			     const char *request, uint64_t now_ms);
-/* Logs a peer's answer to a flow query; @label 0: unknown to the peer. */
+/* Logs a peer's response to a flow lookup; @label 0: unknown to the peer. */
 void jt_director_log_flow_lookup_response(const struct jt_log *log,
 					  const struct jt_flow_key *key,
 					  uint32_t label, uint64_t now_ms);
@@ -38,7 +38,7 @@
 /* Logs that the admission limit of a service was set or lifted. */
 void jt_director_log_admission(const struct jt_log *log,
 			       const struct jt_director_action *action);
-/* Logs the number of lines left out or lost, when that is due, and flushes
+/* Logs the number of suppressed and lost lines, when that is due, and flushes
  * the log. */
 void jt_director_log_flush(const struct jt_log *log, uint64_t now_ms);
 
--- a/src/director/jt_director_node.c
+++ b/src/director/jt_director_node.c
@@ -191,8 +191,7 @@
 	talloc_free(old);
 }
 
-/* Retries held packets after the peers that were queried about a flow had
- * time to answer. */
+/* Retries held packets after the peers had time to respond to a flow lookup. */
 static void on_lookup_timeout(void *private_data)
 {
 	struct jt_director_node *node = private_data;
--- a/src/director/jt_director_node_packets.c
+++ b/src/director/jt_director_node_packets.c
@@ -141,10 +141,10 @@
 					       peers);
 }
 
-/* Queries peers about a flow. A running timer is not restarted, so that
- * repeated queries don't delay the retry of held packets. */
-static void act_flow_query(struct jt_director_node *node,
-			   const struct jt_director_action *action)
+/* Looks up a flow at peers. A running timer is not restarted, so that repeated
+ * lookups don't delay the retry of held packets. */
+static void act_flow_lookup(struct jt_director_node *node,
+			    const struct jt_director_action *action)
 {
 	size_t peers = jt_peer_exchange_flow_lookup_send(
 		node->peers, &action->key, action->first_sequence);
@@ -237,7 +237,7 @@
 		act_hold(node);
 		break;
 	case JT_DIRECTOR_FLOW_LOOKUP:
-		act_flow_query(node, action);
+		act_flow_lookup(node, action);
 		break;
 	case JT_DIRECTOR_DROP:
 		break;
--- a/src/director/jt_director_node_private.h
+++ b/src/director/jt_director_node_private.h
@@ -15,7 +15,7 @@
 
 struct jt_timer;
 
-/* A packet held until this node can decide where its flow belongs. */
+/* A packet held until this node can choose or find its flow's endpoint. */
 struct held_packet {
 	STAILQ_ENTRY(held_packet) next;
 	uint64_t since_ms;
@@ -42,8 +42,9 @@
 	uint64_t tick_due_ms; /* when the next tick is due; 0: not set yet */
 	uint64_t log_ms; /* time spent writing log lines up to the last tick */
 	bool lookup_pending; /* the lookup timer is running */
-	bool lookup_again;   /* peers were queried after the timer was set */
-	struct jt_timer *lookup_timer; /* time for peers to answer a query */
+	bool lookup_again;   /* a lookup was sent after the timer was set */
+	struct jt_timer
+		*lookup_timer; /* time for peers to respond to a lookup */
 	int data_fd;
 	uint8_t buffer[JT_HEADROOM_MAX + JT_DATAGRAM_MAX];
 	size_t packet_length; /* length of the current packet */
--- a/src/director/jt_director_node_sync.c
+++ b/src/director/jt_director_node_sync.c
@@ -419,8 +419,8 @@
 	jt_director_node_event_handle(private_data, &event);
 }
 
-static uint32_t on_flow_query(const struct jt_flow_key *key, uint32_t sequence,
-			      void *private_data)
+static uint32_t on_flow_lookup(const struct jt_flow_key *key, uint32_t sequence,
+			       void *private_data)
 {
 	const struct jt_director_node *node = private_data;
 
@@ -472,7 +472,7 @@
 		.failures = on_peer_failures,
 		.flows =
 			{
-				.label = on_flow_query,
+				.label = on_flow_lookup,
 				.answered = on_flow_lookup_response,
 				.private_data = node,
 			},
--- a/src/director/jt_directory_sync.h
+++ b/src/director/jt_directory_sync.h
@@ -11,7 +11,7 @@
 /* What a node that has not started can expect from peers. */
 enum jt_peer_sync_state {
 	JT_PEER_SYNC_NONE,
-	JT_PEER_SYNC_PENDING, /* a peer's answer is pending */
+	JT_PEER_SYNC_PENDING, /* a peer's response is pending */
 	JT_PEER_SYNC_PARTIAL, /* a peer sent enough endpoints to accept flows */
 	JT_PEER_SYNC_RECEIVING, /* a peer is sending a snapshot in parts */
 };
@@ -80,7 +80,7 @@
 				   struct jt_address store);
 /* Returns the revision up to which this node has read the store. */
 uint64_t jt_directory_sync_revision(const struct jt_directory_sync *sync);
-/* Returns the milliseconds since the store's last valid answer. */
+/* Returns the milliseconds since the store's last valid response. */
 uint64_t jt_directory_sync_age_ms(const struct jt_directory_sync *sync);
 const struct jt_directory_counters *
 jt_directory_sync_counters(const struct jt_directory_sync *sync);
--- a/src/director/jt_endpoint_probes.h
+++ b/src/director/jt_endpoint_probes.h
@@ -7,12 +7,12 @@
 
 #include "jt_environment.h"
 
-/* Callbacks with the results, for the incarnation that was given to the
- * probe. */
+/* Callbacks for the results; @endpoint_id and @start_time_ms identify the
+ * probed incarnation. */
 struct jt_probe_handler {
 	void (*probed)(uint64_t endpoint_id, uint64_t start_time_ms,
 		       enum jt_probe_outcome outcome, void *private_data);
-	/* @found is 0 if there was no valid answer. */
+	/* @found is 0 if there was no valid response. */
 	void (*identified)(uint64_t endpoint_id, uint64_t start_time_ms,
 			   uint64_t found, void *private_data);
 	void *private_data;
--- a/src/director/jt_environment.h
+++ b/src/director/jt_environment.h
@@ -51,7 +51,7 @@
 struct jt_change {
 	enum jt_change_kind kind;
 	uint64_t revision;
-	struct jt_routing *routing; /* talloc child of the answer */
+	struct jt_routing *routing; /* talloc child of the response */
 	struct jt_endpoint_entry endpoint;
 	struct jt_zone_drain zone;
 	const char *key;   /* JT_CHANGE_INVALID: key of the item */
@@ -59,7 +59,7 @@
 	const char *reason;
 };
 
-/* The answer to a list, watch or check. */
+/* The response to a list, watch or check. */
 struct jt_kv_answer {
 	enum jt_kv_status status;
 	uint64_t revision;
@@ -92,7 +92,7 @@
 					 struct jt_http_client *client,
 					 struct jt_address store,
 					 uint32_t timeout_ms);
-	/* Returns the answer to any of these calls, a talloc child of
+	/* Returns the response to any of these calls, a talloc child of
 	 * @mem_ctx; NULL only if memory runs out. */
 	struct jt_kv_answer *(*recv)(struct tevent_req *req,
 				     TALLOC_CTX *mem_ctx);
--- a/src/director/jt_peer_exchange.c
+++ b/src/director/jt_peer_exchange.c
@@ -576,9 +576,9 @@
 
 enum jt_reader_rank
 jt_peer_exchange_reader_rank(const struct jt_peer_exchange *exchange,
-			     uint32_t own_weight)
+			     uint32_t own_capacity)
 {
-	return jt_membership_reader_rank(exchange->membership, own_weight);
+	return jt_membership_reader_rank(exchange->membership, own_capacity);
 }
 
 bool jt_peer_exchange_fetching(const struct jt_peer_exchange *exchange)
--- a/src/director/jt_peer_exchange.h
+++ b/src/director/jt_peer_exchange.h
@@ -31,8 +31,8 @@
 				  void *private_data);
 	/* Gossip updates were received. */
 	void (*updates)(const jt_wire_update *update, void *private_data);
-	/* A peer with no newer state than this node has all that the store
-	 * held at @as_of_ms, when @reader read it. */
+	/* A peer whose state is not newer than this node's reports that it is
+	 * complete as of @as_of_ms; the node @reader read the store then. */
 	void (*store_age)(uint64_t as_of_ms, uint64_t reader,
 			  void *private_data);
 	/* Returns this node's load on each endpoint. */
@@ -41,7 +41,7 @@
 	/* A peer reported its load on each endpoint. */
 	void (*loads)(uint64_t peer, const struct jt_endpoint_load *loads,
 		      size_t count, void *private_data);
-	/* A peer declared an endpoint dead, or reports that its answers are
+	/* A peer declared an endpoint dead, or reports that its responses are
 	 * overdue. */
 	void (*suspicion)(const jt_wire_suspicion *suspicion,
 			  void *private_data);
@@ -70,8 +70,8 @@
 void jt_peer_exchange_failures_send(struct jt_peer_exchange *exchange,
 				    const struct jt_endpoint_failure *failures,
 				    size_t count, size_t peers);
-/* Queries peers about a flow whose first packet, with @sequence, was
- * retransmitted to this node. Returns the number of peers queried. */
+/* Looks up at peers a flow whose first packet, with @sequence, was
+ * retransmitted to this node. Returns the number of peers asked. */
 size_t jt_peer_exchange_flow_lookup_send(struct jt_peer_exchange *exchange,
 					 const struct jt_flow_key *key,
 					 uint32_t sequence);
@@ -85,11 +85,11 @@
 /* Applies reloaded settings: keys, seeds and limits may have changed. */
 void jt_peer_exchange_reload(struct jt_peer_exchange *exchange,
 			     const struct jt_director_settings *settings);
-/* Returns the rank of this node, of weight @own_weight, among those that can
- * read the store. */
+/* Returns the rank of this node, of capacity @own_capacity, among those that
+ * can read the store. */
 enum jt_reader_rank
 jt_peer_exchange_reader_rank(const struct jt_peer_exchange *exchange,
-			     uint32_t own_weight);
+			     uint32_t own_capacity);
 /* Returns true while a snapshot request to a peer is pending. */
 bool jt_peer_exchange_fetching(const struct jt_peer_exchange *exchange);
 /* Returns true if that peer has already sent a part of its snapshot. */
--- a/src/director/jt_prober.c
+++ b/src/director/jt_prober.c
@@ -9,7 +9,7 @@
 
 enum {
 	/* A timer this late shows that this process was delayed: the lack of
-	 * an answer may be its own fault. */
+	 * a response may be its own fault. */
 	TIMER_LATE_MS = 100,
 };
 
--- a/src/store/jt_store.h
+++ b/src/store/jt_store.h
@@ -11,13 +11,13 @@
 	JT_STORE_OK,
 	JT_STORE_FAILED_COMPARE, /* the key was modified concurrently */
 	JT_STORE_REFUSED,	 /* rate limit or error: it was not applied */
-	JT_STORE_LOST,		 /* no answer: a write may have been applied */
-	JT_STORE_BAD_ANSWER,	 /* the answer could not be parsed */
+	JT_STORE_LOST,	     /* no response: a write may have been applied */
+	JT_STORE_BAD_ANSWER, /* the response could not be parsed */
 };
 
 struct jt_store_value {
 	bool present;
-	char *value; /* NUL-terminated, talloc child of the mem_ctx given */
+	char *value; /* NUL-terminated, owned by the receiver's @mem_ctx */
 	uint64_t mod_revision;
 };
 
@@ -27,9 +27,10 @@
 struct jt_store *jt_store_create(TALLOC_CTX *mem_ctx,
 				 struct tevent_context *loop, const char *url);
 
-/* Reads @key. */
+/* Reads @key. Returns NULL if memory runs out, as do the other requests. */
 struct tevent_req *jt_store_get_send(TALLOC_CTX *mem_ctx,
 				     struct jt_store *store, const char *key);
+/* Sets @value, whose text is owned by @mem_ctx. */
 enum jt_store_result jt_store_get_recv(struct tevent_req *req,
 				       TALLOC_CTX *mem_ctx,
 				       struct jt_store_value *value);
@@ -43,8 +44,8 @@
 enum jt_store_result jt_store_put_recv(struct tevent_req *req,
 				       uint64_t *revision);
 
-/* Watches @key; @on_change gets each value. The request ends when the stream
- * does. */
+/* Watches @key from @start_revision on; @on_change gets each value, which is
+ * valid during the call. The request ends when the stream does. */
 struct tevent_req *
 jt_store_watch_send(TALLOC_CTX *mem_ctx, struct jt_store *store,
 		    const char *key, uint64_t start_revision,
@@ -53,9 +54,9 @@
 		    void *private_data);
 void jt_store_watch_recv(struct tevent_req *req);
 
-/* Bytes sent and received since the start. */
+/* Returns the bytes sent and received since the start. */
 uint64_t jt_store_bytes(const struct jt_store *store);
-/* Calls made since the start. */
+/* Returns the number of calls made since the start. */
 uint64_t jt_store_operations(const struct jt_store *store);
 
 #endif
