--- a/src/label/admission/jt_admission.c
+++ b/src/label/admission/jt_admission.c
@@ -37,7 +37,7 @@
 
 struct admission_service {
 	uint32_t service_id;
-	bool watched;
+	bool controlled;
 	uint32_t target_ms; /* lowest of its routes */
 	struct admission_priority priorities[PRIORITIES_MAX];
 	size_t priority_count; /* most urgent first */
@@ -51,7 +51,7 @@
 
 struct jt_admission {
 	struct admission_service *services;
-	double floor; /* flows admitted per answer */
+	double floor; /* flows admitted per response */
 	bool enabled;
 };
 
@@ -80,13 +80,13 @@
 	return service;
 }
 
-/* Returns the service if it is watched, otherwise NULL. */
+/* Returns the service if it is controlled, otherwise NULL. */
 static struct admission_service *
-service_watched(const struct jt_admission *admission, uint32_t service_id)
+service_controlled(const struct jt_admission *admission, uint32_t service_id)
 {
 	struct admission_service *service = service_find(admission, service_id);
 
-	return service != NULL && service->watched ? service : NULL;
+	return service != NULL && service->controlled ? service : NULL;
 }
 
 /* Returns the service that gets most of the route's new flows. */
@@ -171,22 +171,22 @@
 	priority_ensure(admission, service, route->priority);
 }
 
-/* Updates the watched flag of the service. Priorities without a route keep
+/* Updates the controlled flag of the service. Priorities without a route keep
  * their counts. */
-static void service_watched_update(struct admission_service *service)
+static void service_controlled_update(struct admission_service *service)
 {
 	size_t routed_count = 0;
-	bool watched;
+	bool controlled;
 
 	for (size_t i = 0; i < service->priority_count; i++)
 		routed_count += service->priorities[i].in_routing;
-	watched = routed_count > 1;
-	if (watched && !service->watched) {
+	controlled = routed_count > 1;
+	if (controlled && !service->controlled) {
 		jt_in_flight_init(&service->requests, service->target_ms);
 		service->limit = (struct jt_concurrency_limit){0};
 		service->slots_ms = 0;
 	}
-	service->watched = watched;
+	service->controlled = controlled;
 }
 
 static void service_routes_clear(struct admission_service *service)
@@ -210,7 +210,7 @@
 		route_apply(admission, &routing->routes[i]);
 	for (service = admission->services; service != NULL;
 	     service = service->hh.next)
-		service_watched_update(service);
+		service_controlled_update(service);
 }
 
 /* Admission */
@@ -291,7 +291,7 @@
 {
 	struct jt_admission_decision decision = {.admitted = true};
 	struct admission_service *service =
-		service_watched(admission, route_service(route));
+		service_controlled(admission, route_service(route));
 	struct admission_priority *priority;
 	struct jt_group *group;
 	size_t index;
@@ -327,7 +327,7 @@
 			 uint64_t now_ms)
 {
 	struct admission_service *service =
-		service_watched(admission, service_id);
+		service_controlled(admission, service_id);
 
 	if (service != NULL)
 		jt_in_flight_begin(&service->opening, now_ms);
@@ -337,7 +337,7 @@
 			 uint64_t placed_ms, uint64_t now_ms)
 {
 	struct admission_service *service =
-		service_watched(admission, service_id);
+		service_controlled(admission, service_id);
 
 	if (service != NULL)
 		jt_in_flight_end(&service->opening, placed_ms, now_ms);
@@ -347,7 +347,7 @@
 			    uint64_t now_ms)
 {
 	struct admission_service *service =
-		service_watched(admission, service_id);
+		service_controlled(admission, service_id);
 
 	if (service == NULL)
 		return;
@@ -360,7 +360,7 @@
 			   uint64_t now_ms)
 {
 	struct admission_service *service =
-		service_watched(admission, service_id);
+		service_controlled(admission, service_id);
 
 	if (service == NULL)
 		return;
@@ -384,7 +384,7 @@
 			    uint64_t requested_ms, uint64_t now_ms)
 {
 	struct admission_service *service =
-		service_watched(admission, service_id);
+		service_controlled(admission, service_id);
 
 	if (service != NULL)
 		jt_in_flight_end(&service->requests, requested_ms, now_ms);
@@ -438,7 +438,7 @@
 			.target_ms = service->target_ms, .nodes = nodes};
 		struct jt_admission_view view;
 
-		if (!service->watched)
+		if (!service->controlled)
 			continue;
 		slots_count(service, endpoints, now_ms);
 		limit_inputs.slots = service->slots;
@@ -459,7 +459,7 @@
 
 	for (service = admission->services; service != NULL;
 	     service = service->hh.next) {
-		if (!service->watched)
+		if (!service->controlled)
 			continue;
 		if (index-- == 0) {
 			*view = view_of(service);
@@ -478,7 +478,7 @@
 	     service = service->hh.next) {
 		const struct admission_priority *priority;
 
-		if (!service->watched)
+		if (!service->controlled)
 			continue;
 		if (index >= service->priority_count) {
 			index -= service->priority_count;
--- a/src/label/admission/jt_concurrency_limit.c
+++ b/src/label/admission/jt_concurrency_limit.c
@@ -6,14 +6,13 @@
 
 /* The controlled delay is the lower quartile of the response times, since
  * requests bound to slow endpoints do not reflect what a new flow meets. It
- * may reach this part of the target: the slowest requests take about four
- * times as long and are still in time. */
+ * may reach this part of the target. */
 #define DELAY_QUANTILE 4
 #define DELAY_PART 0.23
 /* Maximum of that part, for services whose service time is long relative to
  * the target. */
 #define DELAY_PART_MAX 0.32
-/* Allowed part while endpoints reject few requests: a late answer is better
+/* Allowed part while endpoints reject few requests: a late response is better
  * than a refusal. */
 #define DELAY_PART_RELAXED 0.5
 /* Endpoints that reject more than this part of the requests have full
@@ -24,20 +23,19 @@
  * a limit, since refusals keep the endpoints from rejecting. */
 #define PRESSURE_INCREASE 0.35
 #define PRESSURE_DECREASE 0.01
-/* Allowed delay as a multiple of the lowest decile: without queueing the lower
- * quartile is about 1.5 times the lowest decile, and queueing may add 0.5. The
- * mean service time is about twice the lowest decile. */
+/* Allowed delay and estimated mean service time, as multiples of the lowest
+ * decile. */
 #define ALLOWED_TO_FAST_DELAY 2
 #define SERVICE_TO_FAST_DELAY 2
-/* An answer within this part of the lowest decile, or this part of the target,
- * is classified as a rejection. The second applies to services whose answers
+/* A response within this part of the lowest decile, or this part of the target,
+ * is classified as a rejection. The second applies to services whose responses
  * are all so fast that nothing queues. */
 #define REJECTION_DELAY_PART 0.33
 #define REJECTION_TARGET_PART 0.02
-/* An answer shorter than this part of the usual length is classified as a
+/* A response shorter than this part of the usual length is classified as a
  * rejection, such as a status without a body. */
 #define REJECTION_LENGTH_PART 0.2
-/* Step of the usual length per answer, and the weight of rejections in it. */
+/* Step of the usual length per response, and the weight of rejections in it. */
 #define LENGTH_STEP 0.02
 #define LENGTH_REJECTION_WEIGHT 0.1
 /* Part of the difference by which the lowest decile follows a lower and a
@@ -68,9 +66,9 @@
 #define IN_FLIGHT_PER_SLOT_MIN 2.0
 
 enum {
-	/* A step needs this many answers, but waits STEP_MAX_MS at most. */
+	/* A step needs this many responses, but waits STEP_MAX_MS at most. */
 	SAMPLES_MIN = 6,
-	/* Answers needed to begin a limit; fewer may be late by chance. */
+	/* Responses needed to begin a limit; fewer may be late by chance. */
 	SAMPLES_TO_BEGIN = 16,
 	STEP_MS = 80,
 	STEP_MAX_MS = 400,
@@ -82,7 +80,7 @@
 	MS_PER_S = 1000,
 };
 
-/* Updates the estimate of the length that a quarter of the answers exceed. */
+/* Updates the estimate of the length that a quarter of the responses exceed. */
 static void usual_bytes_update(struct jt_concurrency_limit *limit, double bytes,
 			       bool rejected)
 {
@@ -152,7 +150,7 @@
 			fmin(delay_ms,
 			     target_ms * DELAY_PART / ALLOWED_TO_FAST_DELAY);
 	difference_ms = delay_ms - limit->fast_delay_ms;
-	/* Under a limit even the fastest answers include queueing. */
+	/* Under a limit even the fastest responses include queueing. */
 	if (difference_ms < 0)
 		limit->fast_delay_ms += difference_ms * FAST_DELAY_FALL_FACTOR;
 	else if (limit->limit == 0)
@@ -164,7 +162,7 @@
 	return samples->took_ms[index];
 }
 
-/* Updates the delay. It is smoothed under a limit, since a few answers are
+/* Updates the delay. It is smoothed under a limit, since a few responses are
  * noisy. */
 static void delay_update(struct jt_concurrency_limit *limit, double delay_ms,
 			 size_t count)
@@ -191,7 +189,7 @@
 		fast_delay_update(limit, sample_at(samples, count / 10),
 				  target_ms);
 	} else if (samples->rejected >= SAMPLES_MIN) {
-		/* All answers were so fast that the service itself may be
+		/* All responses were so fast that the service itself may be
 		 * faster now. */
 		fast_delay_update(limit, 0, target_ms);
 	}
@@ -227,11 +225,11 @@
 			 uint32_t target_ms)
 {
 	double relaxed_ms = target_ms * DELAY_PART_RELAXED;
-	double pressed_ms = limit->fast_delay_ms * ALLOWED_TO_FAST_DELAY;
+	double strict_ms = limit->fast_delay_ms * ALLOWED_TO_FAST_DELAY;
 
-	pressed_ms = fmin(fmax(pressed_ms, target_ms * DELAY_PART),
-			  target_ms * DELAY_PART_MAX);
-	return relaxed_ms - (relaxed_ms - pressed_ms) * limit->pressure;
+	strict_ms = fmin(fmax(strict_ms, target_ms * DELAY_PART),
+			 target_ms * DELAY_PART_MAX);
+	return relaxed_ms - (relaxed_ms - strict_ms) * limit->pressure;
 }
 
 /* Returns the estimated utilisation of the slots, assuming that each node
@@ -254,7 +252,7 @@
 	return per_s * limit->allowed_ms / MS_PER_S;
 }
 
-/* Returns true if there are enough answers for a step. */
+/* Returns true if there are enough responses for a step. */
 static bool has_enough_samples(const struct jt_concurrency_limit *limit)
 {
 	const struct jt_limit_samples *samples = &limit->samples;
--- a/src/label/admission/jt_concurrency_limit.h
+++ b/src/label/admission/jt_concurrency_limit.h
@@ -25,9 +25,10 @@
 /* Measurements of the service since the last step. */
 struct jt_limit_samples {
 	uint16_t took_ms[JT_LIMIT_SAMPLES]; /* latest response times */
-	uint32_t answers;  /* answers to requests that were served */
-	uint32_t rejected; /* answers classified as rejections */
-	/* Answers to requests on open flows, which are bound to an endpoint. */
+	uint32_t answers;  /* responses to requests that were served */
+	uint32_t rejected; /* responses classified as rejections */
+	/* Responses to requests on open flows, which are bound to an endpoint.
+	 */
 	uint32_t open_flow_answers;
 	uint32_t begun;	  /* requests forwarded */
 	uint32_t refused; /* first packets refused */
@@ -39,11 +40,11 @@
 	double delay_ms;	   /* smoothed lower quartile */
 	double allowed_ms;	   /* target of the control loop */
 	double fast_delay_ms;	   /* smoothed lowest decile at low queueing */
-	double rejection_delay_ms; /* faster answers count as rejections */
+	double rejection_delay_ms; /* faster responses count as rejections */
 	double rejected_part;	   /* smoothed part of the requests */
 	/* 0: endpoints reject few requests, 1: their queues are full. */
 	double pressure;
-	/* Smoothed length that a quarter of the answers exceed. */
+	/* Smoothed length that a quarter of the responses exceed. */
 	double usual_bytes;
 	double begun_per_s; /* smoothed */
 	double answers_per_s;
@@ -62,18 +63,21 @@
 
 enum jt_limit_change { JT_LIMIT_SAME, JT_LIMIT_BEGAN, JT_LIMIT_ENDED };
 
-/* Records that the first @bytes of an answer were acknowledged. Returns false
- * if the answer is classified as a rejection by the endpoint. */
+/* Records that the first @bytes of a response were acknowledged. Returns false
+ * if the response is classified as a rejection by the endpoint. */
 bool jt_concurrency_limit_answered(struct jt_concurrency_limit *limit,
 				   uint64_t took_ms, uint32_t bytes);
-/* Records the answer to a request on an open flow, which is bound to its
+/* Records the response to a request on an open flow, which is bound to its
  * endpoint. */
 void jt_concurrency_limit_open_flow_answered(
 	struct jt_concurrency_limit *limit);
+/* Records that a request was forwarded. */
 void jt_concurrency_limit_begun(struct jt_concurrency_limit *limit);
+/* Records that a first packet was refused. */
 void jt_concurrency_limit_refused(struct jt_concurrency_limit *limit,
 				  uint64_t now_ms);
-/* Runs one step of the control loop; call it about ten times a second. */
+/* Runs one step of the control loop; call it about ten times a second. Returns
+ * whether the limit began or ended in this step. */
 enum jt_limit_change
 jt_concurrency_limit_step(struct jt_concurrency_limit *limit,
 			  const struct jt_limit_service *service,
--- a/src/label/admission/jt_in_flight.h
+++ b/src/label/admission/jt_in_flight.h
@@ -25,10 +25,12 @@
 /* Initialises an empty counter. The horizon is capped at the time that the
  * buckets cover. */
 void jt_in_flight_init(struct jt_in_flight *flight, uint32_t horizon_ms);
+/* Records that an operation begins. */
 void jt_in_flight_begin(struct jt_in_flight *flight, uint64_t now_ms);
 /* Records the end of an operation that began at @began_ms. */
 void jt_in_flight_end(struct jt_in_flight *flight, uint64_t began_ms,
 		      uint64_t now_ms);
+/* Returns the number of operations in flight. */
 uint32_t jt_in_flight_count(struct jt_in_flight *flight, uint64_t now_ms);
 
 #endif
--- a/src/label/jt_answer_profile.c
+++ b/src/label/jt_answer_profile.c
@@ -17,7 +17,7 @@
 	/* The usual length starts as the longest of this many responses. */
 	INITIAL_RESPONSES = 8,
 	/* Responses needed before failures are detected. */
-	LEARN_MIN_RESPONSES = 24,
+	DETECTION_MIN_RESPONSES = 24,
 	/* After this many responses the short fraction is averaged over time,
 	 * so that failures of some endpoints don't soon count as usual. */
 	AVERAGED_RESPONSES = 48,
@@ -110,15 +110,15 @@
 {
 	double confidence;
 
-	if (profile->answers < LEARN_MIN_RESPONSES)
+	if (profile->answers < DETECTION_MIN_RESPONSES)
 		return 0;
 	confidence = 1 - short_fraction_bound(profile) / SHORT_FRACTION_MAX;
 	return confidence > JT_FAILURE_UNSURE ? confidence : JT_FAILURE_UNSURE;
 }
 
 /* Returns the weight of the current response in slowly changing averages. */
-static double slow_weight(const struct jt_answer_profile *profile,
-			  uint64_t now_ms)
+static double averaging_weight(const struct jt_answer_profile *profile,
+			       uint64_t now_ms)
 {
 	double part =
 		(double)(now_ms - profile->learned_ms) / SHORT_FRACTION_MS;
@@ -129,10 +129,11 @@
 /* Updates the usual length. Short responses change it slowly, because the
  * route's responses may have become shorter permanently. */
 static void length_update(struct jt_answer_profile *profile, double log_bytes,
-			  bool is_short, double slow)
+			  bool is_short, double update_weight)
 {
 	if (is_short)
-		profile->log_bytes += (log_bytes - profile->log_bytes) * slow;
+		profile->log_bytes +=
+			(log_bytes - profile->log_bytes) * update_weight;
 	else if (log_bytes > profile->log_bytes &&
 		 profile->answers < INITIAL_RESPONSES)
 		profile->log_bytes = log_bytes;
@@ -146,15 +147,16 @@
 		     uint64_t took_ms, uint64_t now_ms)
 {
 	bool is_short = jt_answer_is_short(profile, bytes, took_ms);
-	double slow = slow_weight(profile, now_ms), part;
+	double update_weight = averaging_weight(profile, now_ms), part;
 
 	profile->learned_ms = now_ms;
-	length_update(profile, log(bytes > 0 ? bytes : 1), is_short, slow);
+	length_update(profile, log(bytes > 0 ? bytes : 1), is_short,
+		      update_weight);
 	if (profile->answers < AVERAGED_RESPONSES) {
 		profile->answers++;
-		slow = 1.0 / profile->answers;
+		update_weight = 1.0 / profile->answers;
 	}
-	part = is_short ? slow : 1.0 / profile->answers;
+	part = is_short ? update_weight : 1.0 / profile->answers;
 	profile->took_ms += ((double)took_ms - profile->took_ms) * part;
-	profile->short_part += (is_short - profile->short_part) * slow;
+	profile->short_part += (is_short - profile->short_part) * update_weight;
 }
--- a/src/label/jt_choose.c
+++ b/src/label/jt_choose.c
@@ -300,8 +300,11 @@
 	uint32_t ties; /* candidates with the same lowest load */
 };
 
-static void candidate_offer(struct jt_chooser *chooser, struct candidate *best,
-			    struct jt_incarnation *in, double load)
+/* Replaces the best candidate if @in has a lower load; chooses one of equal
+ * candidates at random. */
+static void candidate_consider(struct jt_chooser *chooser,
+			       struct candidate *best,
+			       struct jt_incarnation *in, double load)
 {
 	if (best->incarnation != NULL && load > best->load)
 		return;
@@ -361,9 +364,9 @@
 					    in, now_ms) *
 		       JT_FULL_SHARE_PERMILLE /
 		       jt_choose_share_permille(chooser, in, now_ms);
-		candidate_offer(chooser,
-				in_own_zone(chooser, in) ? &local : &remote, in,
-				load);
+		candidate_consider(chooser,
+				   in_own_zone(chooser, in) ? &local : &remote,
+				   in, load);
 	}
 	if (local.incarnation == NULL)
 		return remote.incarnation;
@@ -506,7 +509,7 @@
 	if (split == NULL)
 		return NULL;
 	/* Prefers an eligible endpoint of any part to a less eligible one of
-	 * the part that is due. */
+	 * the part furthest behind its weight. */
 	for (int worst = first_rank; worst < INELIGIBLE && chosen == NULL;
 	     worst++)
 		chosen = parts_choose(chooser, table, routing, split,
--- a/src/label/jt_choose.h
+++ b/src/label/jt_choose.h
@@ -32,7 +32,7 @@
 	uint64_t nodes;
 	struct jt_random random;
 	unsigned injected_faults;
-	uint32_t disabled_features; /* disabled features */
+	uint32_t disabled_features; /* bit set of features that are off */
 };
 
 /* Returns NULL if out of memory. @peer_loads and @zone_drains are not owned and
@@ -49,7 +49,7 @@
 					 const struct jt_route *route,
 					 uint64_t now_ms,
 					 enum jt_director_reason *refusal);
-/* Records the answer to a request of @route at @incarnation. */
+/* Records the response to a request of @route at @incarnation. */
 void jt_chooser_answered(struct jt_chooser *chooser,
 			 const struct jt_route *route,
 			 struct jt_incarnation *incarnation,
--- a/src/label/jt_choose_pool.h
+++ b/src/label/jt_choose_pool.h
@@ -27,8 +27,7 @@
 
 /* Returns JT_CHOOSE_SAMPLE_MAX random members of the pool, possibly with
  * duplicates, or all members if there are no more than that. The result may
- * refer to
- * @buffer. */
+ * refer to @buffer. */
 static inline struct jt_incarnation_set
 jt_choose_pool_sample(struct jt_chooser *chooser,
 		      const struct jt_service_pool *pool,
--- a/src/label/jt_detector.h
+++ b/src/label/jt_detector.h
@@ -4,7 +4,7 @@
  * Suspicion arises on the data path (a client retransmits without progress),
  * from discovery (an entry expires unannounced) or from a peer, and triggers a
  * probe. An endpoint is declared dead only if its address refuses connections,
- * if flows and connections get no answer while other endpoints answer this
+ * if flows and connections get no response while other endpoints answer this
  * node, or if a later incarnation has its address.
  */
 #ifndef JT_DETECTOR_H
@@ -21,16 +21,17 @@
 	unsigned injected_faults;
 };
 
+/* Initialises the detector with the pauses and faults in @options. */
 void jt_detector_init(struct jt_detector *detector,
 		      const struct jt_director_options *options);
-/* Records that a flow of the incarnation got an answer to a packet sent at
+/* Records that a flow of the incarnation got a response to a packet sent at
  * @sent_ms. */
 void jt_detector_progress(struct jt_detector *detector,
 			  struct jt_incarnation *incarnation, uint64_t sent_ms,
 			  uint64_t now_ms);
 /* Kinds of evidence against an incarnation. */
 enum jt_evidence {
-	/* A first packet got no answer, or the discovery entry was removed:
+	/* A first packet got no response, or the discovery entry was removed:
 	 * the endpoint may be full, shutting down or dead. It is avoided and
 	 * probed. */
 	JT_EVIDENCE_NO_ANSWER,
@@ -64,9 +65,11 @@
 bool jt_detector_probe_due(const struct jt_detector *detector,
 			   const struct jt_incarnation *incarnation,
 			   uint64_t now_ms);
+/* Records that a probe was sent. */
 void jt_detector_probe_sent(struct jt_incarnation *incarnation,
 			    uint64_t now_ms);
 
+/* Result of a probe or an identity query. */
 enum jt_detector_verdict {
 	JT_VERDICT_NONE,
 	JT_VERDICT_IDENTIFY,   /* connected: verify the identity */
--- a/src/label/jt_director.c
+++ b/src/label/jt_director.c
@@ -353,7 +353,7 @@
 {
 	struct jt_incarnation *incarnation =
 		incarnation_find(director, id, start_time_ms);
-	struct jt_incarnation *occupant;
+	struct jt_incarnation *responder;
 	enum jt_detector_verdict verdict;
 
 	if (incarnation == NULL || !incarnation->probing)
@@ -362,10 +362,10 @@
 					 found, now_ms);
 	verdict_apply(director, incarnation, verdict, JT_DEATH_REPLACED, now_ms,
 		      actions);
-	occupant = jt_endpoint_table_by_id(director->endpoints, found);
-	if (occupant != NULL && jt_address_same(occupant->entry.address,
-						incarnation->entry.address))
-		jt_director_address_confirm(director, occupant, now_ms,
+	responder = jt_endpoint_table_by_id(director->endpoints, found);
+	if (responder != NULL && jt_address_same(responder->entry.address,
+						 incarnation->entry.address))
+		jt_director_address_confirm(director, responder, now_ms,
 					    actions);
 }
 
--- a/src/label/jt_director_admission.c
+++ b/src/label/jt_director_admission.c
@@ -7,7 +7,7 @@
 {
 	struct jt_admission_decision decision;
 
-	/* In a SYN this field holds the client's copy number. */
+	/* In a SYN this field is the number of the retransmission. */
 	if (packet->acknowledged != 0)
 		return true;
 	decision = jt_admission_ask(director->admission, route, now_ms);
--- a/src/label/jt_director_entry.c
+++ b/src/label/jt_director_entry.c
@@ -37,7 +37,8 @@
 		now_ms - director->store_away_until_ms < OUTAGE_REPORT_MS;
 	jt_director_state_enter(incarnation, JT_INCARNATION_EXPIRED, now_ms,
 				actions);
-	/* The endpoint may be dead: probe it for the sake of its idle flows. */
+	/* The endpoint may be dead: a probe finds out, so that idle flows are
+	 * reset, too. */
 	if (incarnation->flows > 0 &&
 	    !jt_incarnation_alive_after_outage(incarnation, now_ms))
 		jt_director_suspect(director, incarnation,
@@ -95,7 +96,8 @@
 		incarnation_start(director, incarnation, JT_DIRECTOR_RESTARTED,
 				  now_ms, actions);
 	} else if (incarnation->state == JT_INCARNATION_DEAD) {
-		/* An entry written since its death shows that it lives. */
+		/* An entry written after it was declared dead shows that it is
+		 * alive. */
 		if (incarnation->cause != JT_DEATH_REPLACED &&
 		    incarnation->entry.removed_revision == 0)
 			jt_director_incarnation_revives(director, incarnation,
--- a/src/label/jt_director_expiry.c
+++ b/src/label/jt_director_expiry.c
@@ -64,7 +64,7 @@
 {
 	struct jt_incarnation *incarnation, *next;
 
-	/* Only watched endpoints are visited: healthy ones cost nothing. */
+	/* Only endpoints with pending work are visited. */
 	incarnation = director->endpoints->watched;
 	for (; incarnation != NULL; incarnation = next) {
 		next = incarnation->watched_next;
--- a/src/label/jt_director_incarnation.c
+++ b/src/label/jt_director_incarnation.c
@@ -4,9 +4,9 @@
 
 enum {
 	/* Times at which clients retransmit a SYN. */
-	FIRST_COPY_MS = 200,
-	SECOND_COPY_MS = 600,
-	COPY_TOLERANCE_MS = 100,
+	FIRST_RETRANSMIT_MS = 200,
+	SECOND_RETRANSMIT_MS = 600,
+	RETRANSMIT_TOLERANCE_MS = 100,
 };
 
 void jt_director_state_enter(struct jt_incarnation *incarnation,
@@ -31,8 +31,8 @@
 	return JT_INCARNATION_READY;
 }
 
-/* Returns true if an unanswered flow has probably moved to another node: a copy
- * of its SYN was due and did not arrive here. */
+/* Returns true if an unanswered flow has probably moved to another node: a
+ * retransmission of its SYN was due and did not arrive here. */
 static bool opening_moved_away(const struct jt_cached_flow *flow,
 			       uint64_t now_ms)
 {
@@ -41,9 +41,9 @@
 	if (flow->opening_ms == 0)
 		return false;
 	if (flow->copies == 0)
-		return age_ms >= FIRST_COPY_MS + COPY_TOLERANCE_MS;
+		return age_ms >= FIRST_RETRANSMIT_MS + RETRANSMIT_TOLERANCE_MS;
 	if (flow->copies == 1)
-		return age_ms >= SECOND_COPY_MS + COPY_TOLERANCE_MS;
+		return age_ms >= SECOND_RETRANSMIT_MS + RETRANSMIT_TOLERANCE_MS;
 	return age_ms >= JT_CLIENT_OPEN_TIMEOUT_MS;
 }
 
@@ -118,7 +118,7 @@
 
 /* Returns true if another incarnation has taken over the address
  * permanently: a later entry with the same start time is a delayed write and
- * no sign of life. */
+ * does not show that the incarnation is alive. */
 static bool address_lost(const struct jt_incarnation *incarnation)
 {
 	return incarnation->entry.start_time_ms != 0 &&
--- a/src/label/jt_director_packet.c
+++ b/src/label/jt_director_packet.c
@@ -206,8 +206,8 @@
 }
 
 /* Suspects the endpoints of unanswered flows of the same client to the same
- * route. A client that opens another flow was most likely refused: a crashed
- * endpoint sends its reset directly to the client, past this node. */
+ * route. A client that opens another flow was most likely refused: the host of
+ * a crashed endpoint sends its reset directly to the client. */
 static void suspect_refusal(struct jt_director *director,
 			    const struct jt_flow_key *key, uint64_t now_ms,
 			    struct jt_director_actions *actions)
@@ -230,10 +230,10 @@
 /* Returns true if a retransmitted SYN comes after its client has given up and
  * would open a flow in a zone that is drained now. An earlier one stays with
  * its first endpoint: a response of another endpoint could disrupt the flow. */
-static bool copy_is_stale(const struct jt_director *director,
-			  const struct jt_cached_flow *flow,
-			  const struct jt_incarnation *incarnation,
-			  uint64_t now_ms)
+static bool retransmission_is_stale(const struct jt_director *director,
+				    const struct jt_cached_flow *flow,
+				    const struct jt_incarnation *incarnation,
+				    uint64_t now_ms)
 {
 	return flow->opening_ms != 0 &&
 	       now_ms - flow->opening_ms >= JT_CLIENT_OPEN_TIMEOUT_MS &&
@@ -241,9 +241,9 @@
 					 incarnation->entry.zone_id);
 }
 
-/* Returns true if the client retransmitted the SYN: clients number their
- * copies in the acknowledgement field, so that duplicates made by the network
- * repeat a number. */
+/* Returns true if the client retransmitted the SYN: clients number
+ * retransmissions in the acknowledgement field, so that duplicates made by the
+ * network repeat a number. */
 static bool syn_retransmitted(const struct jt_cached_flow *flow,
 			      const struct jt_label_packet *packet)
 {
@@ -306,7 +306,8 @@
 		    JT_DIRECTOR_FAULT_PLACE_COPIES)
 			incarnation = NULL;
 		if (incarnation != NULL &&
-		    copy_is_stale(director, flow, incarnation, now_ms)) {
+		    retransmission_is_stale(director, flow, incarnation,
+					    now_ms)) {
 			drop_add(director, packet, JT_DIRECTOR_NO_ZONE,
 				 actions);
 			return;
@@ -506,7 +507,7 @@
 		return;
 	}
 	if (flow != NULL && flow->label != label) {
-		/* Another node has assigned a copy of the SYN. */
+		/* Another node has assigned a retransmission of the SYN. */
 		jt_director_flow_forget(director, flow);
 		flow = NULL;
 	}
--- a/src/label/jt_endpoint_table.h
+++ b/src/label/jt_endpoint_table.h
@@ -59,7 +59,7 @@
 	/* Retransmissions on an open flow were not acknowledged, or a peer
 	 * has reported the endpoint dead. */
 	bool flow_unacknowledged;
-	/* Consecutive first packets without an answer. */
+	/* Consecutive first packets without a response. */
 	uint32_t unanswered;
 	/* No new flows until then because of unanswered first packets. */
 	uint64_t avoid_until_ms;
@@ -109,7 +109,7 @@
 	size_t capacity;
 	double response_time_ms; /* smoothed response time; 0: unknown */
 	/* Smoothed service time: without the network path, averaged over more
-	 * answers. */
+	 * responses. */
 	double service_time_ms;
 	struct jt_outlier_service outliers;
 	UT_hash_handle hh;
@@ -178,9 +178,10 @@
  * memory. */
 struct jt_endpoint_table *jt_endpoint_table_create(TALLOC_CTX *mem_ctx,
 						   size_t limit);
-/* Adds or updates the incarnation from a discovery @entry, except for its
- * removal. @stale accepts older revisions too (for tests). Sets @incarnation
- * if the entry was accepted. The caller must handle state changes. */
+/* Adds or updates the incarnation from a discovery @entry; does not apply the
+ * entry's removal. @stale accepts older revisions too (for tests). Sets
+ * @incarnation if the entry was accepted. The caller must handle state changes.
+ */
 enum jt_entry_result
 jt_endpoint_table_update(struct jt_endpoint_table *table,
 			 const struct jt_endpoint_entry *entry, bool stale,
@@ -196,8 +197,10 @@
 			     struct jt_incarnation *incarnation);
 void jt_endpoint_table_unwatch(struct jt_endpoint_table *table,
 			       struct jt_incarnation *incarnation);
+/* Removes and frees the incarnation. */
 void jt_endpoint_table_remove(struct jt_endpoint_table *table,
 			      struct jt_incarnation *incarnation);
+/* Returns the incarnation of the endpoint @id, or NULL. */
 struct jt_incarnation *
 jt_endpoint_table_by_id(const struct jt_endpoint_table *table, uint64_t id);
 /* Returns the incarnation to which flows with @label are forwarded: its owner,
@@ -241,7 +244,8 @@
 	return incarnation->by_id.next;
 }
 
-/* Returns NULL if no incarnation of the service is known. */
+/* Returns the pool of the service; NULL if none of its incarnations is
+ * known. */
 struct jt_service_pool *
 jt_endpoint_table_pool(const struct jt_endpoint_table *table,
 		       uint32_t service_id);
--- a/src/label/jt_failure_reports.h
+++ b/src/label/jt_failure_reports.h
@@ -14,8 +14,7 @@
 #include "jaspertrack/director-t.h"
 
 struct jt_failure_reports {
-	struct jt_endpoint_failure
-		pending[JT_FAILURE_LIMIT]; /* pending reports */
+	struct jt_endpoint_failure pending[JT_FAILURE_LIMIT];
 	size_t count;
 	bool failed;	      /* at least one pending report has a failure */
 	double datagrams;     /* messages that the rate limit allows now */
--- a/src/label/jt_flow_cache.h
+++ b/src/label/jt_flow_cache.h
@@ -16,7 +16,7 @@
 	struct jt_flow_key key;
 	uint32_t label;	       /* of its endpoint */
 	uint32_t sequence_end; /* next sequence expected from the client */
-	uint32_t copies;       /* SYN copies that the client has sent */
+	uint32_t copies;       /* retransmissions of the SYN */
 	uint64_t sent_ms; /* when the client last sent or retransmitted data */
 	uint32_t acknowledged; /* highest acknowledgement of the client */
 	uint64_t first_seen_ms;
--- a/src/label/jt_flow_lookup.c
+++ b/src/label/jt_flow_lookup.c
@@ -4,8 +4,7 @@
 #include <uthash.h>
 
 enum {
-	/* Message budget: burst size and long-term rate per second. With frames
-	 * the rate is about 3 KB/s of a node's 7 KB/s. */
+	/* Message budget: burst size and long-term rate per second. */
 	MESSAGES_BURST = 512,
 	MESSAGES_PER_S = 32,
 	LOOKUPS_MAX = 128, /* concurrent lookups */
--- a/src/label/jt_flow_rate.h
+++ b/src/label/jt_flow_rate.h
@@ -7,8 +7,8 @@
  *
  * The limit applies in two cases: to cold endpoints of a service whose routing
  * limits their rate, where two groups of nodes that don't know of each other
- * still stay within the limit; and while entries return to the store, when the
- * first known endpoints would otherwise receive the flows of all.
+ * still stay within the limit; and during the initial synchronisation, when the
+ * first known endpoints would otherwise receive all flows.
  */
 #ifndef JT_FLOW_RATE_H
 #define JT_FLOW_RATE_H
--- a/src/label/jt_follower.c
+++ b/src/label/jt_follower.c
@@ -74,7 +74,7 @@
 		follower->due_ms = now_ms;
 }
 
-/* Records a valid answer of the store. */
+/* Records a valid response of the store. */
 static void record_answer(struct jt_follower *follower, uint64_t now_ms)
 {
 	follower->failures = 0;
--- a/src/label/jt_follower.h
+++ b/src/label/jt_follower.h
@@ -4,9 +4,10 @@
  * no I/O: the driver asks for the next step and reports its result. Times are
  * in milliseconds of the monotonic clock.
  *
- * Each kind of failure has its own recovery: a lost or late answer is requested
- * again from the same revision, a refused call is retried with exponential
- * backoff and jitter, and a compacted history leads to a new full listing.
+ * Each kind of failure has its own recovery: a lost or late response is
+ * requested again from the same revision, a refused call is retried with
+ * exponential backoff and jitter, and a compacted history leads to a new full
+ * listing.
  */
 #ifndef JT_FOLLOWER_H
 #define JT_FOLLOWER_H
@@ -22,8 +23,8 @@
 	JT_KV_COMPACTED,   /* the requested history was compacted */
 	JT_KV_THROTTLED,   /* rejected: too many calls */
 	JT_KV_UNAVAILABLE, /* the store did not execute the call */
-	JT_KV_LOST,	   /* no answer was received */
-	JT_KV_INVALID,	   /* the answer is malformed */
+	JT_KV_LOST,	   /* no response was received */
+	JT_KV_INVALID,	   /* the response is malformed */
 	JT_KV_STATUSES,
 };
 
@@ -60,7 +61,7 @@
 	uint32_t failures;	    /* consecutive */
 	uint64_t failures_ever;
 	uint64_t due_ms;
-	uint64_t answered_ms; /* time of the last valid answer */
+	uint64_t answered_ms; /* time of the last valid response */
 	uint64_t as_of_ms;    /* the state is complete as of this time */
 	/* A revision seen by a check but not yet reported; 0: none. */
 	uint64_t unreported_revision;
@@ -69,7 +70,7 @@
 	struct jt_random random;
 };
 
-/* Initializes the follower to watch the store; @seed seeds the jitter. */
+/* Initialises the follower to watch the store; @seed seeds the jitter. */
 void jt_follower_init(struct jt_follower *follower, uint64_t seed);
 /* Returns the next step to take at @now_ms. */
 enum jt_follower_step jt_follower_next(const struct jt_follower *follower,
@@ -112,7 +113,7 @@
 /* Changes the read mode. */
 void jt_follower_set_read_mode(struct jt_follower *follower,
 			       enum jt_read_mode mode, uint64_t now_ms);
-/* Records the answer of a watch at @store_revision; @changes is true if it
+/* Records the response of a watch at @store_revision; @changes is true if it
  * reported any. */
 void jt_follower_watched(struct jt_follower *follower, enum jt_kv_status status,
 			 uint64_t store_revision, bool changes,
@@ -127,7 +128,7 @@
 /*
  * Records the result of a revision check made while a page is late. Returns
  * true if the page should be requested again: a request sent during an outage
- * gets no answer even after the store is back.
+ * gets no response even after the store is back.
  */
 bool jt_follower_record_page_check(struct jt_follower *follower,
 				   enum jt_kv_status status);
--- a/src/label/jt_listing_gaps.h
+++ b/src/label/jt_listing_gaps.h
@@ -2,7 +2,7 @@
  * Tracks listing gaps: revision ranges whose changes this node did not observe
  * one by one. A node that takes a full listing knows the current entries, but
  * not those created and removed since its last complete state. A peer that has
- * such an entry must not be told that no other entry has changed.
+ * such an entry must not be informed that no other entry has changed.
  *
  * This module does no I/O. Revisions are those of the store.
  */
--- a/src/label/jt_load_distribution.c
+++ b/src/label/jt_load_distribution.c
@@ -14,7 +14,7 @@
 #define TOTAL_UTILISATION_MIN 0.2
 /* Upper bound of the marginal response time at UTILISATION_MAX with one
  * slot. */
-#define LEVEL_MAX 500.0
+#define MARGINAL_TIME_MAX 500.0
 
 /* Returns the utilisation at which the marginal response time is @times that
  * of an idle endpoint. */
@@ -55,14 +55,14 @@
 double jt_load_marginal_time(const struct jt_load_endpoint *endpoints,
 			     size_t count, double load_slots)
 {
-	double low = 0, high = log(LEVEL_MAX), capacity = 0;
+	double low = 0, high = log(MARGINAL_TIME_MAX), capacity = 0;
 
 	for (size_t i = 0; i < count; i++) {
 		low = fmin(low, log(endpoints[i].relative_time));
 		capacity += endpoints[i].slots / endpoints[i].relative_time;
 	}
 	load_slots = fmax(load_slots, capacity * TOTAL_UTILISATION_MIN);
-	if (loads_sum(endpoints, count, LEVEL_MAX) <= load_slots)
+	if (loads_sum(endpoints, count, MARGINAL_TIME_MAX) <= load_slots)
 		return INFINITY;
 	for (int step = 0; step < BISECTION_STEPS; step++) {
 		double middle = (low + high) / 2;
--- a/src/label/jt_membership.c
+++ b/src/label/jt_membership.c
@@ -379,7 +379,7 @@
 /* Returns the number of store readers ranked before this node: higher capacity
  * first, then lower id. */
 static size_t readers_ahead(const struct jt_membership *membership,
-			    uint32_t own_weight, bool own_zone_only)
+			    uint32_t own_capacity, bool own_zone_only)
 {
 	size_t ahead = 0;
 
@@ -389,8 +389,8 @@
 		if (!jt_peer_lives(peer) || peer->reader_capacity == 0 ||
 		    (own_zone_only && peer->zone_id != membership->zone_id))
 			continue;
-		if (peer->reader_capacity > own_weight ||
-		    (peer->reader_capacity == own_weight &&
+		if (peer->reader_capacity > own_capacity ||
+		    (peer->reader_capacity == own_capacity &&
 		     peer->id < membership->id))
 			ahead++;
 	}
@@ -398,23 +398,23 @@
 }
 
 bool jt_membership_is_preferred_reader(const struct jt_membership *membership,
-				       uint32_t own_weight)
+				       uint32_t own_capacity)
 {
 	size_t zones = reader_zone_count(membership);
 	size_t readers = (MIN_READERS + zones - 1) / zones;
 
-	return own_weight != 0 &&
-	       readers_ahead(membership, own_weight, true) < readers;
+	return own_capacity != 0 &&
+	       readers_ahead(membership, own_capacity, true) < readers;
 }
 
 enum jt_reader_rank
 jt_membership_reader_rank(const struct jt_membership *membership,
-			  uint32_t own_weight)
+			  uint32_t own_capacity)
 {
 	if (!jt_feature_enabled(membership->disabled_features,
 				JT_FEATURE_FEW_READERS))
 		return JT_READER_RANK_WATCHER;
-	if (!jt_membership_is_preferred_reader(membership, own_weight))
+	if (!jt_membership_is_preferred_reader(membership, own_capacity))
 		return JT_READER_RANK_NONE;
 	/* In a large cluster each zone has its own watchers: a single one that
 	 * served all other nodes could saturate its link. */
@@ -422,13 +422,13 @@
 	    !jt_feature_enabled(membership->disabled_features,
 				JT_FEATURE_SINGLE_WATCHER))
 		return JT_READER_RANK_WATCHER;
-	return readers_ahead(membership, own_weight, false) == 0
+	return readers_ahead(membership, own_capacity, false) == 0
 		       ? JT_READER_RANK_WATCHER
 		       : JT_READER_RANK_ZONE;
 }
 
 /* Returns true if the peer is known to receive packets from routers. For a peer
- * known only through others, a weight above 0 implies it. */
+ * known only through others, a capacity above 0 implies it. */
 static bool peer_ready(const struct jt_peer *peer)
 {
 	if (!jt_peer_lives(peer))
--- a/src/label/jt_membership.h
+++ b/src/label/jt_membership.h
@@ -106,7 +106,7 @@
 	bool fetching;
 	uint64_t fetching_from;	    /* id of the peer of the current fetch */
 	uint64_t leave_limit_ms;    /* maximum duration of a leave */
-	uint32_t disabled_features; /* bit mask of disabled features */
+	uint32_t disabled_features; /* bit set of features that are off */
 };
 
 /* Creates the membership of the node @id at @address, as a talloc child of
@@ -153,12 +153,12 @@
 /* Returns true if this node is one of the preferred store readers of its zone.
  * There is at least one in each zone, and at least three in total. */
 bool jt_membership_is_preferred_reader(const struct jt_membership *membership,
-				       uint32_t own_weight);
+				       uint32_t own_capacity);
 /* Returns the rank of this node among the store readers: of its zone, or of all
  * nodes. In a large cluster each zone has its own watchers. */
 enum jt_reader_rank
 jt_membership_reader_rank(const struct jt_membership *membership,
-			  uint32_t own_weight);
+			  uint32_t own_capacity);
 /* Returns the counts of other nodes on which a leaving node bases its steps. */
 struct jt_zone_view jt_membership_zone(const struct jt_membership *membership,
 				       uint64_t now_ms);
--- a/src/label/jt_membership_source.h
+++ b/src/label/jt_membership_source.h
@@ -15,7 +15,7 @@
 };
 
 /* Returns true if the peer has started. For a peer known only through others, a
- * weight above 0 implies it. */
+ * capacity above 0 implies it. */
 static inline bool jt_peer_started(const struct jt_peer *peer)
 {
 	return jt_peer_lives(peer) &&
@@ -29,12 +29,14 @@
 static inline uint64_t jt_source_rank(const struct jt_peer *peer,
 				      uint32_t zone_id, uint64_t now_ms)
 {
-	uint64_t weight = peer->reader_capacity > 0 ? peer->reader_capacity : 1;
+	uint64_t scaled_capacity =
+		peer->reader_capacity > 0 ? peer->reader_capacity : 1;
 	uint64_t age_ms = now_ms - peer->heard_ms;
 
 	if (peer->zone_id == zone_id)
-		weight *= SOURCE_OWN_ZONE_FACTOR;
-	return 1 + weight * SOURCE_RANK_SCALE * SOURCE_HALF_RANK_AGE_MS /
+		scaled_capacity *= SOURCE_OWN_ZONE_FACTOR;
+	return 1 + scaled_capacity * SOURCE_RANK_SCALE *
+			   SOURCE_HALF_RANK_AGE_MS /
 			   (SOURCE_HALF_RANK_AGE_MS + age_ms);
 }
 
--- a/src/label/jt_outlier.c
+++ b/src/label/jt_outlier.c
@@ -10,7 +10,7 @@
  * this part of the averaging time (jt_recent_load.h). The number of failures
  * that makes it an outlier is then independent of the request rate. */
 #define SERVED_BEFORE_PART 0.2
-/* Weight of an overdue answer in failures: it is detected late, and clients
+/* Weight of an overdue response in failures: it is detected late, and clients
  * wait long for the next ones. */
 #define OVERDUE_WEIGHT 8.0
 /* The share falls with this power of the success rate relative to others. */
@@ -21,12 +21,12 @@
 #define FAILED_MIN 0.02
 
 enum {
-	/* An answer is overdue after this multiple of the service's mean
+	/* A response is overdue after this multiple of the service's mean
 	 * response time. */
 	OVERDUE_FACTOR = 8,
 	/* Divisor of the moving average of response times. */
 	RESPONSE_TIME_DIVISOR = 16,
-	/* Half-life of failures; longer for overdue answers, because each
+	/* Half-life of failures; longer for overdue responses, because each
 	 * trial of such an endpoint makes a client wait. */
 	HALF_LIFE_MS = 500,
 	HALF_LIFE_OVERDUE_MS = 1000,
@@ -36,7 +36,7 @@
 	HALF_LIFE_MAX_MS = 2000,
 	/* Without failures for this time the half-life is reset. */
 	FORGET_MS = 15000,
-	/* Minimum time between reports of overdue answers to peers. */
+	/* Minimum time between reports of overdue responses to peers. */
 	REPORT_INTERVAL_MS = 1000,
 	/* Interval of the comparison of a service's endpoints. */
 	COMPARE_INTERVAL_MS = 50,
--- a/src/label/jt_outlier.h
+++ b/src/label/jt_outlier.h
@@ -1,7 +1,7 @@
 /*
  * Outlier detection: finds endpoints that seem alive but fail requests. They
  * leave requests unanswered, or answer with far less data than the route's
- * usual answer (jt_answer_profile.h).
+ * usual response (jt_answer_profile.h).
  *
  * Failures seen by all nodes are added up for each endpoint and decay with
  * time. An endpoint's failure rate is compared with that of the better quarter
@@ -15,8 +15,7 @@
 
 #include "jt_endpoint_table.h"
 
-/* Minimum time until an answer is overdue, milliseconds. Above the longest
- * usual response times of a fast service. */
+/* Minimum time until a response is overdue, milliseconds. */
 enum { JT_OVERDUE_LEAST_MS = 300 };
 
 enum { JT_FULL_SHARE_PERMILLE = 1000 };
@@ -31,11 +30,12 @@
 
 /* Records the response time of a request served by the incarnation. */
 void jt_outlier_answered(struct jt_incarnation *incarnation, uint64_t took_ms);
-/* Returns the response time beyond which an answer is overdue, milliseconds. */
+/* Returns the response time beyond which a response is overdue, milliseconds.
+ */
 uint64_t jt_outlier_limit_ms(const struct jt_incarnation *incarnation);
-/* Records an overdue answer. Returns true if it must be reported to peers. */
+/* Records an overdue response. Returns true if it must be reported to peers. */
 bool jt_outlier_overdue(struct jt_incarnation *incarnation, uint64_t now_ms);
-/* Records a peer's report of overdue answers. */
+/* Records a peer's report of overdue responses. */
 void jt_outlier_peer_overdue(struct jt_incarnation *incarnation,
 			     uint64_t now_ms);
 /* Records failed requests by weight. @share_permille is the incarnation's
@@ -67,6 +67,7 @@
  * thousandths; JT_FULL_SHARE_PERMILLE if it is no outlier. */
 uint32_t jt_outlier_share_permille(const struct jt_incarnation *incarnation,
 				   uint64_t now_ms);
+/* Returns the incarnation's failure statistics. */
 struct jt_outlier_view jt_outlier_view(const struct jt_incarnation *incarnation,
 				       uint64_t now_ms);
 /* Returns true if the share has been reduced considerably, or restored, since
--- a/src/label/jt_outlier_state.h
+++ b/src/label/jt_outlier_state.h
@@ -17,10 +17,9 @@
 	uint32_t half_life_ms; /* of both counts; 0: no failure known */
 	uint64_t failed_ms;    /* last failure */
 	uint64_t reported_ms;  /* last report to or from peers */
-	uint64_t
-		/* When the share was first low, or the half-life last doubled;
-		 * 0: the share was not low. */
-		low_since_ms;
+	/* When the share was first low, or the half-life last doubled; 0: the
+	 * share was not low. */
+	uint64_t low_since_ms;
 	bool reduced; /* the last reported state */
 };
 
--- a/src/label/jt_reader.c
+++ b/src/label/jt_reader.c
@@ -32,9 +32,8 @@
 	 * times. */
 	FIRST_START_SEEDS_MS = 1000,
 	FIRST_START_MS = 2000,
-	/* Time after which a node knows enough of its peers to watch. A longer
-	 * time would delay changes just after a restart of all nodes; on the
-	 * first start there is no such need. */
+	/* Time after which a node knows enough of its peers to watch; longer
+	 * on the first start, when there are no changes to deliver yet. */
 	WATCH_AFTER_MS = 300,
 	WATCH_AFTER_FIRST_START_MS = 2500,
 };
@@ -143,9 +142,9 @@
 	return reader->read_mode;
 }
 
-uint64_t jt_reader_start_wait_ms(uint32_t weight)
+uint64_t jt_reader_start_wait_ms(uint32_t cpu_permille)
 {
-	uint64_t listing_ms = LISTING_COST / (weight ? weight : 1);
+	uint64_t listing_ms = LISTING_COST / (cpu_permille ? cpu_permille : 1);
 
 	if (listing_ms <= LISTING_MS)
 		return 0;
@@ -154,10 +153,11 @@
 	return listing_ms - LISTING_MS;
 }
 
-uint64_t jt_reader_first_wait_ms(struct jt_reader *reader, uint32_t weight,
-				 bool first_start, bool is_seed)
+uint64_t jt_reader_first_wait_ms(struct jt_reader *reader,
+				 uint32_t cpu_permille, bool first_start,
+				 bool is_seed)
 {
-	uint64_t wait_ms = jt_reader_start_wait_ms(weight);
+	uint64_t wait_ms = jt_reader_start_wait_ms(cpu_permille);
 
 	if (wait_ms < PEER_ANSWER_MS)
 		wait_ms = PEER_ANSWER_MS;
--- a/src/label/jt_reader.h
+++ b/src/label/jt_reader.h
@@ -31,27 +31,28 @@
 };
 
 struct jt_reader {
-	uint64_t limit_ms;	 /* maximum age of the state */
-	uint64_t jitter_ms;	 /* random addition to limit_ms */
-	uint64_t own_ms;	 /* as of when this node has read the store */
-	uint64_t peers_as_of_ms; /* as of when peers have read the store */
-	uint64_t peers_reader;	 /* id of the node that read it then */
-	uint64_t began_ms;	 /* when this node began to read */
-	uint64_t watch_after_ms; /* initial time without a watch */
+	uint64_t limit_ms;  /* maximum age of the state */
+	uint64_t jitter_ms; /* random addition to limit_ms */
+	uint64_t own_ms;    /* time as of which this node has read the store */
+	uint64_t
+		peers_as_of_ms; /* time as of which peers have read the store */
+	uint64_t peers_reader;	/* id of the node that read it then */
+	uint64_t began_ms;	/* when this node began to read */
+	uint64_t watch_after_ms;    /* initial time without a watch */
 	uint64_t peers_no_newer_ms; /* when a peer last reported no newer state
 				     */
 	uint64_t hold_until_ms;	    /* keep watching until then */
 	uint64_t try_after_ms;	    /* don't read before then */
 	enum jt_read_mode read_mode;
 	/* A node that knows some endpoints doesn't list the store before
-	 * list_after_ms; list_spread is set once that time is randomized over
+	 * list_after_ms; list_spread is set once that time is randomised over
 	 * all nodes. */
 	uint64_t list_after_ms;
 	bool list_spread;
 	struct jt_random random;
 };
 
-/* Initializes the reader. State older than @limit_ms is too old; @seed seeds
+/* Initialises the reader. State older than @limit_ms is too old; @seed seeds
  * the random delays. */
 void jt_reader_init(struct jt_reader *reader, uint64_t limit_ms, uint64_t seed);
 /* Records that this node has read the store as of @as_of_ms. */
@@ -81,17 +82,18 @@
 /*
  * Returns the time in milliseconds that a starting node waits for peers that
  * have the full state before it lists the store. A full listing costs a weak
- * node far more than a transfer from a peer. @weight: capacity in thousandths
- * of a core.
+ * node far more than a transfer from a peer. @cpu_permille: CPU capacity in
+ * thousandths of a core.
  */
-uint64_t jt_reader_start_wait_ms(uint32_t weight);
+uint64_t jt_reader_start_wait_ms(uint32_t cpu_permille);
 /*
  * The same with a minimum: long enough for a live peer to answer and, when the
  * whole system starts for the first time (@first_start), for a node that has
  * listed the store to report. Seeds (@is_seed) list the store first.
  */
-uint64_t jt_reader_first_wait_ms(struct jt_reader *reader, uint32_t weight,
-				 bool first_start, bool is_seed);
+uint64_t jt_reader_first_wait_ms(struct jt_reader *reader,
+				 uint32_t cpu_permille, bool first_start,
+				 bool is_seed);
 /* Returns "not", "checks" or "watches". */
 const char *jt_read_mode_name(enum jt_read_mode mode);
 /* Returns the time as of which this node knows the store's content, and sets
--- a/src/label/jt_response_ratio.c
+++ b/src/label/jt_response_ratio.c
@@ -3,9 +3,8 @@
 #include <math.h>
 
 enum {
-	/* Responses of all nodes together that an average covers: enough to
-	 * tell an endpoint of half the speed from noise, few enough to follow
-	 * one that slows down within seconds. */
+	/* Responses of all nodes together that an average covers; older ones
+	 * decay. */
 	WINDOW_RESPONSES = 24,
 	/* Weight of the usual response time as a prior, in responses. */
 	PRIOR_RESPONSES = 1,
--- a/src/label/jt_serve_budget.c
+++ b/src/label/jt_serve_budget.c
@@ -1,8 +1,8 @@
 #include "jt_serve_budget.h"
 
 enum {
-	/* Maximum queueing delay of state snapshots on the link: a requesting
-	 * peer waits for 250 ms. */
+	/* Maximum queueing delay of state snapshots on the link; below the
+	 * timeout of a requesting peer. */
 	QUEUE_MAX_MS = 100,
 	BYTES_PER_MS_PER_MBPS = 125,
 	/* Snapshots use at most 1/2 of the link; the rest is for client
--- a/src/label/jt_snapshot.c
+++ b/src/label/jt_snapshot.c
@@ -66,8 +66,8 @@
 	return true;
 }
 
-/* Returns the remaining time in milliseconds for which the incarnation is cold,
- * which is less than its entry said on arrival. */
+/* Returns the remaining time in milliseconds for which the incarnation is
+ * cold. */
 static uint32_t cold_left_ms(const struct jt_incarnation *in, uint64_t now_ms)
 {
 	return now_ms < in->cold_until_ms
@@ -183,9 +183,9 @@
 	return true;
 }
 
-/* Writes some entries of a node that has not started. The first slice is any of
- * the first half, so that requests get different entries and, where there are
- * few, at least half of them. */
+/* Writes some entries of a node that has not started. The first slice is one of
+ * the first half and varies with time, so that requests get different entries,
+ * but always the second half of a small table. */
 static bool partial_entries_write(TALLOC_CTX *mem_ctx,
 				  const struct jt_director *director,
 				  uint64_t now_ms, jt_wire_snapshot *snapshot)
--- a/src/label/jt_snapshot_fetch.h
+++ b/src/label/jt_snapshot_fetch.h
@@ -5,7 +5,8 @@
  * A snapshot from several peers is complete up to the lowest of their
  * revisions.
  *
- * This module does no I/O: the driver queries peers and reports their answers.
+ * This module does no I/O: the driver queries peers and reports their
+ * responses.
  */
 #ifndef JT_SNAPSHOT_FETCH_H
 #define JT_SNAPSHOT_FETCH_H
@@ -18,8 +19,8 @@
 	bool begun;
 	uint64_t since;	   /* all changes up to it were known at the start */
 	uint32_t slice;	   /* next slice to request */
-	uint64_t revision; /* lowest revision of the answers */
-	uint32_t initial_sync_ms;   /* longest one of the answers */
+	uint64_t revision; /* lowest revision of the responses */
+	uint32_t initial_sync_ms;   /* longest one of the responses */
 	struct jt_listing_gap gap;  /* union of the senders' listing gaps */
 	uint64_t incomplete_before; /* before this revision a sender may lack
 				       changes */
@@ -32,9 +33,9 @@
 struct jt_snapshot_request
 jt_snapshot_fetch_request(struct jt_snapshot_fetch *fetch,
 			  const struct jt_own_state *own);
-/* Records an answer received at @now_ms. Returns true if it completes the
+/* Records a response received at @now_ms. Returns true if it completes the
  * snapshot; @fetch then describes the result until the next call of
- * jt_snapshot_fetch_request. Ignores an answer to another request. */
+ * jt_snapshot_fetch_request. Ignores a response to another request. */
 bool jt_snapshot_fetch_record(struct jt_snapshot_fetch *fetch,
 			      const jt_wire_snapshot *snapshot,
 			      uint64_t now_ms);
--- a/src/label/jt_split.h
+++ b/src/label/jt_split.h
@@ -17,9 +17,8 @@
 	struct jt_address address; /* address of the route */
 	struct jt_route route;	   /* the route when counting began */
 	uint64_t assigned[JT_ROUTE_PART_LIMIT];
-	struct jt_usual_response_time
-		response_times[JT_ROUTE_PART_LIMIT]; /* response times by part
-						      */
+	/* By part. */
+	struct jt_usual_response_time response_times[JT_ROUTE_PART_LIMIT];
 	UT_hash_handle hh;
 };
 
@@ -27,6 +26,7 @@
 	struct jt_split *routes; /* hash by address */
 };
 
+/* Returns NULL if out of memory. */
 struct jt_splits *jt_splits_create(TALLOC_CTX *mem_ctx);
 /* Returns the split of the route, created if necessary. Its counts are reset
  * when the route's parts have changed. Returns NULL if out of memory. */
--- a/src/label/jt_target.c
+++ b/src/label/jt_target.c
@@ -5,7 +5,7 @@
 #include <math.h>
 
 enum {
-	/* Answers over which a service's mean service time is averaged. */
+	/* Responses over which a service's mean service time is averaged. */
 	SERVICE_TIME_ANSWERS = 64,
 };
 
--- a/src/label/jt_target.h
+++ b/src/label/jt_target.h
@@ -13,7 +13,7 @@
 	struct jt_peer_loads *peer_loads;
 	/* Nodes that share the endpoints, including this one. */
 	uint64_t nodes;
-	uint32_t disabled_features; /* disabled features */
+	uint32_t disabled_features; /* bit set of features that are off */
 	/* Results of jt_target_compute() for a set of endpoints: */
 	double marginal_time; /* marginal response time, jt_load_marginal_time()
 			       */
@@ -39,7 +39,7 @@
 double jt_target_relative_load(const struct jt_target *target,
 			       const struct jt_incarnation *in,
 			       uint64_t now_ms);
-/* Records the answer to a request of the given kind at the endpoint. */
+/* Records the response to a request of the given kind at the endpoint. */
 void jt_target_answered(const struct jt_target *target,
 			struct jt_usual_response_time *kind,
 			struct jt_incarnation *in,
