--- a/src/director/jt_director_node_private.h
+++ b/src/director/jt_director_node_private.h
@@ -43,8 +43,7 @@
 	uint64_t log_ms; /* time spent writing log lines up to the last tick */
 	bool lookup_pending; /* the lookup timer is running */
 	bool lookup_again;   /* a lookup was sent after the timer was set */
-	struct jt_timer
-		*lookup_timer; /* time for peers to respond to a lookup */
+	struct jt_timer *lookup_timer; /* time for peers to respond */
 	int data_fd;
 	uint8_t buffer[JT_HEADROOM_MAX + JT_DATAGRAM_MAX];
 	size_t packet_length; /* length of the current packet */
--- a/src/label/jt_reader.h
+++ b/src/label/jt_reader.h
@@ -31,13 +31,12 @@
 };
 
 struct jt_reader {
-	uint64_t limit_ms;  /* maximum age of the state */
-	uint64_t jitter_ms; /* random addition to limit_ms */
-	uint64_t own_ms;    /* time as of which this node has read the store */
-	uint64_t
-		peers_as_of_ms; /* time as of which peers have read the store */
-	uint64_t peers_reader;	/* id of the node that read it then */
-	uint64_t began_ms;	/* when this node began to read */
+	uint64_t limit_ms;	    /* maximum age of the state */
+	uint64_t jitter_ms;	    /* random addition to limit_ms */
+	uint64_t own_ms;	    /* this node read the store as of then */
+	uint64_t peers_as_of_ms;    /* peers read the store as of then */
+	uint64_t peers_reader;	    /* id of the node that read it then */
+	uint64_t began_ms;	    /* when this node began to read */
 	uint64_t watch_after_ms;    /* initial time without a watch */
 	uint64_t peers_no_newer_ms; /* when a peer last reported no newer state
 				     */
