--- a/include/jaspertrack/director-t.h
+++ b/include/jaspertrack/director-t.h
@@ -294,7 +294,7 @@
 	JT_DIRECTOR_DROP,     /* drop the current packet */
 	JT_DIRECTOR_HOLD,     /* queue the current packet and retry it later */
 	JT_DIRECTOR_PROBE,    /* open a connection to an endpoint */
-	JT_DIRECTOR_IDENTIFY, /* ask which endpoint responds at an address */
+	JT_DIRECTOR_IDENTIFY, /* query which endpoint responds at an address */
 	/* An endpoint was declared dead: report to peers. */
 	JT_DIRECTOR_DEATH_REPORT,
 	/* Responses of an endpoint are overdue: report to peers. */
--- a/src/label/admission/jt_concurrency_limit.c
+++ b/src/label/admission/jt_concurrency_limit.c
@@ -293,7 +293,7 @@
 		factor = 1;
 	adjusted =
 		limit->limit * fmin(fmax(factor, LIMIT_FACTOR_MIN), max_factor);
-	/* At low delay, the current throughput leaves room for about twice as
+	/* At low delay, the current throughput has headroom for about twice as
 	 * much in flight. */
 	if (low_delay)
 		adjusted = fmax(adjusted,
--- a/src/label/jt_director.c
+++ b/src/label/jt_director.c
@@ -84,8 +84,8 @@
 }
 
 /* Marks the endpoints as known, except for those that arrive within
- * @initial_sync_ms: a node that reads its first full listing can't tell whether
- * a store outage has just ended. */
+ * @initial_sync_ms: a node that reads its first full listing can't determine
+ * whether a store outage has just ended. */
 static void endpoints_mark_known(struct jt_director *director,
 				 uint32_t initial_sync_ms, uint64_t now_ms)
 {
--- a/src/label/jt_director_expiry.h
+++ b/src/label/jt_director_expiry.h
@@ -8,7 +8,7 @@
 uint64_t jt_director_flow_idle_ms(const struct jt_director *director);
 /* Removes flows that have exceeded the idle timeout. */
 void jt_director_flows_expire(struct jt_director *director, uint64_t now_ms);
-/* Sends due probes and forgets endpoints whose entry was removed longer ago
+/* Sends due probes and removes endpoints whose entry was removed longer ago
  * than the maximum lifetime of a flow. */
 void jt_director_endpoints_tick(struct jt_director *director, uint64_t now_ms,
 				struct jt_director_actions *actions);
--- a/src/label/jt_director_flow.h
+++ b/src/label/jt_director_flow.h
@@ -14,9 +14,9 @@
 struct jt_cached_flow *jt_director_flow_add(
 	struct jt_director *director, const struct jt_label_packet *packet,
 	struct jt_incarnation *incarnation, uint32_t label, uint64_t now_ms);
-/* Returns true if a SYN with @sequence belongs to @flow: a copy, or one that
- * was delayed or duplicated. Otherwise the client has reused the port with a
- * new initial sequence number. */
+/* Returns true if a SYN with @sequence belongs to @flow: a retransmission, or
+ * one that was delayed or duplicated. Otherwise the client has reused the port
+ * with a new initial sequence number. */
 bool jt_director_flow_has_first(const struct jt_cached_flow *flow,
 				uint32_t sequence);
 /* Returns a random sequence for a reset that a client accepts only while its
@@ -48,7 +48,7 @@
 /*
  * Discards what was observed of the flows of the previous incarnation, which
  * @incarnation has replaced. The flows stay cached under their keys, so that
- * copies of their SYNs go to no other endpoint; so do the flows of the
+ * retransmissions of their SYNs go to no other endpoint; so do the flows of the
  * incarnation before it, which had @earliest_label.
  */
 void jt_director_flows_supersede(struct jt_director *director,
--- a/src/label/jt_director_lookup.c
+++ b/src/label/jt_director_lookup.c
@@ -2,7 +2,7 @@
 #include "jt_director_flow.h"
 #include "jt_feature.h"
 
-/* Returns true if peers should be asked for the packet's flow: the packet is a
+/* Returns true if the packet's flow should be looked up: the packet is a
  * retransmitted SYN, so the first one went to another node or was lost. Held
  * packets have waited already. */
 static bool lookup_needed(const struct jt_director *director,
--- a/src/label/jt_director_packet.c
+++ b/src/label/jt_director_packet.c
@@ -252,11 +252,12 @@
 }
 
 /* Forwards a SYN that was seen before to its endpoint. */
-static void packet_syn_copy(struct jt_director *director,
-			    const struct jt_label_packet *packet,
-			    struct jt_cached_flow *flow,
-			    struct jt_incarnation *incarnation, uint64_t now_ms,
-			    struct jt_director_actions *actions)
+static void packet_syn_repeated(struct jt_director *director,
+				const struct jt_label_packet *packet,
+				struct jt_cached_flow *flow,
+				struct jt_incarnation *incarnation,
+				uint64_t now_ms,
+				struct jt_director_actions *actions)
 {
 	bool retransmitted = syn_retransmitted(flow, packet);
 
@@ -273,7 +274,7 @@
 		    now_ms, actions);
 }
 
-/* Handles the SYN of a flow or a copy of it. */
+/* Handles the SYN of a flow or a retransmission of it. */
 static void packet_syn(struct jt_director *director,
 		       const struct jt_label_packet *packet, uint64_t now_ms,
 		       struct jt_director_actions *actions)
@@ -317,8 +318,8 @@
 			if (fault_rejects_assigned(director, packet, route,
 						   now_ms, actions))
 				return;
-			packet_syn_copy(director, packet, flow, incarnation,
-					now_ms, actions);
+			packet_syn_repeated(director, packet, flow, incarnation,
+					    now_ms, actions);
 			return;
 		}
 		/* The flow may be open at the restarted endpoint. */
--- a/src/label/jt_endpoint_table.c
+++ b/src/label/jt_endpoint_table.c
@@ -210,7 +210,7 @@
 	return pool;
 }
 
-/* Makes room for one more member. */
+/* Ensures capacity for one more member. Returns false if memory runs out. */
 static bool pool_grow(struct jt_service_pool *pool)
 {
 	size_t capacity =
--- a/src/label/jt_flow_lookup.h
+++ b/src/label/jt_flow_lookup.h
@@ -2,7 +2,7 @@
  * Lookups of flows at peers, for a retransmitted SYN whose flow is unknown
  * here. Either the first SYN was lost, or routers moved the flow from a node
  * that may have assigned it. Two endpoints that respond to one client disrupt
- * its flow, so the copy waits briefly for the peers' responses.
+ * its flow, so the SYN waits briefly for the peers' responses.
  *
  * The messages are bounded by a budget, the lookups by number. Flows beyond
  * these limits are assigned at once.
@@ -26,7 +26,7 @@
 bool jt_flow_lookup_begin(struct jt_flow_lookups *lookups,
 			  const struct jt_label_packet *packet,
 			  uint64_t now_ms);
-/* Records that @peers peers were asked for the flow. */
+/* Records that the lookup was sent to @peers peers. */
 void jt_flow_lookup_asked(struct jt_flow_lookups *lookups,
 			  const struct jt_flow_key *key, size_t peers,
 			  uint64_t now_ms);
--- a/src/label/jt_follower.c
+++ b/src/label/jt_follower.c
@@ -14,8 +14,9 @@
 	DEFAULT_RETRY_MAX_MS = 1600,
 	MAX_DOUBLINGS = 16,
 	/* A page that takes this long shows that many nodes list at once. Some
-	 * of them continue; the others pause for about YIELD_MS, while stronger
-	 * nodes complete the listing and send it to their peers. */
+	 * of them continue; the others pause for about YIELD_MS, while nodes
+	 * with more CPU capacity complete the listing and send it to their
+	 * peers. */
 	SLOW_PAGE_MS = 100,
 	MIN_CONTINUE_PERMILLE = 125,
 	PERMILLE = 1000,
--- a/src/label/jt_membership.c
+++ b/src/label/jt_membership.c
@@ -6,7 +6,7 @@
 enum {
 	/* A peer is lost after PEER_TIMEOUT_MS without a message, plus as much
 	 * again for every PEER_TIMEOUT_PEERS known peers: in a large cluster
-	 * each one is heard from less often. */
+	 * each one sends to this node less often. */
 	PEER_TIMEOUT_MS = 4000,
 	PEER_TIMEOUT_PEERS = 25,
 	PEER_RETENTION_MS = 60000, /* a lost peer is removed after this time */
@@ -20,7 +20,7 @@
 	MAX_ZONES = 16,
 	/* Minimum number of store readers over all zones. */
 	MIN_READERS = 3,
-	/* Time within which a restarted process is heard from again. */
+	/* Time within which a restarted process sends again. */
 	MAX_RESTART_MS = 1500,
 	/* Maximum duration of a leave if the settings set none. */
 	DEFAULT_LEAVE_LIMIT_MS = 6000,
@@ -443,7 +443,7 @@
 	uint64_t limit_ms = MAX_RESTART_MS;
 
 	/* A leaving node sends to its own zone several times a second; other
-	 * zones hear from it again only when its successor is ready. */
+	 * zones receive nothing until its successor is ready. */
 	if (peer->zone_id != membership->zone_id)
 		limit_ms += membership->leave_limit_ms;
 	return peer->leaving && !peer->ready &&
--- a/src/label/jt_membership.h
+++ b/src/label/jt_membership.h
@@ -37,15 +37,15 @@
 /* What is known of another node. Times are in milliseconds of this node's
  * monotonic clock. */
 struct jt_peer {
-	uint64_t id; /* of the process; 0: a seed not heard from yet */
+	uint64_t id; /* of the process; 0: a seed that has not sent yet */
 	struct jt_address address;
 	uint32_t zone_id;
 	uint32_t reader_capacity; /* capacity to read the store; 0: it can't now
 				   */
-	uint64_t heard_ms;	  /* last time that any node heard from it */
+	uint64_t heard_ms;	  /* last time that any node received from it */
 	uint64_t routing_version;
 	uint64_t revision;
-	bool heard; /* this node has heard from it since it was last lost */
+	bool heard; /* a message came from it since it was last lost */
 	bool started;
 	bool accepts_flows; /* accepts new flows: it knows some endpoints */
 	bool leaving;
@@ -61,7 +61,7 @@
 	JT_FETCH_FAILED,
 };
 
-/* Returns true if this node or another one has heard from the peer recently. */
+/* Returns true if this node or another one received from the peer recently. */
 static inline bool jt_peer_lives(const struct jt_peer *peer)
 {
 	return peer->id != 0 && !peer->lost;
@@ -169,7 +169,7 @@
 			      const struct jt_own_state *own, uint64_t now_ms,
 			      jt_wire_digest *digest);
 /* Builds a digest for a node of @zone_id that has just started. Its peers are
- * the best sources for a state transfer: high capacity, heard from recently.
+ * the best sources for a state transfer: high capacity, a recent message.
  * They are talloc children of @mem_ctx. */
 void jt_membership_source_digest(struct jt_membership *membership,
 				 TALLOC_CTX *mem_ctx,
--- a/src/label/jt_membership_fetch.c
+++ b/src/label/jt_membership_fetch.c
@@ -114,8 +114,8 @@
 	return peer;
 }
 
-/* Marks a peer that did not answer, so that others are preferred until it is
- * heard from again. */
+/* Marks a peer that did not answer, so that others are preferred until a
+ * message comes from it. */
 static void mark_no_answer(struct jt_membership *membership, uint64_t id)
 {
 	for (size_t i = 0; i < membership->count; i++) {
--- a/src/label/jt_membership_source.h
+++ b/src/label/jt_membership_source.h
@@ -5,8 +5,8 @@
 #include "jt_membership.h"
 
 enum {
-	/* A peer last heard from this long ago has half the rank of one heard
-	 * from just now: it may have ended since then. */
+	/* A peer whose last message is this old has half the rank of one with a
+	 * new message: it may have ended since then. */
 	SOURCE_HALF_RANK_AGE_MS = 2000,
 	/* Factor by which a source of the same zone is preferred. */
 	SOURCE_OWN_ZONE_FACTOR = 32,
--- a/src/label/jt_outlier.c
+++ b/src/label/jt_outlier.c
@@ -17,7 +17,7 @@
 #define SHARE_POWER 4.0
 /* Minimum weight of a failure, when the service has no free slots. */
 #define FREE_SLOTS_WEIGHT_MIN 0.3
-/* Weighted failures below this are forgotten. */
+/* Weighted failures below this are reset to 0. */
 #define FAILED_MIN 0.02
 
 enum {
@@ -164,7 +164,7 @@
 		outlier->half_life_ms *= 2;
 }
 
-/* Starts counting at the first remembered failure, assuming earlier requests
+/* Starts counting at the first recorded failure, assuming earlier requests
  * served at the given share. */
 static void counts_begin(struct jt_incarnation *in, uint32_t share_permille,
 			 uint64_t now_ms)
@@ -255,8 +255,8 @@
 	return (left > right) - (left < right);
 }
 
-/* Forgets decayed failures of an endpoint whose share is full again. */
-static void failures_forget(struct jt_incarnation *in, uint64_t now_ms)
+/* Resets decayed failures of an endpoint whose share is full again. */
+static void failures_reset(struct jt_incarnation *in, uint64_t now_ms)
 {
 	struct jt_outlier *outlier = &in->outlier;
 
@@ -294,7 +294,7 @@
 		counts_advance(incarnations[i], now_ms);
 		rates[i] = failure_rate(counts_now(incarnations[i], now_ms));
 		sum += rates[i];
-		failures_forget(incarnations[i], now_ms);
+		failures_reset(incarnations[i], now_ms);
 	}
 	if (compared == 0)
 		return;
--- a/src/label/jt_outlier.h
+++ b/src/label/jt_outlier.h
@@ -45,7 +45,7 @@
 		       uint32_t share_permille, uint64_t now_ms);
 
 /* Records requests served here or at a peer. Ignored unless failures of the
- * incarnation are remembered. */
+ * incarnation are recorded. */
 void jt_outlier_served(struct jt_incarnation *incarnation, double requests,
 		       uint64_t now_ms);
 
@@ -74,7 +74,7 @@
  * the last call; outlier.reduced of the incarnation is the new state. */
 bool jt_outlier_state_changed(struct jt_incarnation *incarnation,
 			      uint64_t now_ms);
-/* Returns true if failures are remembered, so that the share may change with
+/* Returns true if failures are recorded, so that the share may change with
  * time. */
 bool jt_outlier_pending(const struct jt_incarnation *incarnation);
 
--- a/src/label/jt_reader.h
+++ b/src/label/jt_reader.h
@@ -80,9 +80,9 @@
 				   uint64_t now_ms);
 /*
  * Returns the time in milliseconds that a starting node waits for peers that
- * have the full state before it lists the store. A full listing costs a weak
- * node far more than a transfer from a peer. @cpu_permille: CPU capacity in
- * thousandths of a core.
+ * have the full state before it lists the store. A full listing costs a
+ * node with little CPU far more than a transfer from a peer. @cpu_permille: CPU
+ * capacity in thousandths of a core.
  */
 uint64_t jt_reader_start_wait_ms(uint32_t cpu_permille);
 /*
