--- a/include/jaspertrack/director-t.h
+++ b/include/jaspertrack/director-t.h
@@ -388,7 +388,7 @@
 /* Fault injection: tests disable a protection to check that they detect it. */
 enum jt_director_fault {
 	JT_DIRECTOR_FAULT_NONE = 0,
-	/* Declares silent endpoints dead. */
+	/* A single failed probe declares an endpoint dead. */
 	JT_DIRECTOR_FAULT_GUESS_DEATH = 1 << 0,
 	JT_DIRECTOR_FAULT_NO_DETECTOR =
 		1 << 1,			    /* never declares endpoints dead */
