--- a/src/label/jt_outlier.c
+++ b/src/label/jt_outlier.c
@@ -10,23 +10,23 @@
  * this part of the averaging time (jt_recent_load.h). The number of failures
  * that makes it an outlier is then independent of the request rate. */
 #define SERVED_BEFORE_PART 0.2
-/* Weight of an overdue answer in failures: it is detected late, and clients
+/* Weight of an overdue response in failures: it is detected late, and clients
  * wait long for the next ones. */
 #define OVERDUE_WEIGHT 8.0
 /* The share falls with this power of the success rate relative to others. */
 #define SHARE_POWER 4.0
 /* Minimum weight of a failure, when the service has no free slots. */
 #define FREE_SLOTS_WEIGHT_MIN 0.3
-/* Weighted failures below this are forgotten. */
+/* Weighted failures below this are reset to 0. */
 #define FAILED_MIN 0.02
 
 enum {
-	/* An answer is overdue after this multiple of the service's mean
+	/* A response is overdue after this multiple of the service's mean
 	 * response time. */
 	OVERDUE_FACTOR = 8,
 	/* Divisor of the moving average of response times. */
 	RESPONSE_TIME_DIVISOR = 16,
-	/* Half-life of failures; longer for overdue answers, because each
+	/* Half-life of failures; longer for overdue responses, because each
 	 * trial of such an endpoint makes a client wait. */
 	HALF_LIFE_MS = 500,
 	HALF_LIFE_OVERDUE_MS = 1000,
@@ -36,7 +36,7 @@
 	HALF_LIFE_MAX_MS = 2000,
 	/* Without failures for this time the half-life is reset. */
 	FORGET_MS = 15000,
-	/* Minimum time between reports of overdue answers to peers. */
+	/* Minimum time between reports of overdue responses to peers. */
 	REPORT_INTERVAL_MS = 1000,
 	/* Interval of the comparison of a service's endpoints. */
 	COMPARE_INTERVAL_MS = 50,
@@ -164,7 +164,7 @@
 		outlier->half_life_ms *= 2;
 }
 
-/* Starts counting at the first remembered failure, assuming earlier requests
+/* Starts counting at the first recorded failure, assuming earlier requests
  * served at the given share. */
 static void counts_begin(struct jt_incarnation *in, uint32_t share_permille,
 			 uint64_t now_ms)
@@ -255,8 +255,8 @@
 	return (left > right) - (left < right);
 }
 
-/* Forgets decayed failures of an endpoint whose share is full again. */
-static void failures_forget(struct jt_incarnation *in, uint64_t now_ms)
+/* Resets decayed failures of an endpoint whose share is full again. */
+static void failures_reset(struct jt_incarnation *in, uint64_t now_ms)
 {
 	struct jt_outlier *outlier = &in->outlier;
 
@@ -294,7 +294,7 @@
 		counts_advance(incarnations[i], now_ms);
 		rates[i] = failure_rate(counts_now(incarnations[i], now_ms));
 		sum += rates[i];
-		failures_forget(incarnations[i], now_ms);
+		failures_reset(incarnations[i], now_ms);
 	}
 	if (compared == 0)
 		return;
