--- a/src/core/jt_cell.c
+++ b/src/core/jt_cell.c
@@ -10,8 +10,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Multiplier that permutes the buckets; must be odd. */
-enum { FREE_BUCKET_STRIDE = 661 };
+/* Permutes the buckets; odd, because JT_BUCKETS is a power of two. */
+enum { LOAD_PLACED_STRIDE = 661 };
 
 static int member_compare(const void *left, const void *right)
 {
@@ -155,31 +155,33 @@
  */
 bool jt_bucket_is_load_placed(size_t bucket, uint32_t load_placed_permille)
 {
-	size_t position = bucket * FREE_BUCKET_STRIDE % JT_BUCKETS;
+	size_t position = bucket * LOAD_PLACED_STRIDE % JT_BUCKETS;
 
 	return position * 1000 < (size_t)load_placed_permille * JT_BUCKETS;
 }
 
 /*
  * Counts the default buckets of each endpoint: the ordinary ones in the first
- * half of @held, those placed by load in the second. Each kind is balanced
- * separately, because selection by load, not the default endpoint, determines
- * the load of the second kind.
+ * half of @default_counts, those placed by load in the second. Each kind is
+ * balanced separately, because selection by load, not the default endpoint,
+ * determines the load of the second kind.
  */
 static void count_defaults(const struct jt_table *table,
 			   const struct jt_cell_state *state,
-			   uint32_t load_placed_permille, uint32_t *held)
+			   uint32_t load_placed_permille,
+			   uint32_t *default_counts)
 {
-	memset(held, 0, 2 * sizeof(*held) * state->endpoint_count);
+	memset(default_counts, 0,
+	       2 * sizeof(*default_counts) * state->endpoint_count);
 	for (size_t b = 0; b < JT_BUCKETS; b++) {
 		uint16_t e = jt_cell_endpoint(state, table->defaults[b]);
 
 		if (e == JT_NO_ENDPOINT)
 			continue;
 		if (jt_bucket_is_load_placed(b, load_placed_permille))
-			held[state->endpoint_count + e]++;
+			default_counts[state->endpoint_count + e]++;
 		else
-			held[e]++;
+			default_counts[e]++;
 	}
 }
 
@@ -187,7 +189,7 @@
  * capacity, preferring endpoints that are up; JT_NO_ENDPOINT if none. */
 static uint16_t least_assigned_endpoint(const struct jt_cell_state *state,
 					uint32_t service_id,
-					const uint32_t *held)
+					const uint32_t *default_counts)
 {
 	uint16_t best = JT_NO_ENDPOINT;
 
@@ -210,9 +212,10 @@
 				best = (uint16_t)e;
 			continue;
 		}
-		candidate_cost =
-			(uint64_t)(held[e] + 1) * best_endpoint->capacity;
-		best_cost = (uint64_t)(held[best] + 1) * candidate->capacity;
+		candidate_cost = (uint64_t)(default_counts[e] + 1) *
+				 best_endpoint->capacity;
+		best_cost = (uint64_t)(default_counts[best] + 1) *
+			    candidate->capacity;
 		if (candidate_cost < best_cost)
 			best = (uint16_t)e;
 	}
@@ -237,26 +240,27 @@
 
 static void table_assign_defaults(const struct jt_cell_state *state,
 				  struct jt_table *table,
-				  uint32_t load_placed_permille, uint32_t *held,
-				  uint8_t *changed, unsigned injected_faults)
+				  uint32_t load_placed_permille,
+				  uint32_t *default_counts, uint8_t *changed,
+				  unsigned injected_faults)
 {
-	count_defaults(table, state, load_placed_permille, held);
+	count_defaults(table, state, load_placed_permille, default_counts);
 	for (size_t b = 0; b < JT_BUCKETS; b++) {
-		uint32_t *kind =
+		uint32_t *counts =
 			jt_bucket_is_load_placed(b, load_placed_permille)
-				? held + state->endpoint_count
-				: held;
+				? default_counts + state->endpoint_count
+				: default_counts;
 		uint16_t e;
 
 		if (default_is_valid(state, table, b, injected_faults))
 			continue;
-		e = least_assigned_endpoint(state, table->service_id, kind);
+		e = least_assigned_endpoint(state, table->service_id, counts);
 		if (table->defaults[b] != 0)
 			jt_bit_set(changed, b, true);
 		table->defaults[b] =
 			e == JT_NO_ENDPOINT ? 0 : state->endpoints[e].id;
 		if (e != JT_NO_ENDPOINT)
-			kind[e]++;
+			counts[e]++;
 	}
 }
 
@@ -363,13 +367,13 @@
 			      unsigned injected_faults)
 {
 	const struct jt_config *config = state->config;
-	uint32_t *held;
+	uint32_t *default_counts;
 
-	held = talloc_zero_array(state, uint32_t,
-				 2 * state->endpoint_count + 1);
+	default_counts = talloc_zero_array(state, uint32_t,
+					   2 * state->endpoint_count + 1);
 	state->tables = talloc_zero_array(state, struct jt_table,
 					  config->service_count);
-	if (state->tables == NULL || held == NULL)
+	if (state->tables == NULL || default_counts == NULL)
 		return -1;
 	state->table_count = config->service_count;
 	for (size_t s = 0; s < config->service_count; s++) {
@@ -384,13 +388,13 @@
 			memcpy(table->defaults, old->defaults,
 			       sizeof(table->defaults));
 		table_assign_defaults(state, table,
-				      service->load_placed_permille, held,
-				      changed, injected_faults);
+				      service->load_placed_permille,
+				      default_counts, changed, injected_faults);
 		if (!(injected_faults & JT_FAULT_NO_STICKY))
 			table_carry_sticky(table, old, changed, proposal);
 		table_derive(state, table, service);
 	}
-	talloc_free(held);
+	talloc_free(default_counts);
 	return 0;
 }
 
--- a/src/core/jt_coordinate.c
+++ b/src/core/jt_coordinate.c
@@ -12,8 +12,9 @@
 enum {
 	CLEAN_INTERVAL_MS =
 		10000,		/* between proposals that only clean buckets */
-	JOIN_FRESH_MS = 2000,	/* a join request is valid so long */
-	STALE_ACCEPT_MS = 1500, /* an accepted proposal isn't committed */
+	JOIN_FRESH_MS = 2000,	/* validity of a join request */
+	STALE_ACCEPT_MS = 1500, /* an accepted state that isn't committed is
+				   proposed again after this */
 	SHEDDING_START_PERMILLE =
 		970,		     /* utilisation at which shedding starts */
 	SHEDDING_END_PERMILLE = 930, /* and below which it ends */
--- a/src/core/jt_core_private.h
+++ b/src/core/jt_core_private.h
@@ -33,28 +33,29 @@
 	JT_MAX_HOPS = 3,	/* relays of a packet */
 	JT_RETRANSMIT_MS = 100, /* agreement and record messages */
 	JT_RETRANSMIT_MAX_MS = 2000,
-	JT_HOLD_MS = 300,	      /* a packet waits for the replica */
+	JT_HOLD_MS =
+		300, /* longest time that a packet is held for the replica */
 	JT_BALLOT_TIMEOUT_MS = 1000,  /* timeout of a ballot */
 	JT_PROPOSER_BACKOFF_MS = 500, /* backoff of a proposer, plus jitter */
 	JT_JOIN_MS = 500,	      /* between two join requests */
-	JT_WITNESS_DELAY_MS = 200,    /* the witness is asked after it */
-	JT_WITNESS_INTERVAL_MS = 500, /* between two requests to it */
+	JT_WITNESS_DELAY_MS = 200,    /* before the witness is asked to vote */
+	JT_WITNESS_INTERVAL_MS = 500, /* between two requests to the witness */
 	JT_TAKEOVER_DEFAULTS_MS =
-		10000,		     /* only defaults after an owner crashed */
-	JT_CHANNEL_WINDOW = 32,	     /* unacknowledged messages to a peer */
-	JT_CLEAN_MAX = 128,	     /* buckets declared clean in a message */
-	JT_CLEAN_SCAN_MS = 2000,     /* between scans for clean buckets */
-	JT_DRAIN_LIMIT_MS = 1500,    /* a draining default is used so long */
+		10000,		  /* preference for defaults after a takeover */
+	JT_CHANNEL_WINDOW = 32,	  /* unacknowledged messages to a peer */
+	JT_CLEAN_MAX = 128,	  /* buckets declared clean in a message */
+	JT_CLEAN_SCAN_MS = 2000,  /* between scans for clean buckets */
+	JT_DRAIN_LIMIT_MS = 1500, /* a draining default still gets flows */
 	JT_UNASSIGNED_EXPIRY_S = 10, /* lifetime of an unassigned record */
-	JT_PENDING_S = 5,	     /* a pending flow without a packet */
-	JT_RESTART_KEEP_S = 5,	     /* flows kept when an endpoint restarts */
-	JT_SLOT_IDLE_S = 30,	     /* idle time before a slot is reclaimed */
+	JT_PENDING_S = 5, /* idle time after which a pending flow is closed */
+	JT_RESTART_KEEP_S = 5, /* flows kept when an endpoint restarts */
+	JT_SLOT_IDLE_S = 30,   /* idle time before a slot is reclaimed */
 	/* How long an endpoint must report fewer flows than are counted. */
 	JT_INHERITED_OVERCOUNT_MS = 60000,
 	JT_SLOT_OVERCOUNT_MS = 10000,
-	JT_CLOSED_EXPIRY_S = 60,   /* lifetime of a closed flow's record */
-	JT_HEALTH_DOWN_MS = 2000,  /* failing so long: endpoint is down */
-	JT_HEALTH_VALID_MS = 6000, /* a health report is valid so long */
+	JT_CLOSED_EXPIRY_S = 60,  /* lifetime of a closed flow's record */
+	JT_HEALTH_DOWN_MS = 2000, /* failing for longer: the endpoint is down */
+	JT_HEALTH_VALID_MS = 6000, /* minimum validity of a health report */
 };
 
 /* A records message that the peer has not acknowledged. */
@@ -189,7 +190,8 @@
 	struct jt_cell_state *current;
 	struct jt_cell_state *accepted_state;
 	bool activated;
-	bool epochs_skipped; /* some epochs were skipped */
+	bool epochs_skipped; /* the current state isn't the successor of the one
+				before it */
 	uint64_t committed_ms;
 	uint64_t transfer_target; /* epoch for which records are transferred */
 	uint64_t transferred_epoch;
