--- a/fuzz/fuzz_director.c
+++ b/fuzz/fuzz_director.c
@@ -66,7 +66,7 @@
 	FLOW_IDLE_SHORT_MS = 3000,     /* where start times are published */
 	DUPLICATE_DELAY_MAX_MS = 1000, /* delay of a duplicated packet */
 	FLOW_TABLE_SIZE = 16,	       /* of a node */
-	START_TIMES_FROM = 0xa0,       /* least first byte with start times */
+	START_TIMES_FROM = 0xa0,       /* lowest first byte with start times */
 	RESPONSE_BYTES = 50,
 	SHORT_RESPONSE_BYTES = 5,
 };
--- a/scripts/model.sh
+++ b/scripts/model.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Checks models/handover.pml with spin: the complete model must have no error,
-# and each variant without one feature must have one.
+# and each variant without one protection must have one.
 set -u
 models=$(cd "$(dirname "$0")/../models" && pwd)
 work=$(mktemp -d)
@@ -15,5 +15,5 @@
   [ "$([ "${errors:-x}" = 0 ] && echo 0 || echo 1)" = "$1" ] && [ -n "$errors" ] || failed=1
 }
 check 0 ""
-for feature in NO_BARRIER NO_FREEZE TAKE_OLD NO_LEASE; do check 1 $feature; done
+for define in NO_BARRIER NO_FREEZE TAKE_OLD NO_LEASE; do check 1 $define; done
 exit $failed
--- a/src/cli/log_lines.h
+++ b/src/cli/log_lines.h
@@ -40,7 +40,7 @@
 /* Creates an empty list of lines, owned by @mem_ctx. */
 struct log_lines *log_lines_create(TALLOC_CTX *mem_ctx);
 /* Adds the lines of @file, skipping lines of other programs. @name is the
- * file's name, which tells processes of different files apart. */
+ * file's name, which distinguishes processes of different files. */
 void log_lines_read(struct log_lines *lines, FILE *file, const char *name);
 /* Computes the corrected times and sorts the lines by them. */
 void log_lines_sort(struct log_lines *lines);
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -337,7 +337,7 @@
 	       "records\n",
 	       json_number(s, "epoch"), json_array_size(list),
 	       yes_no(s, "store_up"), json_number(s, "flow_records"));
-	printf("configuration revision: known %lld, in force here %lld, "
+	printf("configuration revision: known %lld, active here %lld, "
 	       "on every node %lld\n",
 	       json_number(s, "revision_known"),
 	       json_number(s, "revision_in_force"),
--- a/src/cli/why.c
+++ b/src/cli/why.c
@@ -263,7 +263,8 @@
 	{"cold", "every eligible endpoint is cold and has reached its slow "
 		 "start limit, or this node has just started"},
 	{"overloaded",
-	 "its service had no room for another flow of the route's priority: "
+	 "its service had no capacity for another flow of the route's "
+	 "priority: "
 	 "in_flight of at most limit requests were open through this node, "
 	 "and responses took delay_ms where allowed_ms is acceptable; no part "
 	 "of the request was executed (see service_full)"},
@@ -361,7 +362,8 @@
 		       "(event=log_shortened): the real load was higher.\n");
 }
 
-/* Prints what is known about the request; nodes do not see responses. */
+/* Prints whether the endpoint had failed, and its load; nodes do not see
+ * responses. */
 static void print_request(const struct report *report)
 {
 	if (report->death == NULL && report->failure == NULL)
@@ -482,8 +484,8 @@
 		report->id);
 	if (omitted > 0)
 		fprintf(stderr,
-			"jaspertrack: nodes left %llu lines out: ask by the "
-			"caller's address (IP or IP:PORT)\n",
+			"jaspertrack: nodes left %llu lines out: search by "
+			"the client's address (IP or IP:PORT)\n",
 			omitted);
 }
 
--- a/src/cluster/jt_cluster.h
+++ b/src/cluster/jt_cluster.h
@@ -18,7 +18,7 @@
 	JT_CLUSTER_MAX_NODES = 4096,
 	JT_CLUSTER_MAX_ZONES = 32,
 	JT_NO_NODE = 0xffff,
-	JT_CLUSTER_KINDS = 17,
+	JT_CLUSTER_KINDS = 17, /* enum jt_wire_kind, and 0 */
 };
 
 enum jt_packet_verdict_kind {
@@ -75,7 +75,7 @@
 	unsigned zone;
 	unsigned cell;
 	bool ready;		/* as reported to the fabric */
-	uint64_t revision;	/* in force */
+	uint64_t revision;	/* active at the node */
 	uint64_t control_bytes; /* to peers, store, machine list, health */
 	/* The same by enum jt_wire_kind; 0: store, machine list, health. */
 	uint64_t bytes_by_kind[JT_CLUSTER_KINDS];
@@ -93,7 +93,8 @@
 				     struct jt_scheduler *scheduler,
 				     const struct jt_cluster_options *options);
 
-/* Starts a process without any state at index @node. */
+/* Starts a process without any state at index @node; the other calls end it
+ * without notice, suspend it and continue it. */
 void jt_cluster_start(struct jt_cluster *cluster, uint16_t node, unsigned zone);
 void jt_cluster_crash(struct jt_cluster *cluster, uint16_t node);
 void jt_cluster_pause(struct jt_cluster *cluster, uint16_t node);
@@ -136,9 +137,12 @@
 
 /* Returns the highest index of a started node plus one. */
 size_t jt_cluster_node_count(const struct jt_cluster *cluster);
+/* Fills @info; it stays zero if the node was never started. Its counters are
+ * valid while the node's process runs. */
 void jt_cluster_info(const struct jt_cluster *cluster, uint16_t node,
 		     struct jt_cluster_node_info *info);
-/* Returns the decision library of a node, NULL if it has no process. */
+/* Returns the decision library of a node, owned by the cluster; NULL if it has
+ * no process. */
 const struct jt_core *jt_cluster_core(const struct jt_cluster *cluster,
 				      uint16_t node);
 /* Returns the cell that handles the flows of a service. */
--- a/src/common/jt_feature.h
+++ b/src/common/jt_feature.h
@@ -28,7 +28,7 @@
 	JT_FEATURE_PEER_SUSPICION = 1 << 7,
 	/* Sends no new flows to endpoints at their connection limit. */
 	JT_FEATURE_CONNECTION_LIMIT = 1 << 8,
-	/* Skips parts of a traffic split whose endpoints all seem down. */
+	/* Skips parts of a traffic split whose endpoints are all suspected. */
 	JT_FEATURE_SPLIT_FALLBACK = 1 << 9,
 	/* Live endpoints that expired in a store outage stay eligible. */
 	JT_FEATURE_OUTAGE_EXPIRY = 1 << 10,
@@ -52,7 +52,8 @@
 	JT_FEATURE_OUTLIER_DETECTION = 1 << 19,
 	/* Holds packets of unknown labels in the initial synchronisation. */
 	JT_FEATURE_HOLD_UNKNOWN_LABEL = 1 << 20,
-	/* Spreads or holds new flows in the initial synchronisation. */
+	/* Limits or holds new flows in the initial synchronisation, when only
+	 * some endpoints may be known. */
 	JT_FEATURE_STAGGERED_INITIAL_SYNC = 1 << 21,
 	/* Accepts new flows before the state is complete. */
 	JT_FEATURE_PARTIAL_SYNC = 1 << 22,
--- a/src/core/jt_members.c
+++ b/src/core/jt_members.c
@@ -392,7 +392,7 @@
 	body->jt_wire_body_u.join = *join;
 }
 
-/* Returns true if the peer is a member in a live state, or was heard from
+/* Returns true if the peer is a member in a live state, or sent a heartbeat
  * recently. */
 static bool peer_needed(const struct jt_core *core, const struct jt_peer *peer)
 {
--- a/src/daemon/jt_founding.c
+++ b/src/daemon/jt_founding.c
@@ -9,7 +9,8 @@
 	FOUND_DELAY_MS = 3000, /* time for peers to answer */
 	RENEW_INTERVAL_MS = 10000,
 	POLL_INTERVAL_MS = 3000, /* without a cell */
-	RECORD_STALE_MS = 60000, /* the record is stale if not renewed */
+	RECORD_STALE_MS =
+		60000, /* a record without renewal for this time is stale */
 };
 
 struct jt_founding {
@@ -19,8 +20,9 @@
 	char *key; /* of the founder record */
 	uint64_t due_ms;
 	bool request_pending;
-	uint64_t record_revision;    /* as of the last read */
-	uint64_t unchanged_since_ms; /* unchanged since; 0: not observed */
+	uint64_t record_revision;    /* at the last read */
+	uint64_t unchanged_since_ms; /* since when record_revision hasn't
+					changed; 0: unknown */
 	uint64_t cell;
 };
 
--- a/src/daemon/jt_health_probe.c
+++ b/src/daemon/jt_health_probe.c
@@ -22,7 +22,7 @@
 struct jt_health_probe {
 	struct jt_node *node;
 	struct jt_http_client *http;
-	struct probe_target **targets; /* kept after removal */
+	struct probe_target **targets; /* those of removed endpoints too */
 	size_t target_count;
 	uint64_t machines_due_ms;
 	bool machines_pending;
@@ -96,16 +96,16 @@
 
 static void on_probe(struct tevent_req *req)
 {
-	struct probe_call *answer =
+	struct probe_call *probe_call =
 		tevent_req_callback_data(req, struct probe_call);
-	struct jt_health_probe *probe = answer->probe;
-	struct probe_target *target = answer->target;
+	struct jt_health_probe *probe = probe_call->probe;
+	struct probe_target *target = probe_call->target;
 	struct jt_event event = {.kind = JT_EVENT_HEALTH};
 	struct jt_health *health = &event.u.health;
 	size_t bytes = 0;
 	char *body = NULL;
 	long status = 0;
-	int failed = jt_http_recv(req, answer, &status, &body, &bytes);
+	int failed = jt_http_recv(req, probe_call, &status, &body, &bytes);
 	json_t *page = NULL;
 
 	target->probe_pending = false;
@@ -122,7 +122,7 @@
 		json_decref(page);
 	}
 	talloc_free(req);
-	talloc_free(answer);
+	talloc_free(probe_call);
 	jt_node_handle_event(probe->node, &event);
 }
 
@@ -131,21 +131,21 @@
 {
 	struct jt_http_call call = {.method = "GET",
 				    .timeout_ms = PROBE_TIMEOUT_MS};
-	struct probe_call *answer = talloc_zero(probe, struct probe_call);
+	struct probe_call *probe_call = talloc_zero(probe, struct probe_call);
 	char text[JT_ADDRESS_TEXT_SIZE];
 	struct tevent_req *req;
 
-	answer->probe = probe;
-	answer->target = target;
-	call.url = talloc_asprintf(answer, "http://%s/health",
+	probe_call->probe = probe;
+	probe_call->target = target;
+	call.url = talloc_asprintf(probe_call, "http://%s/health",
 				   jt_address_format(target->health, text));
 	req = jt_http_send(probe, probe->http, &call);
 	if (req == NULL) {
-		talloc_free(answer);
+		talloc_free(probe_call);
 		return;
 	}
 	target->probe_pending = true;
-	tevent_req_set_callback(req, on_probe, answer);
+	tevent_req_set_callback(req, on_probe, probe_call);
 }
 
 static void on_machines(struct tevent_req *req)
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -38,7 +38,7 @@
 	printf("Usage: jaspertrackd");
 	arg_print_syntax(stdout, table, "\n");
 	printf("Runs one balancer node. SIGTERM leaves the cell without "
-	       "cutting flows;\nSIGHUP reads the settings again.\n\n");
+	       "breaking flows;\nSIGHUP reads the settings again.\n\n");
 	arg_print_glossary(stdout, table, "  %-26s %s\n");
 }
 
--- a/src/lab/oracle.c
+++ b/src/lab/oracle.c
@@ -12,7 +12,7 @@
 
 enum {
 	WARM_UP_DIVISOR = 4, /* no imbalance samples in the first quarter */
-	MIN_MEAN_FLOWS = 10, /* least mean of flows for an imbalance sample */
+	MIN_MEAN_FLOWS = 10, /* minimum mean of flows for an imbalance sample */
 	CONFIG_LAG_LIMIT_MS = 6000,
 };
 
@@ -354,45 +354,45 @@
 
 json_t *oracle_result(struct world *world)
 {
-	struct metrics *f = &world->metrics;
+	struct metrics *m = &world->metrics;
 	json_t *r = json_object();
 
 	json_object_set_new(r, "scenario", json_string(world->scenario->name));
 	json_object_set_new(r, "policy",
 			    json_string(policy_name(world->options.policy)));
 	add_count(r, "seed", world->options.seed);
-	add_count(r, "flows_opened", f->flows_opened);
-	add_count(r, "flows_broken", f->flows_broken);
-	add_count(r, "flows_lost_to_endpoint", f->flows_lost_to_endpoint);
-	add_count(r, "flows_at_two_endpoints", f->at_two_endpoints);
-	add_count(r, "connects_timed_out", f->connects_timed_out);
-	add_count(r, "packets_misdelivered", f->misdelivered);
-	add_count(r, "requests_sent", f->requests_sent);
-	add_count(r, "requests_answered_whole", f->responses_complete);
-	add_count(r, "requests_refused", f->refused);
-	add_count(r, "refused_but_run", f->refused_after_delivery);
-	add_count(r, "requests_run_twice", f->executed_twice);
-	add_count(r, "requests_unresolved", f->unresolved);
-	add_count(r, "new_flows_to_leaving", f->new_flows_to_draining);
-	add_real(r, "config_lag_p50_ms", quantile(&f->config_lags, 0.5));
-	add_real(r, "config_lag_p99_ms", quantile(&f->config_lags, 0.99));
-	add_real(r, "config_lag_max_ms", f->config_lag_max_ms);
-	add_count(r, "config_reverts", f->config_reverts);
-	add_real(r, "imbalance_p50", quantile(&f->imbalance, 0.5));
-	add_real(r, "imbalance_p99", quantile(&f->imbalance, 0.99));
-	add_real(r, "slot_spread_max", f->slot_spread_max);
-	add_real(r, "group_share_deficit_p99", quantile(&f->deficit, 0.99));
-	add_real(r, "overloaded_endpoint_seconds", f->overloaded_seconds);
+	add_count(r, "flows_opened", m->flows_opened);
+	add_count(r, "flows_broken", m->flows_broken);
+	add_count(r, "flows_lost_to_endpoint", m->flows_lost_to_endpoint);
+	add_count(r, "flows_at_two_endpoints", m->at_two_endpoints);
+	add_count(r, "connects_timed_out", m->connects_timed_out);
+	add_count(r, "packets_misdelivered", m->misdelivered);
+	add_count(r, "requests_sent", m->requests_sent);
+	add_count(r, "requests_answered_whole", m->responses_complete);
+	add_count(r, "requests_refused", m->refused);
+	add_count(r, "refused_but_run", m->refused_after_delivery);
+	add_count(r, "requests_run_twice", m->executed_twice);
+	add_count(r, "requests_unresolved", m->unresolved);
+	add_count(r, "new_flows_to_leaving", m->new_flows_to_draining);
+	add_real(r, "config_lag_p50_ms", quantile(&m->config_lags, 0.5));
+	add_real(r, "config_lag_p99_ms", quantile(&m->config_lags, 0.99));
+	add_real(r, "config_lag_max_ms", m->config_lag_max_ms);
+	add_count(r, "config_reverts", m->config_reverts);
+	add_real(r, "imbalance_p50", quantile(&m->imbalance, 0.5));
+	add_real(r, "imbalance_p99", quantile(&m->imbalance, 0.99));
+	add_real(r, "slot_spread_max", m->slot_spread_max);
+	add_real(r, "group_share_deficit_p99", quantile(&m->deficit, 0.99));
+	add_real(r, "overloaded_endpoint_seconds", m->overloaded_seconds);
 	add_real(r, "relayed_packets_part",
-		 f->packets ? (double)f->relayed / (double)f->packets : 0);
+		 m->packets ? (double)m->relayed / (double)m->packets : 0);
 	add_real(r, "control_bytes_per_node_s_mean",
 		 world->node_seconds > 0
 			 ? (double)world->bytes_total / world->node_seconds
 			 : 0);
-	add_real(r, "control_bytes_per_node_s_max", f->control_max_minute);
+	add_real(r, "control_bytes_per_node_s_max", m->control_max_minute);
 	add_bytes_by_kind(world, r);
 	add_real(r, "store_operations_per_s",
-		 (double)f->store_operations / world->scenario->duration_s);
+		 (double)m->store_operations / world->scenario->duration_s);
 	add_count(r, "violation_count", world->violation_count);
 	json_object_set(r, "violations", world->violations);
 	return r;
--- a/src/lab/world.c
+++ b/src/lab/world.c
@@ -292,15 +292,16 @@
 	}
 }
 
-static void partition(struct world *world, unsigned a, unsigned b, bool cut)
+static void partition(struct world *world, unsigned a, unsigned b,
+		      bool partitioned)
 {
 	if (world->cluster == NULL)
 		return;
 	for (unsigned z = 0; z < world->scenario->zone_count; z++) {
 		if (z == a || (b != SCENARIO_ZONES && z != b))
 			continue;
-		trace_fault(world, cut ? "cut" : "mend", a, z);
-		jt_cluster_set_partition(world->cluster, a, z, cut);
+		trace_fault(world, partitioned ? "cut" : "mend", a, z);
+		jt_cluster_set_partition(world->cluster, a, z, partitioned);
 	}
 }
 
--- a/src/proto/jt_director_proto.x
+++ b/src/proto/jt_director_proto.x
@@ -34,7 +34,7 @@
 /* Sent to a few peers several times a second. */
 struct jt_wire_digest {
 	unsigned int zone;
-	unsigned hyper routing_version; /* in force at the sender */
+	unsigned hyper routing_version; /* in use at the sender */
 	unsigned hyper revision;        /* newest discovery revision known */
 	bool started;
 	bool leaving;
@@ -61,7 +61,7 @@
 
 /* Kinds of failure reports about an endpoint. */
 enum jt_wire_suspicion_kind {
-	JT_WIRE_DECLARED_DEAD = 1,  /* declared dead */
+	JT_WIRE_DECLARED_DEAD = 1,  /* by the sender */
 	JT_WIRE_ANSWERS_OVERDUE = 2 /* alive, but responses are overdue */
 };
 
@@ -193,8 +193,8 @@
 	unsigned hyper gap_to;
 	unsigned hyper incomplete_before; /* changes before it may be missing */
 	bool complete;               /* the sender dropped no entry or drain */
-	/* Left of the initial synchronisation; entries may be missing until
-	 * then. */
+	/* Remaining time of the initial synchronisation, until which entries
+	 * may be missing. */
 	unsigned int initial_sync_ms;
 	unsigned int store_age_ms;   /* age of the store state contained */
 	unsigned hyper store_reader; /* node that read that state */
--- a/src/proto/jt_proto.x
+++ b/src/proto/jt_proto.x
@@ -59,7 +59,7 @@
 	unsigned int accepted_ahead;    /* accepted epoch minus epoch */
 	bool transferred;               /* handover of the epoch's records is done */
 	unsigned hyper config_revision; /* newest known */
-	/* config_revision minus the revision that is in force at all members */
+	/* config_revision minus the revision that is active at all members */
 	unsigned int revision_behind_active;
 	unsigned int sent_ms;           /* low half of the sender's clock */
 	unsigned int echo_ms;           /* last sent_ms received from the peer */
@@ -70,7 +70,7 @@
 
 /* A health report of an endpoint, identified by its index in the cell state. */
 struct jt_wire_report {
-	unsigned int position_flags; /* endpoint << 16 | instance << 8 |
+	unsigned int position_flags; /* endpoint << 16 | incarnation << 8 |
 	                                JT_REPORT_* */
 	unsigned int load;
 };
--- a/src/settings/jt_director_settings.c
+++ b/src/settings/jt_director_settings.c
@@ -263,14 +263,14 @@
 bool jt_director_settings_selected(const char *file)
 {
 	const char *placement = NULL;
-	bool wanted = false;
+	bool selected = false;
 	config_t config;
 
 	config_init(&config);
 	if (config_read_file(&config, file) == CONFIG_TRUE &&
 	    config_lookup_string(&config, "placement", &placement) ==
 		    CONFIG_TRUE)
-		wanted = strcmp(placement, "label") == 0;
+		selected = strcmp(placement, "label") == 0;
 	config_destroy(&config);
-	return wanted;
+	return selected;
 }
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -266,7 +266,7 @@
 		printf("Usage: jaspertrack-soak [OPTIONS]\n"
 		       "Real nodes on loopback under random faults.\n");
 		arg_print_glossary(stdout, table, "  %-22s %s\n");
-		printf("Exit: 0 all promises held, 1 one was broken, 2 bad "
+		printf("Exit: 0 all guarantees held, 1 one was violated, 2 bad "
 		       "usage.\n"
 		       "Example: jaspertrack-soak --seconds 30 --seed 7\n");
 		return EXIT_PASSED;
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -2,10 +2,10 @@
  * A randomized soak test of director nodes: real jaspertrack-director processes
  * on loopback addresses, with faults injected from outside.
  *
- * This process plays everything around the nodes (store, routers, clients,
+ * This process simulates everything around the nodes (store, routers, clients,
  * endpoints, and a proxy between each node and the store) and so observes what
- * clients and endpoints observe. The oracle (soak_oracle.c) checks the promises
- * from these observations alone, never from the state of a node.
+ * clients and endpoints observe. The oracle (soak_oracle.c) checks the
+ * guarantees from these observations alone, never from the state of a node.
  *
  * All times are milliseconds of the monotonic clock.
  */
--- a/tests/soak/soak_oracle.c
+++ b/tests/soak/soak_oracle.c
@@ -1,4 +1,4 @@
-/* The oracle: checks the promises from what clients and endpoints observe. */
+/* The oracle: checks the guarantees from what clients and endpoints observe. */
 #include "soak.h"
 
 #include <stdarg.h>
@@ -244,7 +244,7 @@
 }
 
 /* Returns true if that holds for the route in each version that may be in
- * force. */
+ * use. */
 static bool route_has_eligible(const struct soak *soak, uint16_t route_port,
 			       uint64_t sent_ms)
 {
--- a/tests/soak/soak_stalls.c
+++ b/tests/soak/soak_stalls.c
@@ -1,8 +1,8 @@
 /*
- * Detection of stalls of this process. It plays routers, the store, clients and
- * endpoints, all of which stall with it, which nodes can't tell from a fault.
- * Kernel counters show whether it waited for a processor, the disk or memory,
- * and whether the nodes waited as well.
+ * Detection of stalls of this process. It simulates routers, the store, clients
+ * and endpoints, all of which stall with it, which nodes can't tell from a
+ * fault. Kernel counters show whether it waited for a processor, the disk or
+ * memory, and whether the nodes waited as well.
  */
 #include "soak.h"
 
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -7,7 +7,7 @@
 
 enum { SETTLED_MS = 3000, RUN_MS = 10000 };
 
-/* Least utilisation of the slots under overload. */
+/* Minimum utilisation of the slots under overload. */
 static const double min_utilisation = 0.85;
 /* Bounds for requests that an endpoint accepted. */
 static const double min_in_target = 0.97;
--- a/tests/test_choice.c
+++ b/tests/test_choice.c
@@ -74,7 +74,7 @@
 
 /* Returns an endpoint's relative response time as seen by the nodes, the mean
  * over all. */
-static double mean_slowness(const struct sim *sim, uint32_t e)
+static double mean_relative_response_time(const struct sim *sim, uint32_t e)
 {
 	double total = 0;
 
@@ -99,10 +99,10 @@
 	(void)state;
 	for (uint32_t e = 0; e < SIM_ENDPOINTS; e++) {
 		if (sim->endpoints[e].speed > 1) {
-			fast += mean_slowness(sim, e);
+			fast += mean_relative_response_time(sim, e);
 			fast_count++;
 		} else {
-			slow += mean_slowness(sim, e);
+			slow += mean_relative_response_time(sim, e);
 		}
 	}
 	fast /= fast_count;
--- a/tests/test_detector.c
+++ b/tests/test_detector.c
@@ -278,7 +278,7 @@
 	}
 }
 
-static void test_void_probe_is_ignored(void **state)
+static void test_inconclusive_probe_is_ignored(void **state)
 {
 	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct client_flow flow, other;
@@ -514,7 +514,7 @@
 			test_starting_node_does_not_declare_death_early),
 		cmocka_unit_test(test_full_endpoint_is_not_declared_dead),
 		cmocka_unit_test(test_one_failed_probe_does_not_confirm_death),
-		cmocka_unit_test(test_void_probe_is_ignored),
+		cmocka_unit_test(test_inconclusive_probe_is_ignored),
 		cmocka_unit_test(
 			test_unsendable_probe_is_retried_after_a_pause),
 		cmocka_unit_test(test_direct_refusal_to_the_client_is_detected),
--- a/tests/test_director.c
+++ b/tests/test_director.c
@@ -1,5 +1,5 @@
-/* Tests flow placement by label: each guarantee holds, and fails when the
- * feature that provides it is broken. */
+/* Tests flow placement by label: each guarantee holds, and the test of it fails
+ * when a fault disables the protection that provides it. */
 #include "director_fixture.h"
 
 static void test_any_node_forwards_by_label(void **state)
--- a/tests/test_mechanisms.c
+++ b/tests/test_mechanisms.c
@@ -13,7 +13,7 @@
 		fixture_create_with_disabled(0, off ? (uint32_t)feature : 0));
 }
 
-static void test_zone_first(void **state)
+static void test_prefer_zone(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
@@ -72,7 +72,7 @@
 	}
 }
 
-static void test_fast_first(void **state)
+static void test_optimal_load(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
@@ -215,7 +215,7 @@
 	}
 }
 
-static void test_outliers(void **state)
+static void test_outlier_detection(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
@@ -256,7 +256,7 @@
 	}
 }
 
-static void test_refuse_full(void **state)
+static void test_connection_limit(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
@@ -343,7 +343,7 @@
 	return membership;
 }
 
-static void test_near_digests(void **state)
+static void test_zone_digests(void **state)
 {
 	unsigned nearby[2] = {0, 0};
 
@@ -483,23 +483,23 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_zone_first),
+		cmocka_unit_test(test_prefer_zone),
 		cmocka_unit_test(test_peer_load),
 		cmocka_unit_test(test_response_time_weighting),
-		cmocka_unit_test(test_fast_first),
+		cmocka_unit_test(test_optimal_load),
 		cmocka_unit_test(test_zone_headroom),
 		cmocka_unit_test(test_slow_start),
 		cmocka_unit_test(test_new_endpoint_share),
 		cmocka_unit_test(test_probe_after_unanswered_syn),
 		cmocka_unit_test(test_probe_after_retransmission),
 		cmocka_unit_test(test_peer_suspicion),
-		cmocka_unit_test(test_outliers),
+		cmocka_unit_test(test_outlier_detection),
 		cmocka_unit_test(test_short_answers),
-		cmocka_unit_test(test_refuse_full),
+		cmocka_unit_test(test_connection_limit),
 		cmocka_unit_test(test_admission),
 		cmocka_unit_test(test_suspected_parts_are_avoided),
 		cmocka_unit_test(test_expiry_in_outage),
-		cmocka_unit_test(test_near_digests),
+		cmocka_unit_test(test_zone_digests),
 		cmocka_unit_test(test_store_readers),
 	};
 
--- a/tests/test_soak_oracle.c
+++ b/tests/test_soak_oracle.c
@@ -187,7 +187,7 @@
 
 /* Returns true if the oracle reports one first packet accepted by two endpoints
  * as a violation. */
-static bool taken_twice_breaks(struct soak *soak)
+static bool second_endpoint_breaks(struct soak *soak)
 {
 	unsigned broken = soak->broken;
 
@@ -200,10 +200,10 @@
 {
 	struct soak *soak = *state;
 
-	assert_true(taken_twice_breaks(soak));
+	assert_true(second_endpoint_breaks(soak));
 	/* Disturbances between nodes and the store are no excuse. */
 	soak->nodes[NODE].disturbed_ms = JUST_BEFORE_MS;
-	assert_true(taken_twice_breaks(soak));
+	assert_true(second_endpoint_breaks(soak));
 }
 
 /* The first endpoint crashed and restarted with the same id just before the
@@ -213,7 +213,7 @@
 	struct soak *soak = *state;
 
 	endpoint_replaced(soak, JUST_BEFORE_MS);
-	assert_false(taken_twice_breaks(soak));
+	assert_false(second_endpoint_breaks(soak));
 }
 
 /* A late duplicate of a first packet may reach the same endpoint again after it
@@ -227,16 +227,16 @@
 	assert_int_equal(soak->broken, 0);
 }
 
-static void test_a_node_that_is_gone_tells_nothing(void **state)
+static void test_two_endpoints_after_a_node_failure_hold(void **state)
 {
 	struct soak *soak = *state;
 
 	soak->nodes[NODE].last_down_ms = JUST_BEFORE_MS;
-	assert_false(taken_twice_breaks(soak));
+	assert_false(second_endpoint_breaks(soak));
 	soak->nodes[NODE].last_down_ms = SENT_MS - SOAK_SETTLE_MS;
-	assert_true(taken_twice_breaks(soak));
+	assert_true(second_endpoint_breaks(soak));
 	soak->nodes[NODE].paused = true;
-	assert_false(taken_twice_breaks(soak));
+	assert_false(second_endpoint_breaks(soak));
 }
 
 #define ORACLE_TEST(test) cmocka_unit_test_setup_teardown(test, setup, teardown)
@@ -256,7 +256,7 @@
 		ORACLE_TEST(test_two_endpoints_of_a_flow_break),
 		ORACLE_TEST(test_an_endpoint_that_ended_has_no_flow),
 		ORACLE_TEST(test_one_endpoint_may_take_a_flow_twice),
-		ORACLE_TEST(test_a_node_that_is_gone_tells_nothing),
+		ORACLE_TEST(test_two_endpoints_after_a_node_failure_hold),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_traffic.c
+++ b/tests/test_traffic.c
@@ -101,7 +101,8 @@
 	jt_traffic_publish(traffic, core);
 	send_packets(source, JT_TCP_ACK);
 	assert_int_equal(drain_queue(traffic, wake_fd, PACKETS), PACKETS);
-	/* With a lease the table forwards every bucket that is not free. */
+	/* With a lease the table forwards every bucket that is not placed by
+	 * load. */
 	jt_traffic_set_lease(traffic, UINT64_MAX);
 	for (int i = 0; i < 20; i++)
 		jt_traffic_publish(traffic, core); /* while threads read */
