--- a/src/cli/why.c
+++ b/src/cli/why.c
@@ -484,8 +484,8 @@
 		report->id);
 	if (omitted > 0)
 		fprintf(stderr,
-			"jaspertrack: nodes left %llu lines out: search by "
-			"the client's address (IP or IP:PORT)\n",
+			"jaspertrack: nodes left %llu lines out: ask by the "
+			"caller's address (IP or IP:PORT)\n",
 			omitted);
 }
 
