--- a/src/cli/why.c
+++ b/src/cli/why.c
@@ -263,8 +263,7 @@
 	{"cold", "every eligible endpoint is cold and has reached its slow "
 		 "start limit, or this node has just started"},
 	{"overloaded",
-	 "its service had no capacity for another flow of the route's "
-	 "priority: "
+	 "its service had no room for another flow of the route's priority: "
 	 "in_flight of at most limit requests were open through this node, "
 	 "and responses took delay_ms where allowed_ms is acceptable; no part "
 	 "of the request was executed (see service_full)"},
