--- a/tests/soak/soak_schedule.c
+++ b/tests/soak/soak_schedule.c
@@ -12,16 +12,16 @@
 	GROWTH = 64, /* faults allocated at once */
 	LINE = 256,
 	/* Interval between single faults. */
-	PAUSE_MIN_MS = 150,
-	PAUSE_MAX_MS = 1500,
+	SINGLE_EVERY_MIN_MS = 150,
+	SINGLE_EVERY_MAX_MS = 1500,
 	/* Interval between zone faults; one in ZONE_FAULTS_PER_STALE
 	 * silences open connections instead. */
-	ZONE_MIN_MS = 500,
-	ZONE_MAX_MS = 5000,
+	ZONE_EVERY_MIN_MS = 500,
+	ZONE_EVERY_MAX_MS = 5000,
 	ZONE_FAULTS_PER_STALE = 4,
 	/* Interval between endpoint restarts or invalid entries. */
-	RESTART_MIN_MS = 400,
-	RESTART_MAX_MS = 3000,
+	RESTART_EVERY_MIN_MS = 400,
+	RESTART_EVERY_MAX_MS = 3000,
 	CORRUPTED_MAX_MS = 2000,
 	ENTRY_KINDS = 8,
 	/* Interval between nodes that routers leave out, and its duration. */
@@ -35,8 +35,8 @@
 	SERIES_EVERY_MAX_MS = 5000,
 	SERIES_MIN = 3,
 	SERIES_MAX = 6,
-	SERIES_PAUSE_MIN_MS = 20,
-	SERIES_PAUSE_MAX_MS = 1200,
+	SERIES_STEP_MIN_MS = 20,
+	SERIES_STEP_MAX_MS = 1200,
 	/* Durations of faults that end by themselves. */
 	LINK_MIN_MS = 300,
 	LINK_MAX_MS = 6000,
@@ -225,7 +225,8 @@
 	uint64_t at_ms = plan->start_ms;
 
 	for (; at_ms < plan->end_ms;
-	     at_ms += random_between(&random, PAUSE_MIN_MS, PAUSE_MAX_MS)) {
+	     at_ms += random_between(&random, SINGLE_EVERY_MIN_MS,
+				     SINGLE_EVERY_MAX_MS)) {
 		unsigned kind = (unsigned)random_below(&random, 20);
 
 		if (kind < 6)
@@ -252,7 +253,8 @@
 	uint64_t at_ms = plan->start_ms;
 
 	for (; at_ms < plan->end_ms;
-	     at_ms += random_between(&random, ZONE_MIN_MS, ZONE_MAX_MS)) {
+	     at_ms +=
+	     random_between(&random, ZONE_EVERY_MIN_MS, ZONE_EVERY_MAX_MS)) {
 		struct soak_fault fault = {
 			.at_ms = at_ms,
 			.kind = random_below(&random, ZONE_FAULTS_PER_STALE) ==
@@ -279,7 +281,8 @@
 	uint64_t at_ms = plan->start_ms;
 
 	for (; at_ms < plan->end_ms;
-	     at_ms += random_between(&random, RESTART_MIN_MS, RESTART_MAX_MS)) {
+	     at_ms += random_between(&random, RESTART_EVERY_MIN_MS,
+				     RESTART_EVERY_MAX_MS)) {
 		struct soak_fault fault = {
 			.at_ms = at_ms,
 			.kind = kinds[random_below(
@@ -379,8 +382,8 @@
 		unsigned first = (unsigned)random_below(&random, plan->nodes);
 		uint64_t count =
 			random_between(&random, SERIES_MIN, SERIES_MAX);
-		uint64_t pause_ms = random_between(&random, SERIES_PAUSE_MIN_MS,
-						   SERIES_PAUSE_MAX_MS);
+		uint64_t pause_ms = random_between(&random, SERIES_STEP_MIN_MS,
+						   SERIES_STEP_MAX_MS);
 
 		for (unsigned i = 0; i < count; i++) {
 			struct soak_fault fault =
--- a/tests/test_tables.c
+++ b/tests/test_tables.c
@@ -148,17 +148,17 @@
 	struct jt_cell_state *first, *drained, *returned, *clean;
 	jt_wire_bucket buckets[JT_BUCKETS];
 	struct fixture f;
-	size_t marked, free_buckets;
+	size_t marked, load_placed_buckets;
 
 	(void)state;
 	fixture_init(&f);
 	first = jt_cell_apply(NULL, 9, NULL, &f.proposal, &f.config, 0);
-	free_buckets = count_exceptional_buckets(first);
+	load_placed_buckets = count_exceptional_buckets(first);
 	f.proposal.epoch = 2;
 	f.endpoints[3].port_state = JT_ENDPOINT_DRAINING;
 	drained = jt_cell_apply(NULL, 9, first, &f.proposal, &f.config, 0);
 	marked = count_exceptional_buckets(drained);
-	assert_in_range(marked - free_buckets, 54, 55);
+	assert_in_range(marked - load_placed_buckets, 54, 55);
 	assert_memory_equal(first->tables[0].defaults,
 			    drained->tables[0].defaults,
 			    sizeof(first->tables[0].defaults));
@@ -172,7 +172,7 @@
 	f.proposal.clean_buckets.clean_buckets_val = buckets;
 	f.proposal.clean_buckets.clean_buckets_len = JT_BUCKETS;
 	clean = jt_cell_apply(NULL, 9, returned, &f.proposal, &f.config, 0);
-	assert_int_equal(count_exceptional_buckets(clean), free_buckets);
+	assert_int_equal(count_exceptional_buckets(clean), load_placed_buckets);
 	talloc_free(first);
 	talloc_free(drained);
 	talloc_free(returned);
