--- a/src/cli/why.c
+++ b/src/cli/why.c
@@ -361,7 +361,8 @@
 		       "(event=log_shortened): the real load was higher.\n");
 }
 
-/* Prints what is known about the request; nodes do not see responses. */
+/* Prints whether the endpoint had failed, and its load; nodes do not see
+ * responses. */
 static void print_request(const struct report *report)
 {
 	if (report->death == NULL && report->failure == NULL)
