--- a/include/jaspertrack/core.h
+++ b/include/jaspertrack/core.h
@@ -80,7 +80,7 @@
 /* Returns true if this node is one of the two that probe the endpoint. */
 bool jt_core_probes(const struct jt_core *core, uint32_t endpoint_id);
 /* Returns the interval between two probes of an endpoint, in ms: at least
- * @least_ms, and long enough to stay within the probe bandwidth budget. */
-uint64_t jt_core_probe_interval(const struct jt_core *core, uint64_t least_ms);
+ * @min_ms, and long enough to stay within the probe bandwidth budget. */
+uint64_t jt_core_probe_interval(const struct jt_core *core, uint64_t min_ms);
 
 #endif
--- a/include/jaspertrack/director-t.h
+++ b/include/jaspertrack/director-t.h
@@ -331,10 +331,9 @@
 	JT_DIRECTOR_NO_ZONE,	 /* the zones of all endpoints are drained */
 	JT_DIRECTOR_COLD, /* only cold endpoints at their rate limit are left */
 	JT_DIRECTOR_INITIAL_SYNC, /* initial synchronisation is not complete */
-	JT_DIRECTOR_DEATH_UNCONFIRMED, /* the dead endpoint may have restarted
-					*/
-	JT_DIRECTOR_OVERLOADED,	       /* rejected by admission control */
-	JT_DIRECTOR_PEERS_ASKED,       /* waits for a flow lookup at peers */
+	JT_DIRECTOR_DEATH_UNCONFIRMED,	 /* the endpoint may have restarted */
+	JT_DIRECTOR_OVERLOADED,		 /* rejected by admission control */
+	JT_DIRECTOR_FLOW_LOOKUP_PENDING, /* waits for a flow lookup at peers */
 	JT_DIRECTOR_REASONS,
 };
 
@@ -351,13 +350,13 @@
 struct jt_director_action {
 	enum jt_director_action_kind kind;
 	enum jt_director_reason reason;
-	struct jt_flow_key key; /* forward, reset, drop, hold, flow ask */
+	struct jt_flow_key key; /* forward, reset, drop, hold, flow lookup */
 	uint64_t endpoint_id;
 	uint64_t start_time_ms; /* of the endpoint's incarnation */
 	uint32_t label;
 	struct jt_address address; /* of the endpoint */
 	uint32_t reset_sequence;
-	uint32_t first_sequence; /* flow ask: of the flow's SYN */
+	uint32_t first_sequence; /* flow lookup: of the flow's SYN */
 	enum jt_incarnation_state state;
 	enum jt_death_cause cause;
 	uint64_t revision;   /* of the endpoint's entry */
@@ -371,7 +370,7 @@
 	uint32_t share_permille;
 	uint32_t failed_permille;
 	uint32_t served_permille;
-	uint32_t usual_permille;
+	uint32_t reference_permille;
 	/* Drained or restored zone; valid until the next event. */
 	const char *zone;
 	struct jt_admission_state
@@ -393,10 +392,10 @@
 	JT_DIRECTOR_FAULT_NO_DETECTOR = 1 << 1, /* never declares death */
 	JT_DIRECTOR_FAULT_VERSION = 1 << 2,	/* accepts older routing */
 	/* Reassigns retransmitted SYNs. */
-	JT_DIRECTOR_FAULT_PLACE_COPIES = 1 << 3,
+	JT_DIRECTOR_FAULT_REASSIGN_RETRANSMITTED = 1 << 3,
 	/* Assigns flows to draining endpoints. */
 	JT_DIRECTOR_FAULT_DRAINING = 1 << 4,
-	JT_DIRECTOR_FAULT_FORGET_GONE = 1 << 5,	   /* forgets removed entries */
+	JT_DIRECTOR_FAULT_FORGET_REMOVED = 1 << 5, /* forgets removed entries */
 	JT_DIRECTOR_FAULT_STALE_ENTRY = 1 << 6,	   /* accepts older entries */
 	JT_DIRECTOR_FAULT_ZONE_DRAIN = 1 << 7,	   /* ignores zone drains */
 	JT_DIRECTOR_FAULT_COLD = 1 << 8,	   /* no cold rate limit */
@@ -435,7 +434,7 @@
 struct jt_director_counters {
 	uint64_t by_reason[JT_DIRECTOR_REASONS];
 	uint64_t probes;
-	uint64_t probes_void; /* inconclusive because this node was delayed */
+	uint64_t probes_inconclusive; /* this node was delayed */
 	uint64_t identifications;
 	uint64_t deaths[JT_DEATH_CAUSES];
 	uint64_t revived;
@@ -451,7 +450,7 @@
 	uint64_t failures_sent;	    /* endpoints in failure reports sent */
 	uint64_t failures_received; /* endpoints in failure reports received */
 	uint64_t shares_reduced;
-	uint64_t placed_far; /* new flows assigned to another zone */
+	uint64_t placed_cross_zone; /* new flows assigned to another zone */
 	/* Retransmitted SYNs looked up at peers, and those that a peer knew. */
 	uint64_t flows_sought;
 	uint64_t flows_found;
--- a/include/jaspertrack/director.h
+++ b/include/jaspertrack/director.h
@@ -80,9 +80,9 @@
 			 struct jt_endpoint_load loads[JT_LOAD_LIMIT]);
 
 /* Records that JT_DIRECTOR_FLOW_LOOKUP was sent to @peers peers. */
-void jt_director_flow_asked(struct jt_director *director,
-			    const struct jt_flow_key *key, size_t peers,
-			    uint64_t now_ms);
+void jt_director_flow_lookup_sent(struct jt_director *director,
+				  const struct jt_flow_key *key, size_t peers,
+				  uint64_t now_ms);
 /* Returns the label of the flow whose SYN had @sequence, in response to a
  * peer's lookup; 0 if the flow is unknown or its endpoint is dead. */
 uint32_t jt_director_flow_label(const struct jt_director *director,
--- a/src/cluster/jt_cluster.c
+++ b/src/cluster/jt_cluster.c
@@ -297,7 +297,7 @@
 	case JT_ACTION_PUBLISH:
 		break;
 	case JT_ACTION_WITNESS:
-		platform_ask_witness(node, &action->witness);
+		platform_request_vote(node, &action->witness);
 		break;
 	case JT_ACTION_LEFT:
 		/* Packets that the fabric still sends are relayed meanwhile. */
--- a/src/cluster/jt_cluster_platform.c
+++ b/src/cluster/jt_cluster_platform.c
@@ -62,8 +62,8 @@
 	talloc_free(call);
 }
 
-void platform_ask_witness(struct node *node,
-			  const struct jt_witness_request *request)
+void platform_request_vote(struct node *node,
+			   const struct jt_witness_request *request)
 {
 	struct jt_cluster *cluster = node->cluster;
 	struct jt_witness_record *record = &cluster->cells[node->cell].witness;
--- a/src/cluster/jt_cluster_private.h
+++ b/src/cluster/jt_cluster_private.h
@@ -151,8 +151,8 @@
 void platform_tick(struct node *node);
 /* Sends a witness request of a node to the store: a read and a
  * compare-and-swap. */
-void platform_ask_witness(struct node *node,
-			  const struct jt_witness_request *request);
+void platform_request_vote(struct node *node,
+			   const struct jt_witness_request *request);
 /* Returns the approximate encoded size of a configuration in bytes. */
 size_t platform_document_bytes(const struct jt_config *config);
 
--- a/src/core/jt_agree.c
+++ b/src/core/jt_agree.c
@@ -255,7 +255,7 @@
 	}
 	memset(proposer->answered, 0, core->current->member_count);
 	proposer->witness_answered = false;
-	proposer->witness_asked_ms = 0;
+	proposer->witness_requested_ms = 0;
 	proposer->phase = JT_PHASE_ACCEPT;
 	accept.ballot = ballot_to_wire(proposer->ballot);
 	accept.proposal = *proposer->proposal;
@@ -362,9 +362,10 @@
 	if (!witness_votes(core) || proposer->witness_answered ||
 	    answered_count(core) * 2 != core->current->member_count ||
 	    core->now_ms < proposer->started_ms + JT_WITNESS_DELAY_MS ||
-	    core->now_ms < proposer->witness_asked_ms + JT_WITNESS_INTERVAL_MS)
+	    core->now_ms <
+		    proposer->witness_requested_ms + JT_WITNESS_INTERVAL_MS)
 		return;
-	proposer->witness_asked_ms = core->now_ms;
+	proposer->witness_requested_ms = core->now_ms;
 	request = &jt_core_add_action(actions, JT_ACTION_WITNESS)->witness;
 	request->accept = proposer->phase == JT_PHASE_ACCEPT;
 	request->epoch = core->current->epoch + 1;
--- a/src/core/jt_core.c
+++ b/src/core/jt_core.c
@@ -487,16 +487,16 @@
 	return self == owner || self == replica;
 }
 
-uint64_t jt_core_probe_interval(const struct jt_core *core, uint64_t least_ms)
+uint64_t jt_core_probe_interval(const struct jt_core *core, uint64_t min_ms)
 {
 	const struct jt_cell_state *state = core->current;
 	uint64_t scaled;
 
 	if (state == NULL || state->member_count == 0)
-		return least_ms;
+		return min_ms;
 	scaled = 2 * state->endpoint_count * JT_PROBE_BYTES * 1000 /
 		 (state->member_count * JT_PROBE_BUDGET);
-	return scaled > least_ms ? scaled : least_ms;
+	return scaled > min_ms ? scaled : min_ms;
 }
 
 uint32_t jt_core_lookup_flow(const struct jt_core *core,
--- a/src/core/jt_core_private.h
+++ b/src/core/jt_core_private.h
@@ -165,7 +165,7 @@
 	struct jt_ballot adopted; /* ballot of the adopted proposal */
 	uint8_t *answered;	  /* a flag for each current member */
 	bool witness_answered;
-	uint64_t witness_asked_ms;
+	uint64_t witness_requested_ms;
 };
 
 /* Ownership changes and clean declarations for the buckets of a service. */
--- a/src/director/jt_director_log.c
+++ b/src/director/jt_director_log.c
@@ -161,7 +161,7 @@
 		    (unsigned long long)action->start_time_ms,
 		    jt_address_format(action->address, address),
 		    action->share_permille, action->failed_permille,
-		    action->served_permille, action->usual_permille);
+		    action->served_permille, action->reference_permille);
 }
 
 void jt_director_log_zone(const struct jt_log *log,
--- a/src/director/jt_director_node_packets.c
+++ b/src/director/jt_director_node_packets.c
@@ -149,8 +149,8 @@
 	size_t peers = jt_peer_exchange_flow_lookup_send(
 		node->peers, &action->key, action->first_sequence);
 
-	jt_director_flow_asked(node->director, &action->key, peers,
-			       node->event_ms);
+	jt_director_flow_lookup_sent(node->director, &action->key, peers,
+				     node->event_ms);
 	if (node->lookup_pending) {
 		node->lookup_again = true;
 		return;
--- a/src/director/jt_director_pages.c
+++ b/src/director/jt_director_pages.c
@@ -123,11 +123,11 @@
 			  counters->shares_reduced);
 	text = add_metric(text, "probes_total", "counter", counters->probes);
 	text = add_metric(text, "probes_void_total", "counter",
-			  counters->probes_void);
+			  counters->probes_inconclusive);
 	text = add_metric(text, "identifications_total", "counter",
 			  counters->identifications);
 	text = add_metric(text, "flows_placed_far_total", "counter",
-			  counters->placed_far);
+			  counters->placed_cross_zone);
 	text = add_metric(text, "flows_sought_total", "counter",
 			  counters->flows_sought);
 	text = add_metric(text, "flows_found_total", "counter",
--- a/src/director/jt_peer_sender.c
+++ b/src/director/jt_peer_sender.c
@@ -23,7 +23,7 @@
 static bool is_recipient(const struct jt_membership *membership,
 			 const struct jt_peer *peer, bool only_zone)
 {
-	return jt_peer_lives(peer) &&
+	return jt_peer_is_alive(peer) &&
 	       (!only_zone || peer->zone_id == membership->zone_id);
 }
 
--- a/src/lab/label.c
+++ b/src/lab/label.c
@@ -486,8 +486,8 @@
 		.since_us = world_now(world),
 	};
 	label->nodes[index].bytes += peers * FLOW_LOOKUP_BYTES;
-	jt_director_flow_asked(label->nodes[index].director, &action->key,
-			       peers, world_now(world) / 1000);
+	jt_director_flow_lookup_sent(label->nodes[index].director, &action->key,
+				     peers, world_now(world) / 1000);
 	jt_scheduler_after(world->scheduler,
 			   (uint64_t)(world->scenario->zone_to_zone_ms * 2000),
 			   on_peer_responses, held, 0);
--- a/src/label/admission/jt_admission.c
+++ b/src/label/admission/jt_admission.c
@@ -285,9 +285,9 @@
 	return true;
 }
 
-struct jt_admission_decision jt_admission_ask(struct jt_admission *admission,
-					      const struct jt_route *route,
-					      uint64_t now_ms)
+struct jt_admission_decision
+jt_admission_request(struct jt_admission *admission,
+		     const struct jt_route *route, uint64_t now_ms)
 {
 	struct jt_admission_decision decision = {.admitted = true};
 	struct admission_service *service =
@@ -304,7 +304,8 @@
 		index--;
 	priority = &service->priorities[index];
 	priority->last_flow_ms = now_ms;
-	group = jt_group_shares_ask(priority->shares, route->address, now_ms);
+	group = jt_group_shares_request(priority->shares, route->address,
+					now_ms);
 	decision.state = state_describe(service, index, now_ms);
 	decision.state.route = route->name;
 	has_capacity =
--- a/src/label/admission/jt_admission.h
+++ b/src/label/admission/jt_admission.h
@@ -52,9 +52,9 @@
 			  const struct jt_routing *routing);
 
 /* Decides if a new flow of the route is admitted. */
-struct jt_admission_decision jt_admission_ask(struct jt_admission *admission,
-					      const struct jt_route *route,
-					      uint64_t now_ms);
+struct jt_admission_decision
+jt_admission_request(struct jt_admission *admission,
+		     const struct jt_route *route, uint64_t now_ms);
 /* Records that a first packet was assigned to an endpoint of the service. */
 void jt_admission_placed(struct jt_admission *admission, uint32_t service_id,
 			 uint64_t now_ms);
--- a/src/label/admission/jt_group_shares.c
+++ b/src/label/admission/jt_group_shares.c
@@ -15,14 +15,14 @@
 
 static bool group_is_active(const struct jt_group *group, uint64_t now_ms)
 {
-	return now_ms - group->asked_ms < ACTIVE_MS;
+	return now_ms - group->requested_ms < ACTIVE_MS;
 }
 
 /* Returns a slot for a new group: a free one, or that of an inactive group. */
 static struct jt_group *slot_find(struct jt_group_shares *shares,
 				  uint64_t now_ms)
 {
-	if (shares->count < JT_GROUPS_MOST)
+	if (shares->count < JT_GROUPS_MAX)
 		return &shares->groups[shares->count++];
 	for (size_t i = 0; i < shares->count; i++) {
 		if (!group_is_active(&shares->groups[i], now_ms))
@@ -31,8 +31,9 @@
 	return NULL;
 }
 
-struct jt_group *jt_group_shares_ask(struct jt_group_shares *shares,
-				     struct jt_address address, uint64_t now_ms)
+struct jt_group *jt_group_shares_request(struct jt_group_shares *shares,
+					 struct jt_address address,
+					 uint64_t now_ms)
 {
 	struct jt_group *group = NULL;
 
@@ -46,7 +47,7 @@
 			return NULL;
 		*group = (struct jt_group){.address = address};
 	}
-	group->asked_ms = now_ms;
+	group->requested_ms = now_ms;
 	return group;
 }
 
@@ -54,7 +55,7 @@
 			   const struct jt_group *group, double in_flight,
 			   double limit, uint64_t now_ms)
 {
-	struct jt_share_usage uses[JT_GROUPS_MOST];
+	struct jt_share_usage uses[JT_GROUPS_MAX];
 	size_t count = 0, index = 0;
 	double admitted = 0;
 
--- a/src/label/jt_answer_profile.c
+++ b/src/label/jt_answer_profile.c
@@ -121,7 +121,7 @@
 			  uint64_t now_ms)
 {
 	double part =
-		(double)(now_ms - profile->learned_ms) / SHORT_FRACTION_MS;
+		(double)(now_ms - profile->updated_ms) / SHORT_FRACTION_MS;
 
 	return part < 1 ? part : 1;
 }
@@ -142,13 +142,13 @@
 		profile->log_bytes -= LENGTH_STEP * (1 - USUAL_QUANTILE);
 }
 
-void jt_answer_learn(struct jt_answer_profile *profile, uint32_t bytes,
-		     uint64_t took_ms, uint64_t now_ms)
+void jt_answer_profile_update(struct jt_answer_profile *profile, uint32_t bytes,
+			      uint64_t took_ms, uint64_t now_ms)
 {
 	bool is_short = jt_answer_is_short(profile, bytes, took_ms);
 	double slow = slow_weight(profile, now_ms), part;
 
-	profile->learned_ms = now_ms;
+	profile->updated_ms = now_ms;
 	length_update(profile, log(bytes > 0 ? bytes : 1), is_short, slow);
 	if (profile->answers < AVERAGED_RESPONSES) {
 		profile->answers++;
--- a/src/label/jt_answer_profile.h
+++ b/src/label/jt_answer_profile.h
@@ -21,7 +21,7 @@
 		uint32_t service_id;
 	} key;
 	uint32_t answers;    /* number of responses, up to a limit */
-	uint64_t learned_ms; /* time of the last update */
+	uint64_t updated_ms; /* time of the last update */
 	double log_bytes;    /* smoothed logarithm of the usual length */
 	double took_ms;	     /* smoothed time of usual responses */
 	double short_part;   /* fraction of short responses, over a minute */
@@ -55,7 +55,7 @@
 #define JT_FAILURE_UNSURE 0.2
 double jt_answer_failure(const struct jt_answer_profile *profile);
 /* Updates the profile with a complete response. */
-void jt_answer_learn(struct jt_answer_profile *profile, uint32_t bytes,
-		     uint64_t took_ms, uint64_t now_ms);
+void jt_answer_profile_update(struct jt_answer_profile *profile, uint32_t bytes,
+			      uint64_t took_ms, uint64_t now_ms);
 
 #endif
--- a/src/label/jt_choose.c
+++ b/src/label/jt_choose.c
@@ -116,9 +116,9 @@
 			      uint64_t now_ms)
 {
 	if (initial_sync_active(chooser, now_ms))
-		jt_flow_rate_spread(chooser->rate, incarnation,
-				    jt_flow_rate_initial_sync(incarnation),
-				    now_ms);
+		jt_flow_rate_stagger(chooser->rate, incarnation,
+				     jt_flow_rate_initial_sync(incarnation),
+				     now_ms);
 }
 
 /* Returns the limit of new flows per second to the incarnation from all
@@ -205,14 +205,14 @@
 
 /* Incarnations over which the load is distributed. */
 struct target_endpoints {
-	struct jt_incarnation *items[JT_TARGET_LOOK_MOST];
+	struct jt_incarnation *items[JT_TARGET_SAMPLE_MAX];
 	size_t count;
 };
 
 static void target_endpoints_add(struct target_endpoints *endpoints,
 				 struct jt_incarnation *in)
 {
-	if (endpoints->count < JT_TARGET_LOOK_MOST)
+	if (endpoints->count < JT_TARGET_SAMPLE_MAX)
 		endpoints->items[endpoints->count++] = in;
 }
 
@@ -265,7 +265,7 @@
 					  uint64_t now_ms)
 {
 	struct pool_view view = {0};
-	struct jt_incarnation *trial_candidates[JT_COMPARE_MOST];
+	struct jt_incarnation *trial_candidates[JT_COMPARE_MAX];
 	struct target_endpoints local = {.count = 0}, remote = {.count = 0};
 	size_t trial_count = 0, reduced = 0;
 
@@ -276,7 +276,7 @@
 		if (in->state != JT_INCARNATION_READY ||
 		    jt_choose_zone_drained(chooser, in))
 			continue;
-		if (is_local && trial_count < JT_COMPARE_MOST)
+		if (is_local && trial_count < JT_COMPARE_MAX)
 			trial_candidates[trial_count++] = in;
 		if (jt_choose_is_reduced(chooser, in, now_ms))
 			reduced++;
--- a/src/label/jt_choose_equalise.c
+++ b/src/label/jt_choose_equalise.c
@@ -56,9 +56,9 @@
 	recent_load_raise(incarnation, load_mean(&others), now_ms);
 }
 
-static void pool_welcome_zone(const struct jt_chooser *chooser,
-			      const struct jt_service_pool *pool,
-			      uint32_t zone_id, uint64_t now_ms)
+static void pool_equalise_zone_load(const struct jt_chooser *chooser,
+				    const struct jt_service_pool *pool,
+				    uint32_t zone_id, uint64_t now_ms)
 {
 	struct load_sum others = {0};
 	double mean;
@@ -85,5 +85,5 @@
 				JT_FEATURE_NEW_ENDPOINT_SHARE))
 		return;
 	for (pool = table->pools; pool != NULL; pool = pool->hh.next)
-		pool_welcome_zone(chooser, pool, zone_id, now_ms);
+		pool_equalise_zone_load(chooser, pool, zone_id, now_ms);
 }
--- a/src/label/jt_choose_share.c
+++ b/src/label/jt_choose_share.c
@@ -47,20 +47,20 @@
 		       (double)(chooser->nodes - 1);
 }
 
-/* Compares at most JT_COMPARE_MOST members, from a random position in a larger
+/* Compares at most JT_COMPARE_MAX members, from a random position in a larger
  * pool. */
 void jt_chooser_compare(struct jt_chooser *chooser,
 			struct jt_service_pool *pool, uint64_t now_ms)
 {
-	struct jt_incarnation *ready[JT_COMPARE_MOST];
+	struct jt_incarnation *ready[JT_COMPARE_MAX];
 	size_t count = 0, start = 0;
 	double requests = 0, slots = 0;
 
 	if (pool == NULL || !jt_outlier_compare_due(pool, now_ms))
 		return;
-	if (pool->count > JT_COMPARE_MOST)
+	if (pool->count > JT_COMPARE_MAX)
 		start = jt_random_next(&chooser->random) % pool->count;
-	for (size_t i = 0; i < pool->count && i < JT_COMPARE_MOST; i++) {
+	for (size_t i = 0; i < pool->count && i < JT_COMPARE_MAX; i++) {
 		struct jt_incarnation *in =
 			pool->members[(start + i) % pool->count];
 
--- a/src/label/jt_director.c
+++ b/src/label/jt_director.c
@@ -256,9 +256,9 @@
 static void event_loads(struct jt_director *director,
 			const struct jt_director_event *event)
 {
-	jt_peer_loads_take(director->peer_loads, event->u.loads.peer,
-			   event->u.loads.loads, event->u.loads.count,
-			   event->now_ms);
+	jt_peer_loads_update(director->peer_loads, event->u.loads.peer,
+			     event->u.loads.loads, event->u.loads.count,
+			     event->now_ms);
 	for (size_t i = 0; i < event->u.loads.count; i++) {
 		const struct jt_endpoint_load *load = &event->u.loads.loads[i];
 		struct jt_incarnation *incarnation =
@@ -338,7 +338,7 @@
 	if (incarnation == NULL || !incarnation->probing)
 		return;
 	if (outcome == JT_PROBE_INCONCLUSIVE)
-		director->counters.probes_void++;
+		director->counters.probes_inconclusive++;
 	verdict = jt_detector_probed(
 		&director->detector, incarnation, outcome,
 		below_connection_limit(director, incarnation, now_ms), now_ms,
@@ -484,7 +484,7 @@
 		jt_director_flows_expire(director, now_ms);
 		jt_director_openings_check(director, now_ms, actions);
 		jt_director_requests_check(director, now_ms, actions);
-		jt_director_answers_look(director, now_ms, actions);
+		jt_director_answers_check(director, now_ms, actions);
 		jt_director_endpoints_tick(director, now_ms, actions);
 		jt_director_admission_tick(director, now_ms, actions);
 		break;
--- a/src/label/jt_director_admission.c
+++ b/src/label/jt_director_admission.c
@@ -10,7 +10,7 @@
 	/* In a SYN this field holds the client's copy number. */
 	if (packet->acknowledged != 0)
 		return true;
-	decision = jt_admission_ask(director->admission, route, now_ms);
+	decision = jt_admission_request(director->admission, route, now_ms);
 	*admission = decision.state;
 	return decision.admitted;
 }
--- a/src/label/jt_director_answers.c
+++ b/src/label/jt_director_answers.c
@@ -124,8 +124,8 @@
 {
 	if (profile != NULL && jt_outlier_share_permille(incarnation, now_ms) ==
 				       JT_FULL_SHARE_PERMILLE)
-		jt_answer_learn(profile, response_bytes(flow),
-				flow->answer_took_ms, now_ms);
+		jt_answer_profile_update(profile, response_bytes(flow),
+					 flow->answer_took_ms, now_ms);
 }
 
 void jt_director_answer_end(struct jt_director *director,
@@ -170,8 +170,8 @@
 		jt_director_action_add(actions, JT_DIRECTOR_FAILURES, 0);
 }
 
-void jt_director_answers_look(struct jt_director *director, uint64_t now_ms,
-			      struct jt_director_actions *actions)
+void jt_director_answers_check(struct jt_director *director, uint64_t now_ms,
+			       struct jt_director_actions *actions)
 {
 	struct jt_cached_flow *flow = director->flows->answering;
 
@@ -226,9 +226,9 @@
 		     struct jt_endpoint_failure failures[JT_FAILURE_LIMIT],
 		     size_t *peers)
 {
-	size_t count = jt_failure_reports_take(&director->failure_reports,
-					       director->nodes, now_ms,
-					       failures, peers);
+	size_t count = jt_failure_reports_collect(&director->failure_reports,
+						  director->nodes, now_ms,
+						  failures, peers);
 
 	director->counters.failures_sent += count;
 	for (size_t i = 0; i < count; i++) {
@@ -270,7 +270,7 @@
 	action->share_permille = view.share_permille;
 	action->failed_permille = view.failed_permille;
 	action->served_permille = view.served_permille;
-	action->usual_permille = view.usual_permille;
+	action->reference_permille = view.reference_permille;
 }
 
 size_t jt_director_reduced_count(const struct jt_director *director,
--- a/src/label/jt_director_answers.h
+++ b/src/label/jt_director_answers.h
@@ -19,8 +19,8 @@
 			    struct jt_incarnation *incarnation,
 			    uint64_t now_ms);
 /* Ends the responses that received no more data for a while. */
-void jt_director_answers_look(struct jt_director *director, uint64_t now_ms,
-			      struct jt_director_actions *actions);
+void jt_director_answers_check(struct jt_director *director, uint64_t now_ms,
+			       struct jt_director_actions *actions);
 /* Records failures reported by a peer. */
 void jt_director_failures_received(struct jt_director *director,
 				   const struct jt_endpoint_failure *failures,
--- a/src/label/jt_director_entry.c
+++ b/src/label/jt_director_entry.c
@@ -23,7 +23,8 @@
 		return;
 	jt_endpoint_table_record_removal(director->endpoints, incarnation,
 					 revision, now_ms);
-	if (director->options.injected_faults & JT_DIRECTOR_FAULT_FORGET_GONE) {
+	if (director->options.injected_faults &
+	    JT_DIRECTOR_FAULT_FORGET_REMOVED) {
 		jt_endpoint_table_remove(director->endpoints, incarnation);
 		return;
 	}
--- a/src/label/jt_director_expiry.c
+++ b/src/label/jt_director_expiry.c
@@ -38,7 +38,7 @@
 				 uint64_t now_ms)
 {
 	return incarnation->entry.removed_revision != 0 &&
-	       now_ms - incarnation->learned_ms >
+	       now_ms - incarnation->entry_received_ms >
 		       director->options.flow_age_limit_ms;
 }
 
--- a/src/label/jt_director_lookup.c
+++ b/src/label/jt_director_lookup.c
@@ -28,7 +28,7 @@
 	    !jt_flow_lookup_begin(director->lookups, packet, now_ms))
 		return false;
 	action = jt_director_action_add(actions, JT_DIRECTOR_FLOW_LOOKUP,
-					JT_DIRECTOR_PEERS_ASKED);
+					JT_DIRECTOR_FLOW_LOOKUP_PENDING);
 	if (action == NULL)
 		return false;
 	director->counters.flows_sought++;
@@ -37,11 +37,11 @@
 	return true;
 }
 
-void jt_director_flow_asked(struct jt_director *director,
-			    const struct jt_flow_key *key, size_t peers,
-			    uint64_t now_ms)
+void jt_director_flow_lookup_sent(struct jt_director *director,
+				  const struct jt_flow_key *key, size_t peers,
+				  uint64_t now_ms)
 {
-	jt_flow_lookup_asked(director->lookups, key, peers, now_ms);
+	jt_flow_lookup_sent(director->lookups, key, peers, now_ms);
 }
 
 void jt_director_flow_lookup_response(struct jt_director *director,
--- a/src/label/jt_director_packet.c
+++ b/src/label/jt_director_packet.c
@@ -192,7 +192,7 @@
 		return;
 	}
 	if (endpoint->entry.zone_id != director->options.zone_id)
-		director->counters.placed_far++;
+		director->counters.placed_cross_zone++;
 	flow = jt_director_flow_add(director, packet, endpoint, endpoint->label,
 				    now_ms);
 	if (flow != NULL) {
@@ -303,7 +303,7 @@
 		incarnation = jt_endpoint_table_by_label(director->endpoints,
 							 flow->label);
 		if (director->options.injected_faults &
-		    JT_DIRECTOR_FAULT_PLACE_COPIES)
+		    JT_DIRECTOR_FAULT_REASSIGN_RETRANSMITTED)
 			incarnation = NULL;
 		if (incarnation != NULL &&
 		    copy_is_stale(director, flow, incarnation, now_ms)) {
@@ -331,7 +331,8 @@
 		reason = JT_DIRECTOR_PLACED_AGAIN;
 	} else if (jt_director_lookup_waits(director, packet, now_ms,
 					    actions)) {
-		hold_add(director, packet, JT_DIRECTOR_PEERS_ASKED, actions);
+		hold_add(director, packet, JT_DIRECTOR_FLOW_LOOKUP_PENDING,
+			 actions);
 		return;
 	}
 	suspect_refusal(director, &packet->key, now_ms, actions);
@@ -549,7 +550,7 @@
 	bool first = packet->flags & JT_PACKET_SYN;
 
 	jt_director_openings_check(director, now_ms, actions);
-	jt_director_answers_look(director, now_ms, actions);
+	jt_director_answers_check(director, now_ms, actions);
 	if (packet->held_ms >=
 	    (first ? JT_CLIENT_OPEN_TIMEOUT_MS : HOLD_MAX_MS)) {
 		drop_add(director, packet, JT_DIRECTOR_INITIAL_SYNC, actions);
--- a/src/label/jt_director_suspicion.c
+++ b/src/label/jt_director_suspicion.c
@@ -116,8 +116,7 @@
 {
 	struct jt_cached_flow *flow = director->flows->waiting;
 
-	while (flow != NULL &&
-	       now_ms - flow->waiting_ms >= JT_OVERDUE_LEAST_MS) {
+	while (flow != NULL && now_ms - flow->waiting_ms >= JT_OVERDUE_MIN_MS) {
 		struct jt_cached_flow *next = flow->waiting_next;
 		struct jt_incarnation *incarnation = jt_endpoint_table_by_label(
 			director->endpoints, flow->label);
--- a/src/label/jt_director_view.c
+++ b/src/label/jt_director_view.c
@@ -58,7 +58,7 @@
 	action->cause = incarnation->cause;
 	action->revision = incarnation->entry.revision;
 	action->service_id = incarnation->entry.service_id;
-	action->age_ms = now_ms - incarnation->learned_ms;
+	action->age_ms = now_ms - incarnation->entry_received_ms;
 	return action;
 }
 
@@ -250,7 +250,7 @@
 		[JT_DIRECTOR_INITIAL_SYNC] = "learning",
 		[JT_DIRECTOR_DEATH_UNCONFIRMED] = "death_unproven",
 		[JT_DIRECTOR_OVERLOADED] = "overloaded",
-		[JT_DIRECTOR_PEERS_ASKED] = "peers_asked",
+		[JT_DIRECTOR_FLOW_LOOKUP_PENDING] = "peers_asked",
 	};
 
 	return names[reason];
--- a/src/label/jt_director_zones.c
+++ b/src/label/jt_director_zones.c
@@ -13,7 +13,7 @@
 
 	result = jt_zone_drains_update(&director->zone_drains, drain, now_ms,
 				       &state);
-	if (result == JT_ZONE_NO_ROOM)
+	if (result == JT_ZONE_LIMIT_REACHED)
 		director->counters.entries_refused++;
 	if (result != JT_ZONE_BEGAN && result != JT_ZONE_ENDED)
 		return;
--- a/src/label/jt_endpoint_table.c
+++ b/src/label/jt_endpoint_table.c
@@ -316,7 +316,7 @@
 	incarnation->entry = *entry;
 	incarnation->entry.removed_revision = 0;
 	incarnation->entry.unreadable = false;
-	incarnation->learned_ms = now_ms;
+	incarnation->entry_received_ms = now_ms;
 	incarnation->cold_until_ms = now_ms + entry->cold_left_ms;
 }
 
@@ -349,10 +349,10 @@
 	struct jt_incarnation *added;
 
 	if (table->count >= table->limit)
-		return JT_ENTRY_NO_ROOM;
+		return JT_ENTRY_LIMIT_REACHED;
 	added = talloc_zero(table, struct jt_incarnation);
 	if (added == NULL)
-		return JT_ENTRY_NO_ROOM;
+		return JT_ENTRY_LIMIT_REACHED;
 	added->label = jt_incarnation_label(entry->id, entry->start_time_ms);
 	added->listed = true;
 	added->state_ms = now_ms;
@@ -474,7 +474,7 @@
 				      uint64_t revision, uint64_t now_ms)
 {
 	incarnation->entry.removed_revision = revision;
-	incarnation->learned_ms = now_ms;
+	incarnation->entry_received_ms = now_ms;
 	slice_revision_update(table, incarnation);
 	jt_endpoint_table_watch(table, incarnation);
 }
--- a/src/label/jt_endpoint_table.h
+++ b/src/label/jt_endpoint_table.h
@@ -28,8 +28,8 @@
 	/* Reported by discovery. */
 	struct jt_endpoint_entry entry;
 	uint32_t label;
-	uint32_t earlier_label; /* label before the last restart; 0: none */
-	uint64_t learned_ms;	/* when the entry was last updated */
+	uint32_t earlier_label;	    /* label before the last restart; 0: none */
+	uint64_t entry_received_ms; /* when the entry was last updated */
 	uint64_t cold_until_ms;
 	/* Reported since the last full listing began. */
 	bool listed;
@@ -166,9 +166,9 @@
 enum jt_entry_result {
 	JT_ENTRY_NEW,
 	JT_ENTRY_CHANGED,
-	JT_ENTRY_RESTARTED, /* new incarnation under the same id */
-	JT_ENTRY_OLD,	    /* not newer than the known entry */
-	JT_ENTRY_NO_ROOM,   /* table full, or out of memory */
+	JT_ENTRY_RESTARTED,	/* new incarnation under the same id */
+	JT_ENTRY_OLD,		/* not newer than the known entry */
+	JT_ENTRY_LIMIT_REACHED, /* table full, or out of memory */
 };
 
 /* Comparison function for uint64_t ids, for qsort() and bsearch(). */
--- a/src/label/jt_failure_reports.c
+++ b/src/label/jt_failure_reports.c
@@ -84,7 +84,7 @@
 	       (collected_ms >= COLLECT_MAX_MS && reports->datagrams >= 1);
 }
 
-size_t jt_failure_reports_take(
+size_t jt_failure_reports_collect(
 	struct jt_failure_reports *reports, uint64_t nodes, uint64_t now_ms,
 	struct jt_endpoint_failure failures[JT_FAILURE_LIMIT], size_t *peers)
 {
--- a/src/label/jt_failure_reports.h
+++ b/src/label/jt_failure_reports.h
@@ -35,7 +35,7 @@
 			    uint64_t now_ms);
 /* Takes the pending reports. Returns the number of @failures set, and sets
  * @peers to the number of peers to send them to. */
-size_t jt_failure_reports_take(
+size_t jt_failure_reports_collect(
 	struct jt_failure_reports *reports, uint64_t nodes, uint64_t now_ms,
 	struct jt_endpoint_failure failures[JT_FAILURE_LIMIT], size_t *peers);
 
--- a/src/label/jt_flow_lookup.c
+++ b/src/label/jt_flow_lookup.c
@@ -107,9 +107,9 @@
 	return true;
 }
 
-void jt_flow_lookup_asked(struct jt_flow_lookups *lookups,
-			  const struct jt_flow_key *key, size_t peers,
-			  uint64_t now_ms)
+void jt_flow_lookup_sent(struct jt_flow_lookups *lookups,
+			 const struct jt_flow_key *key, size_t peers,
+			 uint64_t now_ms)
 {
 	struct flow_lookup *lookup = lookup_find(lookups, key);
 	uint64_t cost = peers * MS_PER_S;
--- a/src/label/jt_flow_lookup.h
+++ b/src/label/jt_flow_lookup.h
@@ -27,9 +27,9 @@
 			  const struct jt_label_packet *packet,
 			  uint64_t now_ms);
 /* Records that @peers peers were asked for the flow. */
-void jt_flow_lookup_asked(struct jt_flow_lookups *lookups,
-			  const struct jt_flow_key *key, size_t peers,
-			  uint64_t now_ms);
+void jt_flow_lookup_sent(struct jt_flow_lookups *lookups,
+			 const struct jt_flow_key *key, size_t peers,
+			 uint64_t now_ms);
 /* Returns true if responses are still awaited. */
 bool jt_flow_lookup_waits(const struct jt_flow_lookups *lookups,
 			  const struct jt_flow_key *key, uint64_t now_ms);
--- a/src/label/jt_flow_rate.c
+++ b/src/label/jt_flow_rate.c
@@ -106,9 +106,9 @@
 	return SECOND_MS * nodes * SPACING_PERCENT / 100 / per_s;
 }
 
-void jt_flow_rate_spread(const struct jt_flow_rate *rate,
-			 struct jt_incarnation *in, uint32_t per_s,
-			 uint64_t now_ms)
+void jt_flow_rate_stagger(const struct jt_flow_rate *rate,
+			  struct jt_incarnation *in, uint32_t per_s,
+			  uint64_t now_ms)
 {
 	if (per_s != JT_FLOW_RATE_UNLIMITED && per_s > 0)
 		in->next_flow_ms =
--- a/src/label/jt_flow_rate.h
+++ b/src/label/jt_flow_rate.h
@@ -46,9 +46,9 @@
 uint32_t jt_flow_rate_initial_sync(const struct jt_incarnation *in);
 /* Delays the first flow to a new incarnation by a different time at each node,
  * because many nodes learn of it at the same moment. */
-void jt_flow_rate_spread(const struct jt_flow_rate *rate,
-			 struct jt_incarnation *in, uint32_t per_s,
-			 uint64_t now_ms);
+void jt_flow_rate_stagger(const struct jt_flow_rate *rate,
+			  struct jt_incarnation *in, uint32_t per_s,
+			  uint64_t now_ms);
 /* Returns true if this node may send the incarnation a new flow now, given its
  * rate of @per_s flows per second. */
 bool jt_flow_rate_allows(const struct jt_flow_rate *rate,
--- a/src/label/jt_follower.c
+++ b/src/label/jt_follower.c
@@ -33,8 +33,8 @@
 		.wait_ms = DEFAULT_WAIT_MS,
 		.retry_wait_ms = DEFAULT_RETRY_WAIT_MS,
 		.pause_ms = DEFAULT_PAUSE_MS,
-		.retry_least_ms = DEFAULT_RETRY_MIN_MS,
-		.retry_most_ms = DEFAULT_RETRY_MAX_MS,
+		.retry_min_ms = DEFAULT_RETRY_MIN_MS,
+		.retry_max_ms = DEFAULT_RETRY_MAX_MS,
 		.random = {.seed = seed},
 	};
 }
@@ -111,9 +111,9 @@
 
 	if (doublings > MAX_DOUBLINGS)
 		doublings = MAX_DOUBLINGS;
-	wait_ms = (uint64_t)follower->retry_least_ms << doublings;
-	if (wait_ms > follower->retry_most_ms)
-		wait_ms = follower->retry_most_ms;
+	wait_ms = (uint64_t)follower->retry_min_ms << doublings;
+	if (wait_ms > follower->retry_max_ms)
+		wait_ms = follower->retry_max_ms;
 	wait_ms = wait_ms / 2 +
 		  jt_random_next(&follower->random) % (wait_ms / 2 + 1);
 	follower->failures++;
--- a/src/label/jt_follower.h
+++ b/src/label/jt_follower.h
@@ -48,8 +48,8 @@
 	uint32_t wait_ms;	/* timeout of a watch at the store */
 	uint32_t retry_wait_ms; /* the same after a failure */
 	uint32_t pause_ms;	/* pause before the next watch */
-	uint32_t retry_least_ms;
-	uint32_t retry_most_ms;
+	uint32_t retry_min_ms;
+	uint32_t retry_max_ms;
 	uint64_t revision; /* all changes up to here are known */
 	uint64_t listing;  /* the revision of the listing's first page */
 	bool listed;	   /* a listing is complete */
--- a/src/label/jt_membership.c
+++ b/src/label/jt_membership.c
@@ -237,7 +237,7 @@
 		const struct jt_peer *peer =
 			&membership->peers[(start + i) % membership->count];
 
-		if (include_lost || jt_peer_lives(peer))
+		if (include_lost || jt_peer_is_alive(peer))
 			return peer;
 	}
 	return NULL;
@@ -269,7 +269,8 @@
 		const struct jt_peer *peer =
 			&membership->peers[(start + i) % membership->count];
 
-		if (jt_peer_lives(peer) && peer->zone_id == membership->zone_id)
+		if (jt_peer_is_alive(peer) &&
+		    peer->zone_id == membership->zone_id)
 			return peer;
 	}
 	return peer_pick_any_zone(membership, false);
@@ -316,7 +317,7 @@
 		const struct jt_peer *peer = &membership->peers[i];
 		size_t zone = 0;
 
-		if (!jt_peer_lives(peer))
+		if (!jt_peer_is_alive(peer))
 			continue;
 		while (zone < count && zones[zone] != peer->zone_id)
 			zone++;
@@ -366,7 +367,7 @@
 		const struct jt_peer *peer = &membership->peers[i];
 		bool known = false;
 
-		if (!jt_peer_lives(peer) || peer->reader_capacity == 0)
+		if (!jt_peer_is_alive(peer) || peer->reader_capacity == 0)
 			continue;
 		for (size_t zone = 0; zone < count; zone++)
 			known = known || zones[zone] == peer->zone_id;
@@ -386,7 +387,7 @@
 	for (size_t i = 0; i < membership->count; i++) {
 		const struct jt_peer *peer = &membership->peers[i];
 
-		if (!jt_peer_lives(peer) || peer->reader_capacity == 0 ||
+		if (!jt_peer_is_alive(peer) || peer->reader_capacity == 0 ||
 		    (own_zone_only && peer->zone_id != membership->zone_id))
 			continue;
 		if (peer->reader_capacity > own_weight ||
@@ -431,7 +432,7 @@
  * known only through others, a weight above 0 implies it. */
 static bool peer_ready(const struct jt_peer *peer)
 {
-	if (!jt_peer_lives(peer))
+	if (!jt_peer_is_alive(peer))
 		return false;
 	return peer->heard ? peer->ready : peer->reader_capacity > 0;
 }
@@ -500,7 +501,7 @@
 		struct jt_peer *peer = &membership->peers[i];
 		uint64_t silent_ms = now_ms - peer->heard_ms;
 
-		if (jt_peer_lives(peer) &&
+		if (jt_peer_is_alive(peer) &&
 		    silent_ms >= peer_timeout_ms(membership)) {
 			peer->lost = true;
 			peer->heard = false;
@@ -524,7 +525,7 @@
 	if (*ids == NULL)
 		return 0;
 	for (size_t i = 0; i < membership->count; i++) {
-		if (jt_peer_lives(&membership->peers[i]))
+		if (jt_peer_is_alive(&membership->peers[i]))
 			(*ids)[count++] = membership->peers[i].id;
 	}
 	return count;
@@ -535,7 +536,7 @@
 	size_t live = 0;
 
 	for (size_t i = 0; i < membership->count; i++) {
-		if (jt_peer_lives(&membership->peers[i]))
+		if (jt_peer_is_alive(&membership->peers[i]))
 			live++;
 	}
 	return live;
--- a/src/label/jt_membership.h
+++ b/src/label/jt_membership.h
@@ -62,7 +62,7 @@
 };
 
 /* Returns true if this node or another one has heard from the peer recently. */
-static inline bool jt_peer_lives(const struct jt_peer *peer)
+static inline bool jt_peer_is_alive(const struct jt_peer *peer)
 {
 	return peer->id != 0 && !peer->lost;
 }
--- a/src/label/jt_membership_digest.c
+++ b/src/label/jt_membership_digest.c
@@ -62,7 +62,7 @@
 		const struct jt_peer *peer =
 			&membership->peers[(start + i) % membership->count];
 
-		if (jt_peer_lives(peer))
+		if (jt_peer_is_alive(peer))
 			digest_add(digest, peer, now_ms);
 	}
 }
--- a/src/label/jt_membership_flow.c
+++ b/src/label/jt_membership_flow.c
@@ -44,7 +44,7 @@
 						   membership->count];
 
 			/* A peer that has not started has assigned no flows. */
-			if (jt_peer_lives(peer) && peer->started &&
+			if (jt_peer_is_alive(peer) && peer->started &&
 			    peer_rank(membership, peer) == (enum rank)rank)
 				targets[count++] = peer->address;
 		}
--- a/src/label/jt_membership_source.h
+++ b/src/label/jt_membership_source.h
@@ -18,7 +18,7 @@
  * weight above 0 implies it. */
 static inline bool jt_peer_started(const struct jt_peer *peer)
 {
-	return jt_peer_lives(peer) &&
+	return jt_peer_is_alive(peer) &&
 	       (peer->heard ? peer->started : peer->reader_capacity > 0);
 }
 
--- a/src/label/jt_outlier.c
+++ b/src/label/jt_outlier.c
@@ -82,7 +82,7 @@
 
 	if (pool != NULL)
 		limit_ms = (uint64_t)(pool->response_time_ms * OVERDUE_FACTOR);
-	return limit_ms > JT_OVERDUE_LEAST_MS ? limit_ms : JT_OVERDUE_LEAST_MS;
+	return limit_ms > JT_OVERDUE_MIN_MS ? limit_ms : JT_OVERDUE_MIN_MS;
 }
 
 static struct counts counts_now(const struct jt_incarnation *in,
@@ -282,8 +282,8 @@
 			uint64_t now_ms)
 {
 	struct jt_outlier_service *outliers = &pool->outliers;
-	double rates[JT_COMPARE_MOST], sum = 0;
-	size_t compared = count < JT_COMPARE_MOST ? count : JT_COMPARE_MOST;
+	double rates[JT_COMPARE_MAX], sum = 0;
+	size_t compared = count < JT_COMPARE_MAX ? count : JT_COMPARE_MAX;
 
 	outliers->requests = requests;
 	outliers->compared_ms = now_ms;
@@ -317,7 +317,7 @@
 	view.share_permille = jt_outlier_share_permille(incarnation, now_ms);
 	view.failed_permille = (uint32_t)(counts.failed * 1000);
 	view.served_permille = (uint32_t)(counts.served * 1000);
-	view.usual_permille =
+	view.reference_permille =
 		(uint32_t)(incarnation->pool->outliers.reference_rate * 1000);
 	return view;
 }
--- a/src/label/jt_outlier.h
+++ b/src/label/jt_outlier.h
@@ -17,7 +17,7 @@
 
 /* Minimum time until an answer is overdue, milliseconds. Above the longest
  * usual response times of a fast service. */
-enum { JT_OVERDUE_LEAST_MS = 300 };
+enum { JT_OVERDUE_MIN_MS = 300 };
 
 enum { JT_FULL_SHARE_PERMILLE = 1000 };
 
@@ -26,7 +26,7 @@
 	uint32_t share_permille;
 	uint32_t failed_permille; /* recent failed requests, in thousandths */
 	uint32_t served_permille; /* recent served requests, in thousandths */
-	uint32_t usual_permille;  /* lower quartile of failure rates */
+	uint32_t reference_permille; /* lower quartile of failure rates */
 };
 
 /* Records the response time of a request served by the incarnation. */
@@ -50,7 +50,7 @@
 		       uint64_t now_ms);
 
 /* Maximum number of endpoints of a service compared at once. */
-enum { JT_COMPARE_MOST = 256 };
+enum { JT_COMPARE_MAX = 256 };
 
 /* Returns true if a comparison of the service's incarnations is due. */
 bool jt_outlier_compare_due(const struct jt_service_pool *pool,
--- a/src/label/jt_peer_loads.c
+++ b/src/label/jt_peer_loads.c
@@ -113,9 +113,9 @@
 	return oldest;
 }
 
-void jt_peer_loads_take(struct jt_peer_loads *peers, uint64_t peer,
-			const struct jt_endpoint_load *loads, size_t count,
-			uint64_t now_ms)
+void jt_peer_loads_update(struct jt_peer_loads *peers, uint64_t peer,
+			  const struct jt_endpoint_load *loads, size_t count,
+			  uint64_t now_ms)
 {
 	size_t slot = report_slot(peers, peer);
 	struct jt_peer_report *report;
--- a/src/label/jt_peer_loads.h
+++ b/src/label/jt_peer_loads.h
@@ -45,9 +45,9 @@
 struct jt_peer_loads *jt_peer_loads_create(TALLOC_CTX *mem_ctx);
 /* Replaces the report of @peer by a copy of @loads, at most JT_LOAD_LIMIT of
  * them. */
-void jt_peer_loads_take(struct jt_peer_loads *peers, uint64_t peer,
-			const struct jt_endpoint_load *loads, size_t count,
-			uint64_t now_ms);
+void jt_peer_loads_update(struct jt_peer_loads *peers, uint64_t peer,
+			  const struct jt_endpoint_load *loads, size_t count,
+			  uint64_t now_ms);
 /* Returns the mean number of flows that peers have at the endpoint, from
  * reports that have not expired; 0 if there are none. */
 double jt_peer_loads_mean(struct jt_peer_loads *peers, uint32_t label,
--- a/src/label/jt_reader.c
+++ b/src/label/jt_reader.c
@@ -177,8 +177,8 @@
 
 	if (reader->list_after_ms == 0)
 		reader->list_after_ms = now_ms + PEERS_LISTING_MS;
-	if (now_ms >= reader->list_after_ms && !reader->list_spread) {
-		reader->list_spread = true;
+	if (now_ms >= reader->list_after_ms && !reader->listing_staggered) {
+		reader->listing_staggered = true;
 		reader->list_after_ms =
 			now_ms +
 			jt_random_next(&reader->random) % (spread_ms + 1);
--- a/src/label/jt_reader.h
+++ b/src/label/jt_reader.h
@@ -44,10 +44,10 @@
 	uint64_t try_after_ms;	    /* don't read before then */
 	enum jt_read_mode read_mode;
 	/* A node that knows some endpoints doesn't list the store before
-	 * list_after_ms; list_spread is set once that time is randomized over
-	 * all nodes. */
+	 * list_after_ms; listing_staggered is set once that time is randomized
+	 * over all nodes. */
 	uint64_t list_after_ms;
-	bool list_spread;
+	bool listing_staggered;
 	struct jt_random random;
 };
 
--- a/src/label/jt_target.c
+++ b/src/label/jt_target.c
@@ -50,7 +50,7 @@
 		       struct jt_incarnation *const *endpoints, size_t count,
 		       uint64_t now_ms)
 {
-	struct jt_load_endpoint load_endpoints[JT_TARGET_LOOK_MOST];
+	struct jt_load_endpoint load_endpoints[JT_TARGET_SAMPLE_MAX];
 	struct jt_service_pool *pool;
 	double load = 0, slots = 0;
 
@@ -59,8 +59,8 @@
 	target->mean_load = 0;
 	if (count == 0)
 		return;
-	if (count > JT_TARGET_LOOK_MOST)
-		count = JT_TARGET_LOOK_MOST;
+	if (count > JT_TARGET_SAMPLE_MAX)
+		count = JT_TARGET_SAMPLE_MAX;
 	for (size_t i = 0; i < count; i++) {
 		load_endpoints[i].slots = jt_incarnation_slots(endpoints[i]);
 		load_endpoints[i].relative_time =
--- a/src/label/jt_target.h
+++ b/src/label/jt_target.h
@@ -23,10 +23,10 @@
 };
 
 /* Endpoints of one service that are considered; further ones are ignored. */
-enum { JT_TARGET_LOOK_MOST = 64 };
+enum { JT_TARGET_SAMPLE_MAX = 64 };
 
 /* Computes the optimal load distribution over endpoints of one service. Ignores
- * those beyond JT_TARGET_LOOK_MOST. */
+ * those beyond JT_TARGET_SAMPLE_MAX. */
 void jt_target_compute(struct jt_target *target,
 		       struct jt_incarnation *const *endpoints, size_t count,
 		       uint64_t now_ms);
--- a/src/label/jt_zone_drains.c
+++ b/src/label/jt_zone_drains.c
@@ -74,7 +74,7 @@
 		return JT_ZONE_SAME;
 	added = zone_slot(drains);
 	if (added == NULL)
-		return JT_ZONE_NO_ROOM;
+		return JT_ZONE_LIMIT_REACHED;
 	*added = (struct jt_zone_state){
 		.drain = *drain,
 		.zone_id = jt_name_id(drain->zone),
--- a/src/label/jt_zone_drains.h
+++ b/src/label/jt_zone_drains.h
@@ -35,7 +35,7 @@
 	JT_ZONE_SAME,  /* not newer, or no change of the state */
 	JT_ZONE_BEGAN, /* the zone is drained now */
 	JT_ZONE_ENDED, /* the zone is not drained any more */
-	JT_ZONE_NO_ROOM,
+	JT_ZONE_LIMIT_REACHED,
 };
 
 /* Applies the start or end of a drain. On JT_ZONE_BEGAN and JT_ZONE_ENDED sets
--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -190,7 +190,7 @@
 		&model->routing->routes[kind == 0 ? 0 : 1 + group];
 	struct model_endpoint *endpoint;
 
-	if (!jt_admission_ask(admission, route, model->now_ms).admitted)
+	if (!jt_admission_request(admission, route, model->now_ms).admitted)
 		return false;
 	endpoint = model_choose_endpoint(model);
 	jt_admission_requested(admission, MODEL_SERVICE, model->now_ms);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -288,8 +288,8 @@
 				first_request ? 25 : MODEL_TARGET_MS;
 
 			assert_true(!first_request ||
-				    jt_admission_ask(admission, route,
-						     model->now_ms)
+				    jt_admission_request(admission, route,
+							 model->now_ms)
 					    .admitted);
 			jt_admission_requested(admission, MODEL_SERVICE,
 					       model->now_ms);
--- a/tests/test_detector.c
+++ b/tests/test_detector.c
@@ -302,8 +302,9 @@
 	open_flow_at_each(fixture, &flow, &other);
 	send_and_retransmit(fixture, &flow);
 	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_INCONCLUSIVE);
-	assert_int_equal(jt_director_counters(fixture->director)->probes_void,
-			 1);
+	assert_int_equal(
+		jt_director_counters(fixture->director)->probes_inconclusive,
+		1);
 	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 0);
 	fixture_tick(fixture, 100);
 	assert_int_equal(fixture_count_actions(fixture, JT_DIRECTOR_PROBE), 0);
--- a/tests/test_director.c
+++ b/tests/test_director.c
@@ -94,7 +94,7 @@
 	(void)state;
 	assert_true(retransmissions_reach_same_endpoint(0));
 	assert_false(retransmissions_reach_same_endpoint(
-		JT_DIRECTOR_FAULT_PLACE_COPIES));
+		JT_DIRECTOR_FAULT_REASSIGN_RETRANSMITTED));
 }
 
 /* Guards against placing a late duplicate of the first packet anew when the
@@ -236,7 +236,8 @@
 {
 	(void)state;
 	assert_true(flow_survives_entry_expiry(0));
-	assert_false(flow_survives_entry_expiry(JT_DIRECTOR_FAULT_FORGET_GONE));
+	assert_false(
+		flow_survives_entry_expiry(JT_DIRECTOR_FAULT_FORGET_REMOVED));
 }
 
 static void test_expired_endpoints_are_a_last_resort(void **state)
--- a/tests/test_endpoint_health.c
+++ b/tests/test_endpoint_health.c
@@ -475,8 +475,8 @@
 		talloc_zero(NULL, struct jt_answer_profile);
 
 	for (uint64_t i = 0; i < 200; i++)
-		jt_answer_learn(profile, TYPICAL_BYTES, TYPICAL_MS,
-				1000 + i * 10);
+		jt_answer_profile_update(profile, TYPICAL_BYTES, TYPICAL_MS,
+					 1000 + i * 10);
 	return profile;
 }
 
@@ -510,12 +510,12 @@
 	profile = typical_profile();
 	assert_float_equal(jt_answer_failure(profile), 1, 0);
 	for (now_ms = 3000; now_ms < 5000; now_ms += 100)
-		jt_answer_learn(profile, 150, 5, now_ms);
+		jt_answer_profile_update(profile, 150, 5, now_ms);
 	assert_true(jt_answer_is_short(profile, 150, 5));
 	assert_in_range((unsigned)(jt_answer_failure(profile) * 1000), 500,
 			900);
 	for (; now_ms < 303000; now_ms += 100)
-		jt_answer_learn(profile, 150, 5, now_ms);
+		jt_answer_profile_update(profile, 150, 5, now_ms);
 	assert_false(jt_answer_is_short(profile, 150, 5));
 	talloc_free(profile);
 }
@@ -534,9 +534,9 @@
 	jt_failure_reports_add_failed(&reports, 1, 0.5);
 	assert_false(jt_failure_reports_due(&reports, 1, now_ms));
 	assert_true(jt_failure_reports_due(&reports, 68, now_ms));
-	assert_int_equal(
-		jt_failure_reports_take(&reports, 68, now_ms, reported, &peers),
-		1);
+	assert_int_equal(jt_failure_reports_collect(&reports, 68, now_ms,
+						    reported, &peers),
+			 1);
 	assert_int_equal(peers, 67);
 	assert_int_equal(reported[0].failed_permille, 500);
 	assert_int_equal(reported[0].served_permille, 1000);
@@ -545,8 +545,9 @@
 			jt_failure_reports_add_failed(&reports, label, 1);
 		if (!jt_failure_reports_due(&reports, 68, now_ms))
 			continue;
-		assert_int_equal(jt_failure_reports_take(&reports, 68, now_ms,
-							 reported, &peers),
+		assert_int_equal(jt_failure_reports_collect(&reports, 68,
+							    now_ms, reported,
+							    &peers),
 				 JT_FAILURE_LIMIT);
 		assert_in_range(peers, 1, 67);
 		datagrams += peers;
--- a/tests/test_flow_lookup.c
+++ b/tests/test_flow_lookup.c
@@ -82,8 +82,8 @@
 static void lookup_sent(struct fixture *fixture, const struct client_flow *flow,
 			size_t peers)
 {
-	jt_director_flow_asked(fixture->director, &flow->key, peers,
-			       fixture->now_ms);
+	jt_director_flow_lookup_sent(fixture->director, &flow->key, peers,
+				     fixture->now_ms);
 }
 
 /* A retransmission through another node goes to the endpoint of the original.
--- a/tests/test_peer_loads.c
+++ b/tests/test_peer_loads.c
@@ -47,7 +47,7 @@
 				label + 1, flows,
 				flows * 2 * JT_RECENT_LOAD_UNIT, 0};
 	}
-	jt_peer_loads_take(peers, peer + 1, loads, count, now_ms);
+	jt_peer_loads_update(peers, peer + 1, loads, count, now_ms);
 }
 
 static void test_mean_matches_reference(void **state)
@@ -81,7 +81,7 @@
 	for (uint32_t peer = 0; peer < PEERS; peer++) {
 		struct jt_endpoint_load load = {7, peer, 0, 0};
 
-		jt_peer_loads_take(peers, peer + 1, &load, 1, 1000 + peer);
+		jt_peer_loads_update(peers, peer + 1, &load, 1, 1000 + peer);
 	}
 	/* The mean of the last sixteen: 24 to 39. */
 	assert_true(jt_peer_loads_mean(peers, 7, 2000) == 31.5);
