--- a/fuzz/fuzz_document.c
+++ b/fuzz/fuzz_document.c
@@ -93,21 +93,21 @@
 
 /* Checks that a change is complete: a valid entry or an error with its field
  * and reason. */
-static void check_change(const struct jt_change *change)
+static void check_change(const struct jt_directory_change *change)
 {
 	switch (change->kind) {
-	case JT_CHANGE_INVALID:
+	case JT_DIRECTORY_CHANGE_INVALID:
 		if (change->key == NULL || change->field == NULL ||
 		    change->reason == NULL)
 			abort();
 		break;
-	case JT_CHANGE_ENDPOINT:
+	case JT_DIRECTORY_CHANGE_ENDPOINT:
 		if (change->endpoint.id == 0 ||
 		    change->endpoint.address.port == 0 ||
 		    change->endpoint.revision == 0)
 			abort();
 		break;
-	case JT_CHANGE_ROUTING:
+	case JT_DIRECTORY_CHANGE_ROUTING:
 		if (change->routing == NULL || change->routing->version == 0)
 			abort();
 		break;
@@ -124,7 +124,7 @@
 				 "more", 1, "items", valid_item("servers/i-a1"),
 				 item, valid_item("servers/i-a2"));
 	char *body = json_dumps(page, 0);
-	const struct jt_change *last;
+	const struct jt_directory_change *last;
 
 	jt_platform_answer_parse(answer, body);
 	if (answer->status != JT_KV_OK || answer->change_count < 2 ||
@@ -133,9 +133,10 @@
 	for (size_t i = 0; i < answer->change_count; i++)
 		check_change(&answer->changes[i]);
 	last = &answer->changes[answer->change_count - 1];
-	if (answer->changes[0].kind != JT_CHANGE_ENDPOINT ||
+	if (answer->changes[0].kind != JT_DIRECTORY_CHANGE_ENDPOINT ||
 	    answer->changes[0].endpoint.id != 0xa1 ||
-	    last->kind != JT_CHANGE_ENDPOINT || last->endpoint.id != 0xa2)
+	    last->kind != JT_DIRECTORY_CHANGE_ENDPOINT ||
+	    last->endpoint.id != 0xa2)
 		abort();
 	free(body);
 	json_decref(page);
--- a/src/core/jt_activate.c
+++ b/src/core/jt_activate.c
@@ -24,7 +24,7 @@
 static void transfer_send(struct jt_core *core, const struct jt_flow *flow,
 			  uint64_t to)
 {
-	struct jt_peer *peer = jt_peer_find(core, to);
+	struct jt_core_peer *peer = jt_peer_find(core, to);
 	jt_wire_record record;
 
 	if (to == 0 || to == core->options.node_id || peer == NULL)
@@ -124,7 +124,7 @@
 	const struct jt_cell_state *target =
 		core->accepted_state ? core->accepted_state : core->current;
 
-	for (const struct jt_peer *peer = core->peers; peer;
+	for (const struct jt_core_peer *peer = core->peers; peer;
 	     peer = peer->next) {
 		if (peer->queue != NULL &&
 		    jt_cell_member(target, peer->member.id) != JT_NO_MEMBER)
@@ -152,7 +152,7 @@
 	for (held = core->held; held != NULL; held = held->next)
 		jt_core_drop(core, actions, held->token, JT_REASON_NO_LEASE);
 	while (core->peers != NULL) {
-		struct jt_peer *peer = core->peers;
+		struct jt_core_peer *peer = core->peers;
 
 		core->peers = peer->next;
 		talloc_free(peer);
@@ -284,7 +284,7 @@
 static bool member_ready(const struct jt_core *core, uint64_t id)
 {
 	uint64_t epoch = core->current ? core->current->epoch : 0;
-	const struct jt_peer *peer;
+	const struct jt_core_peer *peer;
 
 	if (id == core->options.node_id)
 		return core->transferred_epoch >= epoch;
@@ -305,7 +305,7 @@
  */
 static bool another_activated(const struct jt_core *core)
 {
-	for (const struct jt_peer *peer = core->peers; peer;
+	for (const struct jt_core_peer *peer = core->peers; peer;
 	     peer = peer->next) {
 		if (peer->activated_epoch >= core->current->epoch &&
 		    jt_cell_member(core->current, peer->member.id) !=
@@ -362,7 +362,7 @@
 		}
 		return;
 	}
-	for (struct jt_peer *peer = core->peers; peer; peer = peer->next)
+	for (struct jt_core_peer *peer = core->peers; peer; peer = peer->next)
 		jt_channel_flush(core, peer, actions);
 	if (core->transferred_epoch < core->transfer_target &&
 	    transfer_done(core)) {
--- a/src/core/jt_agree.c
+++ b/src/core/jt_agree.c
@@ -115,7 +115,7 @@
 static bool config_available(struct jt_core *core, uint64_t from,
 			     uint64_t revision, struct jt_actions *actions)
 {
-	const struct jt_peer *peer = jt_peer_find(core, from);
+	const struct jt_core_peer *peer = jt_peer_find(core, from);
 
 	if (jt_core_config(core, revision) != NULL)
 		return true;
@@ -547,7 +547,7 @@
 void jt_agree_message(struct jt_core *core, uint64_t from,
 		      const jt_wire_body *body, struct jt_actions *actions)
 {
-	const struct jt_peer *peer = jt_peer_find(core, from);
+	const struct jt_core_peer *peer = jt_peer_find(core, from);
 	const struct jt_member *to;
 
 	if (body->kind == JT_WIRE_STATE) {
--- a/src/core/jt_channel.c
+++ b/src/core/jt_channel.c
@@ -22,7 +22,7 @@
 	record->idle_s = (uint32_t)(core->now_ms / 1000) - flow->seen_s;
 }
 
-static struct jt_records_outgoing *channel_tail(struct jt_peer *peer)
+static struct jt_records_outgoing *channel_tail(struct jt_core_peer *peer)
 {
 	struct jt_records_outgoing *tail = peer->queue;
 
@@ -31,7 +31,7 @@
 	return tail;
 }
 
-uint32_t jt_channel_add(struct jt_core *core, struct jt_peer *peer,
+uint32_t jt_channel_add(struct jt_core *core, struct jt_core_peer *peer,
 			const jt_wire_record *record, bool handover)
 {
 	struct jt_records_outgoing *tail = channel_tail(peer);
@@ -56,7 +56,7 @@
 	return tail->sequence;
 }
 
-static void channel_send(struct jt_core *core, struct jt_peer *peer,
+static void channel_send(struct jt_core *core, struct jt_core_peer *peer,
 			 struct jt_records_outgoing *outgoing,
 			 struct jt_actions *actions)
 {
@@ -78,7 +78,7 @@
 
 /* Sends new messages immediately and retransmits with exponential backoff.
  * An unreachable peer is sent only the first message. */
-void jt_channel_flush(struct jt_core *core, struct jt_peer *peer,
+void jt_channel_flush(struct jt_core *core, struct jt_core_peer *peer,
 		      struct jt_actions *actions)
 {
 	struct jt_records_outgoing *outgoing = peer->queue;
@@ -108,7 +108,7 @@
 		peer->retransmit_ms = JT_RETRANSMIT_MAX_MS;
 }
 
-void jt_channel_records(struct jt_core *core, struct jt_peer *peer,
+void jt_channel_records(struct jt_core *core, struct jt_core_peer *peer,
 			const jt_wire_records *message,
 			struct jt_actions *actions)
 {
@@ -132,7 +132,7 @@
 	body->jt_wire_body_u.records_ack.sequence = peer->expected_sequence;
 }
 
-void jt_channel_ack(struct jt_core *core, struct jt_peer *peer,
+void jt_channel_ack(struct jt_core *core, struct jt_core_peer *peer,
 		    const jt_wire_records_ack *message,
 		    struct jt_actions *actions)
 {
--- a/src/core/jt_coordinate.c
+++ b/src/core/jt_coordinate.c
@@ -250,7 +250,7 @@
 static bool member_stays(const struct jt_core *core,
 			 const struct jt_member *member)
 {
-	const struct jt_peer *peer = jt_peer_find(core, member->id);
+	const struct jt_core_peer *peer = jt_peer_find(core, member->id);
 
 	if (member->id == core->options.node_id)
 		return !core->leaving;
--- a/src/core/jt_core.c
+++ b/src/core/jt_core.c
@@ -266,7 +266,7 @@
 			       const jt_wire_relayed *relayed,
 			       struct jt_actions *actions)
 {
-	const struct jt_peer *peer = jt_peer_find(core, relayed->to);
+	const struct jt_core_peer *peer = jt_peer_find(core, relayed->to);
 	jt_wire_body *body;
 
 	if (relayed->message == NULL ||
@@ -290,7 +290,7 @@
 			 struct jt_actions *actions)
 {
 	const jt_wire_body *body = &message->body;
-	struct jt_peer *peer = jt_peer_find(core, message->from);
+	struct jt_core_peer *peer = jt_peer_find(core, message->from);
 
 	if (message->from == core->options.node_id ||
 	    (message->to != 0 && message->to != (u_int)core->options.node_id))
--- a/src/core/jt_core_private.h
+++ b/src/core/jt_core_private.h
@@ -75,8 +75,8 @@
 };
 
 /* A member, former member or joiner, as known to this node. */
-struct jt_peer {
-	struct jt_peer *next;
+struct jt_core_peer {
+	struct jt_core_peer *next;
 	struct jt_member member;
 	uint64_t heard_ms; /* last heartbeat */
 	/* Epochs that the peer reported: agreed, accepted, records transferred,
@@ -204,7 +204,7 @@
 	struct jt_proposer proposer;
 	uint64_t propose_after_ms;
 
-	struct jt_peer *peers;
+	struct jt_core_peer *peers;
 	struct jt_member *joiners;
 	uint64_t *joiner_ms;
 	size_t joiner_count;
@@ -275,7 +275,7 @@
 		     const struct jt_address_config *address, uint16_t bucket,
 		     struct jt_actions *actions);
 /* Releases the packets held for records up to @sequence. */
-void jt_owner_acknowledged(struct jt_core *core, struct jt_peer *peer,
+void jt_owner_acknowledged(struct jt_core *core, struct jt_core_peer *peer,
 			   uint32_t sequence, struct jt_actions *actions);
 void jt_owner_tick(struct jt_core *core, struct jt_actions *actions);
 /* Returns true if this node owns the bucket in all live states. */
@@ -346,23 +346,23 @@
 void jt_flow_to_wire(const struct jt_core *core, const struct jt_flow *flow,
 		     jt_wire_record *record);
 /* Queues a record for @peer. Returns the message's sequence number. */
-uint32_t jt_channel_add(struct jt_core *core, struct jt_peer *peer,
+uint32_t jt_channel_add(struct jt_core *core, struct jt_core_peer *peer,
 			const jt_wire_record *record, bool handover);
 /* Sends queued messages, and those that are due for retransmission. */
-void jt_channel_flush(struct jt_core *core, struct jt_peer *peer,
+void jt_channel_flush(struct jt_core *core, struct jt_core_peer *peer,
 		      struct jt_actions *actions);
-void jt_channel_records(struct jt_core *core, struct jt_peer *peer,
+void jt_channel_records(struct jt_core *core, struct jt_core_peer *peer,
 			const jt_wire_records *message,
 			struct jt_actions *actions);
-void jt_channel_ack(struct jt_core *core, struct jt_peer *peer,
+void jt_channel_ack(struct jt_core *core, struct jt_core_peer *peer,
 		    const jt_wire_records_ack *message,
 		    struct jt_actions *actions);
 
 /* jt_members.c */
-struct jt_peer *jt_peer_find(const struct jt_core *core, uint64_t id);
+struct jt_core_peer *jt_peer_find(const struct jt_core *core, uint64_t id);
 /* Returns the peer, created if absent; NULL if out of memory. */
-struct jt_peer *jt_peer_get(struct jt_core *core,
-			    const struct jt_member *member);
+struct jt_core_peer *jt_peer_get(struct jt_core *core,
+				 const struct jt_member *member);
 /* Returns true if @id sent no heartbeat within the suspicion timeout. */
 bool jt_peer_is_suspect(const struct jt_core *core, uint64_t id);
 /* Returns true if @by suspects @id according to its last heartbeat. */
@@ -437,19 +437,20 @@
 void jt_counts_health(struct jt_core *core, const struct jt_health *health,
 		      uint64_t age_ms);
 void jt_counts_tick(struct jt_core *core, struct jt_actions *actions);
-void jt_counts_message(struct jt_core *core, struct jt_peer *peer,
+void jt_counts_message(struct jt_core *core, struct jt_core_peer *peer,
 		       const jt_wire_counts *counts);
 /* Adds this node's part of a crashed owner's counts; @rank is its index among
  * the @survivors. */
-void jt_counts_inherit_crashed(struct jt_core *core, const struct jt_peer *peer,
-			       size_t rank, size_t survivors);
+void jt_counts_inherit_crashed(struct jt_core *core,
+			       const struct jt_core_peer *peer, size_t rank,
+			       size_t survivors);
 void jt_counts_inherited_closed(struct jt_core *core, uint32_t service_id,
 				uint32_t group_id, uint32_t endpoint_id);
 void jt_counts_inherited_recounted(struct jt_core *core, uint32_t service_id,
 				   const struct jt_flow *flow);
 /* Recomputes the sums of the peers' counts. */
 void jt_counts_sum_peers(struct jt_core *core);
-void jt_counts_clear_peer(struct jt_peer *peer);
+void jt_counts_clear_peer(struct jt_core_peer *peer);
 /* Return the cell's open flows, as known to this node. */
 uint32_t jt_counts_endpoint(const struct jt_core *core, uint32_t id);
 uint32_t jt_counts_share(const struct jt_core *core, uint32_t service_id,
--- a/src/core/jt_counts.c
+++ b/src/core/jt_counts.c
@@ -118,7 +118,7 @@
 		core->endpoints[i].peers_open = 0;
 	for (size_t i = 0; i < core->share_count; i++)
 		core->shares[i].peers = 0;
-	for (const struct jt_peer *peer = core->peers; peer;
+	for (const struct jt_core_peer *peer = core->peers; peer;
 	     peer = peer->next) {
 		for (size_t i = 0; i < peer->endpoint_count; i++) {
 			const struct jt_open_count *entry =
@@ -378,7 +378,7 @@
 void jt_counts_tick(struct jt_core *core, struct jt_actions *actions)
 {
 	const struct jt_cell_state *state = core->current;
-	struct jt_peer *coordinator = NULL;
+	struct jt_core_peer *coordinator = NULL;
 	jt_wire_counts shared = {0};
 
 	if (state == NULL || jt_core_own_index(core, state) == JT_NO_MEMBER ||
@@ -392,7 +392,8 @@
 	encode_endpoints(core, &shared, actions->messages);
 	encode_shares(core, &shared, actions->messages);
 	for (size_t i = 0; i < state->member_count; i++) {
-		struct jt_peer *peer = jt_peer_find(core, state->members[i].id);
+		struct jt_core_peer *peer =
+			jt_peer_find(core, state->members[i].id);
 		jt_wire_body *body;
 		jt_wire_counts *counts;
 
@@ -438,7 +439,8 @@
 	}
 }
 
-static void store_endpoint_counts(struct jt_core *core, struct jt_peer *peer,
+static void store_endpoint_counts(struct jt_core *core,
+				  struct jt_core_peer *peer,
 				  const jt_wire_counts *counts)
 {
 	const struct jt_cell_state *state = core->current;
@@ -458,7 +460,7 @@
 	}
 }
 
-static void store_share_counts(struct jt_core *core, struct jt_peer *peer,
+static void store_share_counts(struct jt_core *core, struct jt_core_peer *peer,
 			       const jt_wire_counts *counts)
 {
 	const struct jt_config *config = core->current->config;
@@ -499,7 +501,7 @@
 	}
 }
 
-void jt_counts_message(struct jt_core *core, struct jt_peer *peer,
+void jt_counts_message(struct jt_core *core, struct jt_core_peer *peer,
 		       const jt_wire_counts *counts)
 {
 	/* Positions in the lists are valid in the same epoch only. */
@@ -518,7 +520,7 @@
 			 (rank < count % survivors ? 1 : 0));
 }
 
-void jt_counts_clear_peer(struct jt_peer *peer)
+void jt_counts_clear_peer(struct jt_core_peer *peer)
 {
 	peer->endpoint_count = 0;
 	peer->share_count = 0;
@@ -526,8 +528,9 @@
 
 /* Request services are skipped: all their flows have records, which the next
  * owner counts. */
-void jt_counts_inherit_crashed(struct jt_core *core, const struct jt_peer *peer,
-			       size_t rank, size_t survivors)
+void jt_counts_inherit_crashed(struct jt_core *core,
+			       const struct jt_core_peer *peer, size_t rank,
+			       size_t survivors)
 {
 	for (size_t i = 0; i < peer->endpoint_count; i++) {
 		const struct jt_open_count *count = &peer->endpoint_counts[i];
--- a/src/core/jt_members.c
+++ b/src/core/jt_members.c
@@ -10,25 +10,25 @@
 
 #include <string.h>
 
-struct jt_peer *jt_peer_find(const struct jt_core *core, uint64_t id)
+struct jt_core_peer *jt_peer_find(const struct jt_core *core, uint64_t id)
 {
-	struct jt_peer *peer = core->peers;
+	struct jt_core_peer *peer = core->peers;
 
 	while (peer != NULL && peer->member.id != id)
 		peer = peer->next;
 	return peer;
 }
 
-struct jt_peer *jt_peer_get(struct jt_core *core,
-			    const struct jt_member *member)
+struct jt_core_peer *jt_peer_get(struct jt_core *core,
+				 const struct jt_member *member)
 {
-	struct jt_peer *peer = jt_peer_find(core, member->id);
+	struct jt_core_peer *peer = jt_peer_find(core, member->id);
 
 	if (peer != NULL) {
 		peer->member = *member;
 		return peer;
 	}
-	peer = talloc_zero(core, struct jt_peer);
+	peer = talloc_zero(core, struct jt_core_peer);
 	if (peer == NULL)
 		return NULL;
 	peer->member = *member;
@@ -40,7 +40,7 @@
 
 bool jt_peer_is_suspect(const struct jt_core *core, uint64_t id)
 {
-	const struct jt_peer *peer;
+	const struct jt_core_peer *peer;
 
 	if (id == core->options.node_id)
 		return false;
@@ -53,7 +53,7 @@
 bool jt_peer_reports_suspect(const struct jt_core *core, uint64_t by,
 			     uint64_t id)
 {
-	const struct jt_peer *peer = jt_peer_find(core, by);
+	const struct jt_core_peer *peer = jt_peer_find(core, by);
 
 	if (peer == NULL)
 		return true;
@@ -89,7 +89,7 @@
 	if (state == NULL || jt_core_own_index(core, state) == JT_NO_MEMBER)
 		return false;
 	for (size_t i = 0; i < state->member_count; i++) {
-		const struct jt_peer *peer;
+		const struct jt_core_peer *peer;
 
 		if (state->members[i].id == core->options.node_id)
 			return true;
@@ -122,7 +122,7 @@
 	if (state == NULL || jt_core_own_index(core, state) == JT_NO_MEMBER)
 		return;
 	for (size_t i = 0; i < state->member_count; i++) {
-		const struct jt_peer *peer =
+		const struct jt_core_peer *peer =
 			jt_peer_find(core, state->members[i].id);
 		uint64_t grant = peer ? peer->grant_ms : 0;
 		size_t at = count++;
@@ -144,7 +144,7 @@
 			grants[majority - 1] + core->options.lease_ms;
 }
 
-static void heartbeat_send(struct jt_core *core, struct jt_peer *peer,
+static void heartbeat_send(struct jt_core *core, struct jt_core_peer *peer,
 			   struct jt_actions *actions)
 {
 	jt_wire_body *body =
@@ -195,7 +195,7 @@
 
 static void heartbeat_all(struct jt_core *core, struct jt_actions *actions)
 {
-	for (struct jt_peer *peer = core->peers; peer; peer = peer->next)
+	for (struct jt_core_peer *peer = core->peers; peer; peer = peer->next)
 		heartbeat_send(core, peer, actions);
 }
 
@@ -207,7 +207,7 @@
 	return time > now && time > UINT32_MAX ? time - UINT32_MAX - 1 : time;
 }
 
-static void heartbeat_record(struct jt_core *core, struct jt_peer *peer,
+static void heartbeat_record(struct jt_core *core, struct jt_core_peer *peer,
 			     const jt_wire_heartbeat *heartbeat)
 {
 	uint64_t echo = clock_from_low(core->now_ms, heartbeat->echo_ms);
@@ -240,7 +240,7 @@
 					   const jt_wire_heartbeat *heartbeat,
 					   struct jt_actions *actions)
 {
-	struct jt_peer *peer = jt_peer_find(core, from);
+	struct jt_core_peer *peer = jt_peer_find(core, from);
 
 	if (peer == NULL || core->current == NULL ||
 	    heartbeat->epoch >= core->current->epoch)
@@ -266,7 +266,7 @@
 			  const jt_wire_heartbeat *heartbeat,
 			  struct jt_actions *actions)
 {
-	struct jt_peer *peer = jt_peer_find(core, from);
+	struct jt_core_peer *peer = jt_peer_find(core, from);
 	uint64_t active_on_all =
 		heartbeat->config_revision - heartbeat->revision_behind_active;
 
@@ -394,7 +394,8 @@
 
 /* Returns true if the peer is a member in a live state, or was heard from
  * recently. */
-static bool peer_needed(const struct jt_core *core, const struct jt_peer *peer)
+static bool peer_needed(const struct jt_core *core,
+			const struct jt_core_peer *peer)
 {
 	const struct jt_cell_state *states[3];
 	size_t count = jt_live_states(core, states);
@@ -410,7 +411,7 @@
 {
 	const struct jt_cell_state *states[3];
 	size_t count = jt_live_states(core, states);
-	struct jt_peer **link = &core->peers;
+	struct jt_core_peer **link = &core->peers;
 
 	for (size_t i = 0; i < count; i++) {
 		for (size_t m = 0; m < states[i]->member_count; m++) {
@@ -421,7 +422,7 @@
 		}
 	}
 	while (*link != NULL) {
-		struct jt_peer *peer = *link;
+		struct jt_core_peer *peer = *link;
 
 		if (peer_needed(core, peer)) {
 			link = &peer->next;
--- a/src/core/jt_owner.c
+++ b/src/core/jt_owner.c
@@ -100,8 +100,8 @@
 	core->counters.refused++;
 }
 
-static struct jt_peer *replica_peer(const struct jt_core *core,
-				    uint32_t service_id, uint16_t bucket)
+static struct jt_core_peer *replica_peer(const struct jt_core *core,
+					 uint32_t service_id, uint16_t bucket)
 {
 	const struct jt_cell_state *states[3];
 	const struct jt_table *table;
@@ -147,7 +147,7 @@
  * this node fails.
  */
 static void replicate_and_hold(struct jt_core *core, struct jt_flow *flow,
-			       struct jt_peer *peer,
+			       struct jt_core_peer *peer,
 			       const struct jt_packet *packet,
 			       struct jt_actions *actions)
 {
@@ -167,7 +167,7 @@
 			       const struct jt_packet *packet,
 			       struct jt_actions *actions)
 {
-	const struct jt_peer *peer =
+	const struct jt_core_peer *peer =
 		replica_peer(core, service_id, flow->bucket);
 
 	flow->seen_s = (uint32_t)(core->now_ms / 1000);
@@ -187,7 +187,7 @@
 	uint32_t service_id = jt_service_id(core, address);
 	const struct jt_table *table = jt_cell_table(core->current, service_id);
 	uint32_t group_id = core->current->config->groups[address->group].id;
-	struct jt_peer *peer = replica_peer(core, service_id, bucket);
+	struct jt_core_peer *peer = replica_peer(core, service_id, bucket);
 	enum jt_reason reason = JT_REASON_NONE;
 	uint32_t endpoint_id = 0;
 	jt_wire_record record;
@@ -234,7 +234,7 @@
 void jt_owner_close_flow(struct jt_core *core, struct jt_flow *flow,
 			 uint32_t service_id)
 {
-	struct jt_peer *peer;
+	struct jt_core_peer *peer;
 	jt_wire_record record;
 
 	if (flow->flags & JT_FLOW_CLOSING)
@@ -383,7 +383,7 @@
 	forward_to(core, held->token, flow->endpoint_id, actions);
 }
 
-void jt_owner_acknowledged(struct jt_core *core, struct jt_peer *peer,
+void jt_owner_acknowledged(struct jt_core *core, struct jt_core_peer *peer,
 			   uint32_t sequence, struct jt_actions *actions)
 {
 	struct jt_pending_packet **link = &core->held;
--- a/src/core/jt_records.c
+++ b/src/core/jt_records.c
@@ -143,7 +143,7 @@
 		return;
 	for (size_t i = 0; i < before->member_count; i++) {
 		uint64_t id = before->members[i].id;
-		struct jt_peer *peer = jt_peer_find(core, id);
+		struct jt_core_peer *peer = jt_peer_find(core, id);
 
 		if (peer == NULL ||
 		    jt_cell_member(core->current, id) != JT_NO_MEMBER)
@@ -163,7 +163,7 @@
 {
 	const struct jt_table *table =
 		before ? jt_cell_table(before, service_id) : NULL;
-	const struct jt_peer *peer;
+	const struct jt_core_peer *peer;
 	uint64_t id;
 
 	if (table == NULL || table->owner[bucket] == JT_NO_MEMBER)
--- a/src/director/jt_director_node_sync.c
+++ b/src/director/jt_director_node_sync.c
@@ -35,7 +35,7 @@
  * can't be parsed. */
 static void removal_apply(struct jt_director_node *node,
 			  enum jt_director_event_kind kind,
-			  const struct jt_change *change)
+			  const struct jt_directory_change *change)
 {
 	struct jt_director_event event = {.kind = kind};
 
@@ -46,7 +46,7 @@
 
 /* Reports an invalid item of the store, once for each key and reason. */
 static void invalid_item_log(struct jt_director_node *node,
-			     const struct jt_change *change)
+			     const struct jt_directory_change *change)
 {
 	if (change->endpoint.id != 0)
 		removal_apply(node, JT_DIRECTOR_UNREADABLE, change);
@@ -71,25 +71,26 @@
 	jt_director_node_event_handle(node, &event);
 }
 
-static void on_change(const struct jt_change *change, void *private_data)
+static void on_change(const struct jt_directory_change *change,
+		      void *private_data)
 {
 	struct jt_director_node *node = private_data;
 
 	switch (change->kind) {
-	case JT_CHANGE_ROUTING:
+	case JT_DIRECTORY_CHANGE_ROUTING:
 		routing_apply(node, change->routing, "store");
 		break;
-	case JT_CHANGE_ENDPOINT:
+	case JT_DIRECTORY_CHANGE_ENDPOINT:
 		endpoint_apply(node, &change->endpoint);
 		break;
-	case JT_CHANGE_REMOVED:
+	case JT_DIRECTORY_CHANGE_REMOVED:
 		removal_apply(node, JT_DIRECTOR_ENTRY_REMOVED, change);
 		break;
-	case JT_CHANGE_ZONE:
+	case JT_DIRECTORY_CHANGE_ZONE:
 		zone_drains_apply(node, &change->zone, 1, false,
 				  change->revision);
 		break;
-	case JT_CHANGE_INVALID:
+	case JT_DIRECTORY_CHANGE_INVALID:
 		invalid_item_log(node, change);
 		break;
 	}
--- a/src/director/jt_directory_sync.c
+++ b/src/director/jt_directory_sync.c
@@ -72,7 +72,7 @@
 			   const struct jt_kv_answer *answer)
 {
 	for (size_t i = 0; i < answer->change_count; i++) {
-		if (answer->changes[i].kind == JT_CHANGE_INVALID)
+		if (answer->changes[i].kind == JT_DIRECTORY_CHANGE_INVALID)
 			sync->counters.invalid_items++;
 		sync->watcher.changed(&answer->changes[i],
 				      sync->watcher.private_data);
--- a/src/director/jt_directory_sync.h
+++ b/src/director/jt_directory_sync.h
@@ -19,7 +19,8 @@
 /* Callbacks of the owner of a directory sync. */
 struct jt_directory_watcher {
 	/* A change, in the order of the store's revisions. */
-	void (*changed)(const struct jt_change *change, void *private_data);
+	void (*changed)(const struct jt_directory_change *change,
+			void *private_data);
 	/* All changes up to @revision have been reported. */
 	void (*caught_up)(uint64_t revision, void *private_data);
 	/* A full listing begins. */
--- a/src/director/jt_environment.h
+++ b/src/director/jt_environment.h
@@ -40,21 +40,22 @@
 };
 
 /* A change in the store. */
-enum jt_change_kind {
-	JT_CHANGE_ROUTING,
-	JT_CHANGE_ENDPOINT,
-	JT_CHANGE_REMOVED, /* sets only endpoint.id and endpoint.revision */
-	JT_CHANGE_ZONE,	   /* a zone drain began or ended */
-	JT_CHANGE_INVALID,
+enum jt_directory_change_kind {
+	JT_DIRECTORY_CHANGE_ROUTING,
+	JT_DIRECTORY_CHANGE_ENDPOINT,
+	/* Sets only endpoint.id and endpoint.revision. */
+	JT_DIRECTORY_CHANGE_REMOVED,
+	JT_DIRECTORY_CHANGE_ZONE, /* a zone drain began or ended */
+	JT_DIRECTORY_CHANGE_INVALID,
 };
 
-struct jt_change {
-	enum jt_change_kind kind;
+struct jt_directory_change {
+	enum jt_directory_change_kind kind;
 	uint64_t revision;
 	struct jt_routing *routing; /* talloc child of the answer */
 	struct jt_endpoint_entry endpoint;
 	struct jt_zone_drain zone;
-	const char *key;   /* JT_CHANGE_INVALID: key of the item */
+	const char *key;   /* JT_DIRECTORY_CHANGE_INVALID: key of the item */
 	const char *field; /* and the invalid field */
 	const char *reason;
 };
@@ -66,7 +67,7 @@
 	bool more;
 	const char *last_key; /* of this page; the next page starts after it */
 	bool zones_complete;  /* all zone drains are in the pages so far */
-	struct jt_change *changes;
+	struct jt_directory_change *changes;
 	size_t change_count;
 };
 
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -19,8 +19,9 @@
 }
 
 /* Parses a store item into @change; returns its kind. */
-static enum jt_change_kind read_change(const char *key, const char *value,
-				       struct jt_change *change)
+static enum jt_directory_change_kind
+read_change(const char *key, const char *value,
+	    struct jt_directory_change *change)
 {
 	json_t *item = make_item(key, value);
 
@@ -99,7 +100,7 @@
 
 static void test_endpoint(void **state)
 {
-	struct jt_change change;
+	struct jt_directory_change change;
 
 	(void)state;
 	assert_int_equal(
@@ -109,7 +110,7 @@
 			    "\"version\":\"v1\",\"capacity\":2,\"state\":"
 			    "\"draining\",\"coldLeftMs\":70,\"callCount\":4}",
 			    &change),
-		JT_CHANGE_ENDPOINT);
+		JT_DIRECTORY_CHANGE_ENDPOINT);
 	assert_int_equal(change.endpoint.id, 0x7f3a91c2);
 	assert_int_equal(change.endpoint.service_id, jt_name_id("huvo11a"));
 	assert_int_equal(change.endpoint.capacity, 2);
@@ -121,33 +122,34 @@
 
 static void test_zone(void **state)
 {
-	struct jt_change change;
+	struct jt_directory_change change;
 	json_t *removed =
 		json_pack("{s:s, s:i, s:b}", "tlsKey", "op/evacuate/scl-renca",
 			  "revision", 500, "gone", true);
 
 	(void)state;
 	assert_int_equal(read_change("op/evacuate/scl-renca", "{}", &change),
-			 JT_CHANGE_ZONE);
+			 JT_DIRECTORY_CHANGE_ZONE);
 	assert_string_equal(change.zone.zone, "scl-renca");
 	assert_int_equal(change.zone.revision, 412);
 	assert_true(change.zone.draining);
 	assert_true(jt_platform_item_parse(NULL, removed, &change));
-	assert_int_equal(change.kind, JT_CHANGE_ZONE);
+	assert_int_equal(change.kind, JT_DIRECTORY_CHANGE_ZONE);
 	assert_int_equal(change.zone.revision, 500);
 	assert_false(change.zone.draining);
 	json_decref(removed);
 	assert_int_equal(read_change("op/evacuate/", "{}", &change),
-			 JT_CHANGE_INVALID);
+			 JT_DIRECTORY_CHANGE_INVALID);
 	assert_string_equal(change.field, "zone");
 }
 
 static void expect_invalid(const char *key, const char *value,
 			   const char *field)
 {
-	struct jt_change change;
+	struct jt_directory_change change;
 
-	assert_int_equal(read_change(key, value, &change), JT_CHANGE_INVALID);
+	assert_int_equal(read_change(key, value, &change),
+			 JT_DIRECTORY_CHANGE_INVALID);
 	assert_string_equal(change.field, field);
 	assert_non_null(change.reason);
 	assert_string_equal(change.key, key);
@@ -216,17 +218,17 @@
 
 static void test_incarnation_start_time(void **state)
 {
-	struct jt_change change;
+	struct jt_directory_change change;
 	char *text = make_entry("callCount", "0");
 
 	(void)state;
 	assert_int_equal(read_change("servers/i-7f3a91c2", text, &change),
-			 JT_CHANGE_ENDPOINT);
+			 JT_DIRECTORY_CHANGE_ENDPOINT);
 	assert_int_equal(change.endpoint.start_time_ms, 1764740000000);
 	talloc_free(text);
 	text = make_entry("born", NULL);
 	assert_int_equal(read_change("servers/i-7f3a91c2", text, &change),
-			 JT_CHANGE_ENDPOINT);
+			 JT_DIRECTORY_CHANGE_ENDPOINT);
 	assert_int_equal(change.endpoint.start_time_ms, 0);
 	talloc_free(text);
 }
@@ -235,7 +237,7 @@
 static void test_call_count_is_ignored(void **state)
 {
 	static const char *const counts[] = {"0", "4", "4000000000"};
-	struct jt_change first, change;
+	struct jt_directory_change first, change;
 
 	(void)state;
 	for (size_t i = 0; i < 3; i++) {
@@ -243,7 +245,7 @@
 
 		assert_int_equal(
 			read_change("servers/i-7f3a91c2", text, &change),
-			JT_CHANGE_ENDPOINT);
+			JT_DIRECTORY_CHANGE_ENDPOINT);
 		if (i == 0)
 			first = change;
 		assert_memory_equal(&change.endpoint, &first.endpoint,
@@ -329,7 +331,7 @@
 	};
 	char deep[4096];
 	json_t *item;
-	struct jt_change change;
+	struct jt_directory_change change;
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(values) / sizeof(values[0]); i++)
@@ -341,10 +343,10 @@
 	item = json_pack("{s:s, s:s, s:i}", "tlsKey", "servers/i-1", "value",
 			 "*", "revision", 5);
 	assert_true(jt_platform_item_parse(NULL, item, &change));
-	assert_int_equal(change.kind, JT_CHANGE_INVALID);
+	assert_int_equal(change.kind, JT_DIRECTORY_CHANGE_INVALID);
 	json_object_set_new(item, "value", json_integer(7));
 	assert_true(jt_platform_item_parse(NULL, item, &change));
-	assert_int_equal(change.kind, JT_CHANGE_INVALID);
+	assert_int_equal(change.kind, JT_DIRECTORY_CHANGE_INVALID);
 	/* The id and the revision of the entry are still reported. */
 	assert_int_equal(change.endpoint.id, 1);
 	assert_int_equal(change.endpoint.revision, 5);
@@ -365,10 +367,10 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(keys) / sizeof(keys[0]); i++) {
-		struct jt_change change;
+		struct jt_directory_change change;
 
 		assert_int_equal(read_change(keys[i], text, &change),
-				 JT_CHANGE_INVALID);
+				 JT_DIRECTORY_CHANGE_INVALID);
 		assert_string_equal(change.field, "id");
 		assert_int_equal(change.endpoint.id, 0);
 		/* The reported key can't inject a log line. */
@@ -411,10 +413,10 @@
 	assert_int_equal(answer->revision, 500);
 	assert_true(answer->more);
 	assert_int_equal(answer->change_count, 3);
-	assert_int_equal(answer->changes[0].kind, JT_CHANGE_ENDPOINT);
-	assert_int_equal(answer->changes[1].kind, JT_CHANGE_INVALID);
+	assert_int_equal(answer->changes[0].kind, JT_DIRECTORY_CHANGE_ENDPOINT);
+	assert_int_equal(answer->changes[1].kind, JT_DIRECTORY_CHANGE_INVALID);
 	assert_int_equal(answer->changes[1].revision, 413);
-	assert_int_equal(answer->changes[2].kind, JT_CHANGE_ENDPOINT);
+	assert_int_equal(answer->changes[2].kind, JT_DIRECTORY_CHANGE_ENDPOINT);
 	assert_int_equal(answer->changes[2].endpoint.id, 4);
 	assert_string_equal(answer->last_key, "servers/i-4");
 	free(body);
@@ -425,7 +427,7 @@
 
 static void test_config(void **state)
 {
-	struct jt_change change;
+	struct jt_directory_change change;
 
 	(void)state;
 	assert_int_equal(
@@ -440,7 +442,7 @@
 			":2000,\"coldPerS\":2.5}],\"limits\":{"
 			"\"idleTimeoutMs\":15000}}",
 			&change),
-		JT_CHANGE_ROUTING);
+		JT_DIRECTORY_CHANGE_ROUTING);
 	assert_int_equal(change.routing->version, 7);
 	assert_int_equal(change.routing->flow_idle_ms, 15000);
 	assert_int_equal(change.routing->routes[0].address.port, 8443);
@@ -455,7 +457,7 @@
 static void test_unknown_keys_are_ignored(void **state)
 {
 	json_t *item = make_item("my/key", "{}");
-	struct jt_change change;
+	struct jt_directory_change change;
 
 	(void)state;
 	assert_false(jt_platform_item_parse(NULL, item, &change));
