--- a/src/core/jt_core_private.h
+++ b/src/core/jt_core_private.h
@@ -78,7 +78,7 @@
 struct jt_core_peer {
 	struct jt_core_peer *next;
 	struct jt_member member;
-	uint64_t heard_ms; /* last heartbeat */
+	uint64_t last_heartbeat_ms;
 	/* Epochs that the peer reported: agreed, accepted, records transferred,
 	 * active. */
 	uint64_t epoch;
--- a/src/core/jt_members.c
+++ b/src/core/jt_members.c
@@ -32,7 +32,7 @@
 	if (peer == NULL)
 		return NULL;
 	peer->member = *member;
-	peer->heard_ms = core->now_ms;
+	peer->last_heartbeat_ms = core->now_ms;
 	peer->next = core->peers;
 	core->peers = peer;
 	return peer;
@@ -47,7 +47,8 @@
 	peer = jt_peer_find(core, id);
 	if (peer == NULL)
 		return true;
-	return core->now_ms > peer->heard_ms + core->options.suspect_ms;
+	return core->now_ms >
+	       peer->last_heartbeat_ms + core->options.suspect_ms;
 }
 
 bool jt_peer_reports_suspect(const struct jt_core *core, uint64_t by,
@@ -212,7 +213,7 @@
 {
 	uint64_t echo = clock_from_low(core->now_ms, heartbeat->echo_ms);
 
-	peer->heard_ms = core->now_ms;
+	peer->last_heartbeat_ms = core->now_ms;
 	peer->epoch = heartbeat->epoch;
 	peer->accepted_epoch = heartbeat->epoch + heartbeat->accepted_ahead;
 	if (heartbeat->transferred && heartbeat->accepted_ahead == 0)
@@ -404,7 +405,8 @@
 		if (jt_cell_member(states[i], peer->member.id) != JT_NO_MEMBER)
 			return true;
 	}
-	return core->now_ms < peer->heard_ms + 4 * core->options.suspect_ms;
+	return core->now_ms <
+	       peer->last_heartbeat_ms + 4 * core->options.suspect_ms;
 }
 
 void jt_members_update_peers(struct jt_core *core)
--- a/src/director/jt_peer_exchange.c
+++ b/src/director/jt_peer_exchange.c
@@ -438,7 +438,7 @@
 		jt_log_line(exchange->log, LOG_WARNING,
 			    "event=peer_lost peer=%s silent_ms=%llu",
 			    jt_address_format(lost->address, text),
-			    (unsigned long long)(now_ms - lost->heard_ms));
+			    (unsigned long long)(now_ms - lost->last_heard_ms));
 	count = jt_membership_digest_targets(exchange->membership, targets);
 	round_digest_send(exchange, targets, count, now_ms);
 	loads_send(exchange, targets, count);
--- a/src/label/jt_membership.c
+++ b/src/label/jt_membership.c
@@ -78,8 +78,8 @@
 		return &membership->peers[membership->count++];
 	}
 	for (size_t i = 1; i < membership->count; i++) {
-		if (membership->peers[i].heard_ms <
-		    membership->peers[oldest].heard_ms)
+		if (membership->peers[i].last_heard_ms <
+		    membership->peers[oldest].last_heard_ms)
 			oldest = i;
 	}
 	return &membership->peers[oldest];
@@ -118,7 +118,7 @@
 {
 	struct jt_address address = {reported->address,
 				     (uint16_t)reported->port};
-	uint64_t heard_ms =
+	uint64_t last_heard_ms =
 		now_ms > reported->age_ms ? now_ms - reported->age_ms : 0;
 	struct jt_peer *peer;
 
@@ -138,11 +138,11 @@
 		peer->id = reported->id;
 		peer->zone_id = reported->zone;
 	}
-	if (heard_ms <= peer->heard_ms)
+	if (last_heard_ms <= peer->last_heard_ms)
 		return;
 	if (peer->id == reported->id)
 		peer->reader_capacity = reported->weight;
-	peer->heard_ms = heard_ms;
+	peer->last_heard_ms = last_heard_ms;
 	peer->lost = false;
 }
 
@@ -167,14 +167,14 @@
 		peer = peer_add(membership, address);
 	if (peer == NULL)
 		return NULL;
-	*is_new = !peer->heard || peer->id != from;
+	*is_new = !peer->heard_directly || peer->id != from;
 	if (peer->id != from) {
 		peer->routing_version = 0;
 		peer->revision = 0;
 	}
 	peer->id = from;
-	peer->heard_ms = now_ms;
-	peer->heard = true;
+	peer->last_heard_ms = now_ms;
+	peer->heard_directly = true;
 	peer->lost = false;
 	peer->no_answer = false;
 	peer->zone_id = availability->zone;
@@ -434,7 +434,7 @@
 {
 	if (!jt_peer_is_alive(peer))
 		return false;
-	return peer->heard ? peer->ready : peer->reader_capacity > 0;
+	return peer->heard_directly ? peer->ready : peer->reader_capacity > 0;
 }
 
 /* Returns true if the peer has left and was not replaced by a new process. */
@@ -448,7 +448,7 @@
 	if (peer->zone_id != membership->zone_id)
 		limit_ms += membership->leave_limit_ms;
 	return peer->leaving && !peer->ready &&
-	       now_ms - peer->heard_ms >= limit_ms;
+	       now_ms - peer->last_heard_ms >= limit_ms;
 }
 
 /* Adds a peer of this node's zone to the counts. */
@@ -458,7 +458,7 @@
 	view->nodes++;
 	if (!peer_ready(peer))
 		return;
-	if (!peer->heard || !peer->leaving) {
+	if (!peer->heard_directly || !peer->leaving) {
 		view->serving++;
 		return;
 	}
@@ -499,12 +499,12 @@
 
 	while (i < membership->count) {
 		struct jt_peer *peer = &membership->peers[i];
-		uint64_t silent_ms = now_ms - peer->heard_ms;
+		uint64_t silent_ms = now_ms - peer->last_heard_ms;
 
 		if (jt_peer_is_alive(peer) &&
 		    silent_ms >= peer_timeout_ms(membership)) {
 			peer->lost = true;
-			peer->heard = false;
+			peer->heard_directly = false;
 			return peer;
 		}
 		if (peer->id != 0 && silent_ms >= peer_timeout_ms(membership) +
--- a/src/label/jt_membership.h
+++ b/src/label/jt_membership.h
@@ -42,10 +42,11 @@
 	uint32_t zone_id;
 	uint32_t reader_capacity; /* capacity to read the store; 0: it can't now
 				   */
-	uint64_t heard_ms;	  /* last time that any node heard from it */
+	uint64_t last_heard_ms;	  /* last time that any node heard from it */
 	uint64_t routing_version;
 	uint64_t revision;
-	bool heard; /* this node has heard from it since it was last lost */
+	/* This node has heard from it since it was last lost. */
+	bool heard_directly;
 	bool started;
 	bool accepts_flows; /* accepts new flows: it knows some endpoints */
 	bool leaving;
--- a/src/label/jt_membership_digest.c
+++ b/src/label/jt_membership_digest.c
@@ -40,7 +40,7 @@
 		.address = peer->address.ip,
 		.port = peer->address.port,
 		.zone = peer->zone_id,
-		.age_ms = (uint32_t)(now_ms - peer->heard_ms),
+		.age_ms = (uint32_t)(now_ms - peer->last_heard_ms),
 		.weight = peer->reader_capacity,
 	};
 }
--- a/src/label/jt_membership_fetch.c
+++ b/src/label/jt_membership_fetch.c
@@ -16,7 +16,7 @@
  * started. */
 static bool has_some_endpoints(const struct jt_peer *peer)
 {
-	return peer->heard && peer->accepts_flows && !peer->lost;
+	return peer->heard_directly && peer->accepts_flows && !peer->lost;
 }
 
 static bool is_ahead(const struct jt_peer *peer, const struct jt_own_state *own)
@@ -24,7 +24,7 @@
 	if (!own->started)
 		return jt_peer_started(peer) ||
 		       (!own->accepts_flows && has_some_endpoints(peer));
-	if (!peer->heard || peer->lost || !peer->started)
+	if (!peer->heard_directly || peer->lost || !peer->started)
 		return false;
 	return peer->revision > own->revision ||
 	       peer->routing_version > own->routing_version;
--- a/src/label/jt_membership_source.h
+++ b/src/label/jt_membership_source.h
@@ -19,7 +19,8 @@
 static inline bool jt_peer_started(const struct jt_peer *peer)
 {
 	return jt_peer_is_alive(peer) &&
-	       (peer->heard ? peer->started : peer->reader_capacity > 0);
+	       (peer->heard_directly ? peer->started
+				     : peer->reader_capacity > 0);
 }
 
 /*
@@ -30,7 +31,7 @@
 				      uint32_t zone_id, uint64_t now_ms)
 {
 	uint64_t weight = peer->reader_capacity > 0 ? peer->reader_capacity : 1;
-	uint64_t age_ms = now_ms - peer->heard_ms;
+	uint64_t age_ms = now_ms - peer->last_heard_ms;
 
 	if (peer->zone_id == zone_id)
 		weight *= SOURCE_OWN_ZONE_FACTOR;
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -251,7 +251,8 @@
 	/* A peer whose digest arrives again may be asked again. */
 	jt_membership_digest(membership, first, address_of((int)first - 1),
 			     &digest, 3300);
-	assert_true(membership->peers[0].heard && membership->peers[1].heard);
+	assert_true(membership->peers[0].heard_directly &&
+		    membership->peers[1].heard_directly);
 	talloc_free(membership);
 }
 
