--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -23,7 +23,7 @@
   cmake --build "$build" >"$build/build.log" 2>&1 ||
   { tail -40 "$build/build.log"; exit 1; }
 step "circular dependencies"
-scripts/circles.sh "$build" || failed=1
+scripts/dependency-cycles.sh "$build" || failed=1
 
 step "build with thread sanitizer"
 cmake -S . -B "$build-thread" -G Ninja -DJT_SANITIZE=thread >/dev/null &&
--- a/scripts/compare-ways.sh
+++ b/scripts/compare-policies.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# Runs a bench command for all combinations of ways (policies), sites, days and
-# seeds, and compares the ways run by run in a table and JSON. Runs whose
-# results are in the output directory are skipped, so that an interrupted
-# comparison can be resumed.
+# Runs a bench command for all combinations of policies, sites, days and seeds,
+# and compares the policies run by run in a table and JSON. Runs whose results
+# are in the output directory are skipped, so that an interrupted comparison
+# can be resumed.
 #
-# Usage: scripts/compare-ways.sh --output DIR [OPTION...]
+# Usage: scripts/compare-policies.sh --output DIR [OPTION...]
 #   --output DIR           directory of results.jsonl, summary.json, table.md
 #   --bench COMMAND        command for one run; {site}, {day}, {seed} and
 #                          {report} (a file to write) are substituted; without
 #                          it, only existing results are summarised
-#   --way NAME[=SETTINGS]  the first way is the baseline of the comparison;
+#   --way NAME[=SETTINGS]  the first policy is the baseline of the comparison;
 #                          SETTINGS are appended to the nodes' settings, e.g.
 #                          no-news='without = ( "news" );'
 #   --site FILE, --day DAY may be repeated
@@ -23,14 +23,14 @@
 top=$(cd "$(dirname "$0")/.." && pwd)
 settings=$top/platform/settings.cfg
 output='' bench='' loads='' seeds=1 urgent=''
-ways=() sites=() days=()
+policies=() sites=() days=()
 usage() { sed -n '2,/^set -u/p' "$0" | sed '$d; s/^# \{0,1\}//' >&2; exit 2; }
 while [ $# -gt 0 ]; do
   [ $# -ge 2 ] || usage
   case $1 in
     --output) output=$2 ;;
     --bench) bench=$2 ;;
-    --way) ways+=("$2") ;;
+    --way) policies+=("$2") ;;
     --site) sites+=("$2") ;;
     --day) days+=("$2") ;;
     --loads) loads=$2 ;;
@@ -84,30 +84,30 @@
     echo "failed ($status): $1 $3 $5 seed $6: $(tail -1 "$log")" >&2
     return 1
   }
-  jq -c --arg way "$1" --arg site "$(basename "$3" .toml)" --arg load "$4" \
+  jq -c --arg policy "$1" --arg site "$(basename "$3" .toml)" --arg load "$4" \
     --arg day "$(basename "$5" .toml)" --argjson seed "$6" \
-    '{way: $way, site: $site, day: $day, load: $load, seed: $seed} + .' \
+    '{way: $policy, site: $site, day: $day, load: $load, seed: $seed} + .' \
     "$output/one.json" >>"$results"
 }
 has_result() { # NAME SITE DAY SEED
-  jq -e --arg way "$1" --arg site "$(basename "$2" .toml)" \
+  jq -e --arg policy "$1" --arg site "$(basename "$2" .toml)" \
     --arg day "$(basename "$3" .toml)" --argjson seed "$4" -s \
-    'any(.way == $way and .site == $site and .day == $day and .seed == $seed)' \
+    'any(.way == $policy and .site == $site and .day == $day and .seed == $seed)' \
     "$results" >/dev/null
 }
 
 failed=0
 if [ -n "$bench" ]; then
-  [ ${#ways[@]} -gt 0 ] && [ ${#sites[@]} -gt 0 ] && [ ${#days[@]} -gt 0 ] || usage
+  [ ${#policies[@]} -gt 0 ] && [ ${#sites[@]} -gt 0 ] && [ ${#days[@]} -gt 0 ] || usage
   day_files=$(list_days)
   count=0
-  total=$(($(echo "$day_files" | wc -l) * $(echo "$seeds" | wc -w) * ${#sites[@]} * ${#ways[@]}))
+  total=$(($(echo "$day_files" | wc -l) * $(echo "$seeds" | wc -w) * ${#sites[@]} * ${#policies[@]}))
   for seed in $seeds; do
     for site in "${sites[@]}"; do
       while read -r load day; do
-        for way in "${ways[@]}"; do
-          name=${way%%=*} added_settings=''
-          [ "$way" = "$name" ] || added_settings=${way#*=}
+        for policy in "${policies[@]}"; do
+          name=${policy%%=*} added_settings=''
+          [ "$policy" = "$name" ] || added_settings=${policy#*=}
           count=$((count + 1))
           echo "$count/$total $name $(basename "$site") $(basename "$day") seed $seed" >&2
           has_result "$name" "$site" "$day" "$seed" ||
@@ -117,9 +117,9 @@
     done
   done
 fi
-base=${ways[0]:-}
-jq -s --arg base "${base%%=*}" -f "$top/scripts/compare-ways.jq" "$results" \
+base=${policies[0]:-}
+jq -s --arg base "${base%%=*}" -f "$top/scripts/compare-policies.jq" "$results" \
   >"$output/summary.json" || exit 1
-jq -r -f "$top/scripts/compare-ways-table.jq" "$output/summary.json" |
+jq -r -f "$top/scripts/compare-policies-table.jq" "$output/summary.json" |
   tee "$output/table.md"
 exit $failed
--- a/scripts/circles.sh
+++ b/scripts/dependency-cycles.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Fails if source files depend on each other in a circle, according to the
+# Fails if source files depend on each other in a cycle, according to the
 # symbols that the object files of BUILD define and use. Known circular
-# dependencies are listed in scripts/circles-known.txt, one per line.
-# Usage: scripts/circles.sh BUILD
+# dependencies are listed in scripts/dependency-cycles-known.txt, one per line.
+# Usage: scripts/dependency-cycles.sh BUILD
 set -u
-[ $# -eq 1 ] || { echo "usage: scripts/circles.sh BUILD" >&2; exit 2; }
+[ $# -eq 1 ] || { echo "usage: scripts/dependency-cycles.sh BUILD" >&2; exit 2; }
 build=$1
-known="$(dirname "$0")/circles-known.txt"
+known="$(dirname "$0")/dependency-cycles-known.txt"
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
@@ -20,14 +20,14 @@
 done | sort -u >"$work/symbols"
 [ -s "$work/symbols" ] || { echo "no object files below $build"; exit 1; }
 
-# Prints pairs "user used", except within a known circle. Symbols that several
+# Prints pairs "user used", except within a known cycle. Symbols that several
 # files define, such as main(), are ignored.
 awk -v known="$known" '
   BEGIN {
     while ((getline line < known) > 0) {
       if (line ~ /^#/) continue
       count = split(line, files, " ")
-      for (i = 1; i <= count; i++) circle[files[i]] = line
+      for (i = 1; i <= count; i++) cycle[files[i]] = line
     }
   }
   $1 == "defines" { defined[$2]++; file[$2] = $3; next }
@@ -38,7 +38,7 @@
       if (defined[part[1]] != 1) continue
       user = part[2]; used = file[part[1]]
       if (user == used) continue
-      if (user in circle && circle[user] == circle[used]) continue
+      if (user in cycle && cycle[user] == cycle[used]) continue
       print user, used
     }
   }' "$work/symbols" | sort -u >"$work/pairs"
--- a/tests/compare-ways.sh
+++ b/tests/compare-policies.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Tests scripts/compare-ways.sh with a fake bench: paired differences, spread,
+# Tests scripts/compare-policies.sh with a fake bench: paired differences, spread,
 # loads, a failing run, and resuming an interrupted comparison.
 set -u
 top=$1
@@ -21,7 +21,7 @@
               {name: "none", n: 0, in_aim: 0}]}' >"$report"
 BENCH
 run() {
-  "$top/scripts/compare-ways.sh" --output "$work/out" --settings "$work/settings.cfg" \
+  "$top/scripts/compare-policies.sh" --output "$work/out" --settings "$work/settings.cfg" \
     --bench "sh $work/bench.sh {day} {seed} {report} $work/settings.cfg" \
     --way all --way 'no-news=without = ( "news" );' --site a.toml \
     --day "$work/load.toml" --loads "0.5 2" --urgent swift --seeds "$1" 2>"$work/errors"
