--- a/src/lab/run.c
+++ b/src/lab/run.c
@@ -15,7 +15,7 @@
 static const struct {
 	const char *name;
 	unsigned flag;
-} feature_flags[] = {
+} fault_flags[] = {
 	{"replica", JT_FAULT_NO_REPLICA},
 	{"barrier", JT_FAULT_NO_BARRIER},
 	{"lease", JT_FAULT_NO_LEASE},
@@ -27,12 +27,12 @@
 	{"vote", JT_FAULT_SINGLE_VOTE},
 };
 
-static unsigned parse_feature(const char *name)
+static unsigned parse_fault(const char *name)
 {
-	for (size_t i = 0; i < sizeof(feature_flags) / sizeof(feature_flags[0]);
+	for (size_t i = 0; i < sizeof(fault_flags) / sizeof(fault_flags[0]);
 	     i++) {
-		if (strcmp(feature_flags[i].name, name) == 0)
-			return feature_flags[i].flag;
+		if (strcmp(fault_flags[i].name, name) == 0)
+			return fault_flags[i].flag;
 	}
 	return 0;
 }
@@ -51,14 +51,14 @@
 	struct arg_file *timeline =
 		arg_file0(NULL, "timeline", "FILE",
 			  "samples and events, input of report");
-	struct arg_str *broken = arg_strn(
-		NULL, "break", "MECHANISM", 0, 9,
+	struct arg_str *faults = arg_strn(
+		NULL, "break", "FAULT", 0, 9,
 		"replica, barrier, lease, sticky, quarantine, defaults, "
-		"handover, admission or vote: feature to switch off");
+		"handover, admission or vote: fault to inject");
 	struct arg_lit *help = arg_lit0("h", "help", "this text");
 	struct arg_end *end = arg_end(8);
 	void *table[] = {scenario, seed,   policy, json,
-			 timeline, broken, help,   end};
+			 timeline, faults, help,   end};
 	int errors = arg_parse(argc, argv, table);
 	int result = LAB_USAGE;
 
@@ -81,12 +81,12 @@
 			policy->sval[0]);
 		goto out;
 	}
-	for (int i = 0; i < broken->count; i++) {
-		unsigned flag = parse_feature(broken->sval[i]);
+	for (int i = 0; i < faults->count; i++) {
+		unsigned flag = parse_fault(faults->sval[i]);
 
 		if (flag == 0) {
 			fprintf(stderr, "run: --break: unknown '%s'\n",
-				broken->sval[i]);
+				faults->sval[i]);
 			goto out;
 		}
 		a->options.injected_faults |= flag;
--- a/src/lab/trace.c
+++ b/src/lab/trace.c
@@ -437,12 +437,12 @@
 {
 	struct arg_file *trace =
 		arg_file0(NULL, NULL, "TRACE", "trace file, JSON lines");
-	struct arg_int *broken =
+	struct arg_int *faults =
 		arg_int0(NULL, "break", "FLAGS",
-			 "features to switch off: enum jt_break");
+			 "faults to inject: flags of enum jt_fault");
 	struct arg_lit *help = arg_lit0("h", "help", "this text");
 	struct arg_end *end = arg_end(4);
-	void *table[] = {trace, broken, help, end};
+	void *table[] = {trace, faults, help, end};
 	int errors = arg_parse(argc, argv, table);
 	int result = LAB_USAGE;
 	FILE *file;
@@ -458,7 +458,7 @@
 		} else {
 			result = replay_file(
 				file,
-				broken->count ? (unsigned)broken->ival[0] : 0);
+				faults->count ? (unsigned)faults->ival[0] : 0);
 			fclose(file);
 		}
 	}
--- a/tests/test_director.c
+++ b/tests/test_director.c
@@ -1,5 +1,5 @@
 /* Tests flow placement by label: each guarantee holds, and fails when the
- * feature that provides it is broken. */
+ * fault that violates it is injected. */
 #include "director_fixture.h"
 
 static void test_any_node_forwards_by_label(void **state)
