--- a/src/core/jt_core.c
+++ b/src/core/jt_core.c
@@ -266,7 +266,7 @@
 			       const jt_wire_relayed *relayed,
 			       struct jt_actions *actions)
 {
-	const struct jt_peer *peer = jt_peer_find(core, relayed->to);
+	const struct jt_core_peer *peer = jt_peer_find(core, relayed->to);
 	jt_wire_body *body;
 
 	if (relayed->message == NULL ||
@@ -290,7 +290,7 @@
 			 struct jt_actions *actions)
 {
 	const jt_wire_body *body = &message->body;
-	struct jt_peer *peer = jt_peer_find(core, message->from);
+	struct jt_core_peer *peer = jt_peer_find(core, message->from);
 
 	if (message->from == core->options.node_id ||
 	    (message->to != 0 && message->to != (u_int)core->options.node_id))
@@ -487,16 +487,16 @@
 	return self == owner || self == replica;
 }
 
-uint64_t jt_core_probe_interval(const struct jt_core *core, uint64_t least_ms)
+uint64_t jt_core_probe_interval(const struct jt_core *core, uint64_t min_ms)
 {
 	const struct jt_cell_state *state = core->current;
 	uint64_t scaled;
 
 	if (state == NULL || state->member_count == 0)
-		return least_ms;
+		return min_ms;
 	scaled = 2 * state->endpoint_count * JT_PROBE_BYTES * 1000 /
 		 (state->member_count * JT_PROBE_BUDGET);
-	return scaled > least_ms ? scaled : least_ms;
+	return scaled > min_ms ? scaled : min_ms;
 }
 
 uint32_t jt_core_lookup_flow(const struct jt_core *core,
--- a/src/label/jt_membership.c
+++ b/src/label/jt_membership.c
@@ -78,8 +78,8 @@
 		return &membership->peers[membership->count++];
 	}
 	for (size_t i = 1; i < membership->count; i++) {
-		if (membership->peers[i].heard_ms <
-		    membership->peers[oldest].heard_ms)
+		if (membership->peers[i].last_heard_ms <
+		    membership->peers[oldest].last_heard_ms)
 			oldest = i;
 	}
 	return &membership->peers[oldest];
@@ -118,7 +118,7 @@
 {
 	struct jt_address address = {reported->address,
 				     (uint16_t)reported->port};
-	uint64_t heard_ms =
+	uint64_t last_heard_ms =
 		now_ms > reported->age_ms ? now_ms - reported->age_ms : 0;
 	struct jt_peer *peer;
 
@@ -138,11 +138,11 @@
 		peer->id = reported->id;
 		peer->zone_id = reported->zone;
 	}
-	if (heard_ms <= peer->heard_ms)
+	if (last_heard_ms <= peer->last_heard_ms)
 		return;
 	if (peer->id == reported->id)
 		peer->reader_capacity = reported->weight;
-	peer->heard_ms = heard_ms;
+	peer->last_heard_ms = last_heard_ms;
 	peer->lost = false;
 }
 
@@ -167,14 +167,14 @@
 		peer = peer_add(membership, address);
 	if (peer == NULL)
 		return NULL;
-	*is_new = !peer->heard || peer->id != from;
+	*is_new = !peer->heard_directly || peer->id != from;
 	if (peer->id != from) {
 		peer->routing_version = 0;
 		peer->revision = 0;
 	}
 	peer->id = from;
-	peer->heard_ms = now_ms;
-	peer->heard = true;
+	peer->last_heard_ms = now_ms;
+	peer->heard_directly = true;
 	peer->lost = false;
 	peer->no_answer = false;
 	peer->zone_id = availability->zone;
@@ -237,7 +237,7 @@
 		const struct jt_peer *peer =
 			&membership->peers[(start + i) % membership->count];
 
-		if (include_lost || jt_peer_lives(peer))
+		if (include_lost || jt_peer_is_alive(peer))
 			return peer;
 	}
 	return NULL;
@@ -269,7 +269,8 @@
 		const struct jt_peer *peer =
 			&membership->peers[(start + i) % membership->count];
 
-		if (jt_peer_lives(peer) && peer->zone_id == membership->zone_id)
+		if (jt_peer_is_alive(peer) &&
+		    peer->zone_id == membership->zone_id)
 			return peer;
 	}
 	return peer_pick_any_zone(membership, false);
@@ -316,7 +317,7 @@
 		const struct jt_peer *peer = &membership->peers[i];
 		size_t zone = 0;
 
-		if (!jt_peer_lives(peer))
+		if (!jt_peer_is_alive(peer))
 			continue;
 		while (zone < count && zones[zone] != peer->zone_id)
 			zone++;
@@ -366,7 +367,7 @@
 		const struct jt_peer *peer = &membership->peers[i];
 		bool known = false;
 
-		if (!jt_peer_lives(peer) || peer->reader_capacity == 0)
+		if (!jt_peer_is_alive(peer) || peer->reader_capacity == 0)
 			continue;
 		for (size_t zone = 0; zone < count; zone++)
 			known = known || zones[zone] == peer->zone_id;
@@ -386,7 +387,7 @@
 	for (size_t i = 0; i < membership->count; i++) {
 		const struct jt_peer *peer = &membership->peers[i];
 
-		if (!jt_peer_lives(peer) || peer->reader_capacity == 0 ||
+		if (!jt_peer_is_alive(peer) || peer->reader_capacity == 0 ||
 		    (own_zone_only && peer->zone_id != membership->zone_id))
 			continue;
 		if (peer->reader_capacity > own_capacity ||
@@ -431,9 +432,9 @@
  * known only through others, a capacity above 0 implies it. */
 static bool peer_ready(const struct jt_peer *peer)
 {
-	if (!jt_peer_lives(peer))
+	if (!jt_peer_is_alive(peer))
 		return false;
-	return peer->heard ? peer->ready : peer->reader_capacity > 0;
+	return peer->heard_directly ? peer->ready : peer->reader_capacity > 0;
 }
 
 /* Returns true if the peer has left and was not replaced by a new process. */
@@ -447,7 +448,7 @@
 	if (peer->zone_id != membership->zone_id)
 		limit_ms += membership->leave_limit_ms;
 	return peer->leaving && !peer->ready &&
-	       now_ms - peer->heard_ms >= limit_ms;
+	       now_ms - peer->last_heard_ms >= limit_ms;
 }
 
 /* Adds a peer of this node's zone to the counts. */
@@ -457,7 +458,7 @@
 	view->nodes++;
 	if (!peer_ready(peer))
 		return;
-	if (!peer->heard || !peer->leaving) {
+	if (!peer->heard_directly || !peer->leaving) {
 		view->serving++;
 		return;
 	}
@@ -498,12 +499,12 @@
 
 	while (i < membership->count) {
 		struct jt_peer *peer = &membership->peers[i];
-		uint64_t silent_ms = now_ms - peer->heard_ms;
+		uint64_t silent_ms = now_ms - peer->last_heard_ms;
 
-		if (jt_peer_lives(peer) &&
+		if (jt_peer_is_alive(peer) &&
 		    silent_ms >= peer_timeout_ms(membership)) {
 			peer->lost = true;
-			peer->heard = false;
+			peer->heard_directly = false;
 			return peer;
 		}
 		if (peer->id != 0 && silent_ms >= peer_timeout_ms(membership) +
@@ -524,7 +525,7 @@
 	if (*ids == NULL)
 		return 0;
 	for (size_t i = 0; i < membership->count; i++) {
-		if (jt_peer_lives(&membership->peers[i]))
+		if (jt_peer_is_alive(&membership->peers[i]))
 			(*ids)[count++] = membership->peers[i].id;
 	}
 	return count;
@@ -535,7 +536,7 @@
 	size_t live = 0;
 
 	for (size_t i = 0; i < membership->count; i++) {
-		if (jt_peer_lives(&membership->peers[i]))
+		if (jt_peer_is_alive(&membership->peers[i]))
 			live++;
 	}
 	return live;
--- a/src/label/jt_membership.h
+++ b/src/label/jt_membership.h
@@ -42,10 +42,10 @@
 	uint32_t zone_id;
 	uint32_t reader_capacity; /* capacity to read the store; 0: it can't now
 				   */
-	uint64_t heard_ms;	  /* last time that any node received from it */
+	uint64_t last_heard_ms;	  /* last time that any node received from it */
 	uint64_t routing_version;
 	uint64_t revision;
-	bool heard; /* a message came from it since it was last lost */
+	bool heard_directly; /* a message came from it since it was last lost */
 	bool started;
 	bool accepts_flows; /* accepts new flows: it knows some endpoints */
 	bool leaving;
@@ -62,7 +62,7 @@
 };
 
 /* Returns true if this node or another one received from the peer recently. */
-static inline bool jt_peer_lives(const struct jt_peer *peer)
+static inline bool jt_peer_is_alive(const struct jt_peer *peer)
 {
 	return peer->id != 0 && !peer->lost;
 }
--- a/src/label/jt_membership_digest.c
+++ b/src/label/jt_membership_digest.c
@@ -40,7 +40,7 @@
 		.address = peer->address.ip,
 		.port = peer->address.port,
 		.zone = peer->zone_id,
-		.age_ms = (uint32_t)(now_ms - peer->heard_ms),
+		.age_ms = (uint32_t)(now_ms - peer->last_heard_ms),
 		.weight = peer->reader_capacity,
 	};
 }
@@ -62,7 +62,7 @@
 		const struct jt_peer *peer =
 			&membership->peers[(start + i) % membership->count];
 
-		if (jt_peer_lives(peer))
+		if (jt_peer_is_alive(peer))
 			digest_add(digest, peer, now_ms);
 	}
 }
--- a/src/label/jt_membership_source.h
+++ b/src/label/jt_membership_source.h
@@ -18,8 +18,9 @@
  * capacity above 0 implies it. */
 static inline bool jt_peer_started(const struct jt_peer *peer)
 {
-	return jt_peer_lives(peer) &&
-	       (peer->heard ? peer->started : peer->reader_capacity > 0);
+	return jt_peer_is_alive(peer) &&
+	       (peer->heard_directly ? peer->started
+				     : peer->reader_capacity > 0);
 }
 
 /*
@@ -31,7 +32,7 @@
 {
 	uint64_t scaled_capacity =
 		peer->reader_capacity > 0 ? peer->reader_capacity : 1;
-	uint64_t age_ms = now_ms - peer->heard_ms;
+	uint64_t age_ms = now_ms - peer->last_heard_ms;
 
 	if (peer->zone_id == zone_id)
 		scaled_capacity *= SOURCE_OWN_ZONE_FACTOR;
