--- a/fuzz/fuzz_cluster.c
+++ b/fuzz/fuzz_cluster.c
@@ -65,7 +65,7 @@
 	unsigned last_failure_zone;
 	bool partitioned;
 	uint64_t node_revision[NODES];
-	enum jt_node_life node_life[NODES];
+	enum jt_node_state node_states[NODES];
 	/* Revision that began each endpoint's drain; 0 once it is accepted. */
 	uint64_t drain_revision[ENDPOINTS];
 };
@@ -163,19 +163,19 @@
 	flow->delivered = flow->endpoint == to;
 }
 
-static void on_verdict(void *private_data,
-		       const struct jt_packet_verdict *verdict)
+static void on_outcome(void *private_data,
+		       const struct jt_packet_outcome *outcome)
 {
 	struct fuzz *fuzz = private_data;
-	struct fuzz_flow *flow = &fuzz->flows[verdict->packet];
+	struct fuzz_flow *flow = &fuzz->flows[outcome->packet];
 
 	trace(fuzz, "flow %ld at node %u: verdict %d endpoint %d reason %d",
-	      flow - fuzz->flows, verdict->node, verdict->kind,
-	      verdict->kind ? -1 : endpoint_index(verdict->endpoint),
-	      verdict->reason);
-	if (verdict->kind == JT_PACKET_FORWARDED)
-		check_forward(fuzz, flow, verdict->endpoint);
-	if (verdict->kind == JT_PACKET_REFUSED) {
+	      flow - fuzz->flows, outcome->node, outcome->kind,
+	      outcome->kind ? -1 : endpoint_index(outcome->endpoint),
+	      outcome->reason);
+	if (outcome->kind == JT_PACKET_FORWARDED)
+		check_forward(fuzz, flow, outcome->endpoint);
+	if (outcome->kind == JT_PACKET_REFUSED) {
 		if (flow->endpoint >= 0)
 			fail(fuzz,
 			     "flow %ld refused after endpoint %d accepted it",
@@ -320,7 +320,7 @@
 
 	jt_cluster_info(fuzz->cluster, index, &info);
 	flow->delivered = false;
-	if (info.life == JT_NODE_RUNNING || info.life == JT_NODE_LEAVING)
+	if (info.state == JT_NODE_RUNNING || info.state == JT_NODE_LEAVING)
 		jt_cluster_packet(fuzz->cluster, index, &flow->key, tcp_flags,
 				  (uint64_t)(flow - fuzz->flows));
 }
@@ -405,7 +405,8 @@
 		struct jt_cluster_node_info info;
 
 		jt_cluster_info(fuzz->cluster, n, &info);
-		if (info.life != JT_NODE_RUNNING && zone_of((uint8_t)n) != zone)
+		if (info.state != JT_NODE_RUNNING &&
+		    zone_of((uint8_t)n) != zone)
 			return false;
 	}
 	fuzz->last_failure_us = now;
@@ -419,8 +420,8 @@
 	uint16_t index = node % NODES;
 
 	jt_cluster_info(fuzz->cluster, index, &info);
-	if (info.life == JT_NODE_RUNNING || info.life == JT_NODE_LEAVING ||
-	    info.life == JT_NODE_PAUSED)
+	if (info.state == JT_NODE_RUNNING || info.state == JT_NODE_LEAVING ||
+	    info.state == JT_NODE_PAUSED)
 		return;
 	/* A new process may begin at an older revision until a peer or the
 	 * store sends it a newer one, before it is ready. */
@@ -676,7 +677,7 @@
 	options.machine_list_lag_us = SECOND;
 	options.store_operations_per_s = 50;
 	options.injected_faults = fuzz_injected_faults;
-	options.on_verdict = on_verdict;
+	options.on_outcome = on_outcome;
 	options.read_health = read_health;
 	options.private_data = fuzz;
 	fuzz->scheduler = jt_scheduler_create(fuzz);
--- a/fuzz/fuzz_director.c
+++ b/fuzz/fuzz_director.c
@@ -73,7 +73,7 @@
 
 #define NOT_LEAVING UINT64_MAX
 
-enum life { UNUSED, ALIVE, DRAINING, ENDED, ENDED_SILENT };
+enum endpoint_state { UNUSED, ALIVE, DRAINING, ENDED, ENDED_SILENT };
 
 /* The newest state of an endpoint's entry that a node was sent. */
 struct sent_entry {
@@ -85,7 +85,7 @@
 };
 
 struct endpoint {
-	enum life life;
+	enum endpoint_state state;
 	struct jt_endpoint_entry entry;
 	bool listed;
 	bool unreadable; /* the listed entry can't be parsed */
@@ -173,7 +173,7 @@
 
 static bool is_alive(const struct endpoint *endpoint)
 {
-	return endpoint->life == ALIVE || endpoint->life == DRAINING;
+	return endpoint->state == ALIVE || endpoint->state == DRAINING;
 }
 
 static int endpoint_index(const struct world *world, uint64_t id)
@@ -261,10 +261,10 @@
 	if (endpoint->entry.start_time_ms == 0)
 		return;
 	endpoint_close_flows(world, (int)(endpoint - world->endpoints));
-	endpoint->life = ENDED;
+	endpoint->state = ENDED;
 	if (address_in_use(world, address))
 		return;
-	endpoint->life = ALIVE;
+	endpoint->state = ALIVE;
 	endpoint->starts++;
 	endpoint->entry.address.ip = address;
 	endpoint->entry.draining = false;
@@ -282,7 +282,7 @@
 	    address_in_use(world, address))
 		return;
 	endpoint = &world->endpoints[world->endpoint_count];
-	endpoint->life = ALIVE;
+	endpoint->state = ALIVE;
 	endpoint->entry = (struct jt_endpoint_entry){
 		.id = 0x1000 + (uint64_t)world->endpoint_count,
 		.service_id = 1 + choice / ADDRESSES % SERVICES,
@@ -321,9 +321,9 @@
 	}
 	switch (operation % 6) {
 	case 0: /* announces that it leaves */
-		if (endpoint->life != ALIVE)
+		if (endpoint->state != ALIVE)
 			return;
-		endpoint->life = DRAINING;
+		endpoint->state = DRAINING;
 		endpoint->entry.draining = true;
 		entry_publish(world, endpoint);
 		break;
@@ -331,7 +331,7 @@
 	case 2: /* ends; connections to it time out */
 		if (!is_alive(endpoint))
 			return;
-		endpoint->life = operation % 6 == 1 ? ENDED : ENDED_SILENT;
+		endpoint->state = operation % 6 == 1 ? ENDED : ENDED_SILENT;
 		endpoint_close_flows(world, (int)(endpoint - world->endpoints));
 		break;
 	case 3: /* its entry expires, whether or not it runs */
@@ -824,7 +824,7 @@
 		flow->queued = false;
 		flow->sequence += 10;
 		flow->acknowledged += response_length(world, index);
-	} else if (world->endpoints[index].life == ENDED ||
+	} else if (world->endpoints[index].state == ENDED ||
 		   is_alive(&world->endpoints[index])) {
 		/* The endpoint's host or its next incarnation resets it. */
 		flow->closed = true;
@@ -853,7 +853,7 @@
 
 		if (endpoint->entry.address.ip != probe->ip)
 			continue;
-		silent = endpoint->life == ENDED_SILENT;
+		silent = endpoint->state == ENDED_SILENT;
 		if (!is_alive(endpoint))
 			continue;
 		if (endpoint->flows >= world->connection_limit)
--- a/include/jaspertrack/core.h
+++ b/include/jaspertrack/core.h
@@ -72,13 +72,13 @@
 			     uint64_t *owner);
 /* Returns true if this node watches the store: one member of each zone does,
  * and each node that belongs to no cell. */
-bool jt_core_watches_store(const struct jt_core *core);
+bool jt_core_is_store_reader(const struct jt_core *core);
 /* Copies @proposal as a talloc child of @mem_ctx. Returns NULL if out of
  * memory. */
 jt_wire_proposal *jt_proposal_copy(TALLOC_CTX *mem_ctx,
 				   const jt_wire_proposal *proposal);
 /* Returns true if this node is one of the two that probe the endpoint. */
-bool jt_core_probes(const struct jt_core *core, uint32_t endpoint_id);
+bool jt_core_is_prober(const struct jt_core *core, uint32_t endpoint_id);
 /* Returns the interval between two probes of an endpoint, in ms: at least
  * @min_ms, and long enough to stay within the probe bandwidth budget. */
 uint64_t jt_core_probe_interval(const struct jt_core *core, uint64_t min_ms);
--- a/include/jaspertrack/director-t.h
+++ b/include/jaspertrack/director-t.h
@@ -305,7 +305,7 @@
 	JT_DIRECTOR_SHARE_RESTORED,
 	JT_DIRECTOR_REVIVED,	   /* an endpoint declared dead is alive */
 	JT_DIRECTOR_RESTARTED,	   /* an endpoint restarted under the same id */
-	JT_DIRECTOR_SEEN,	   /* an endpoint's state changed */
+	JT_DIRECTOR_STATE_CHANGED, /* an endpoint's state changed */
 	JT_DIRECTOR_ZONE_DRAINED,  /* a zone drain began */
 	JT_DIRECTOR_ZONE_RESTORED, /* a zone drain ended */
 	JT_DIRECTOR_SERVICE_FULL,  /* admission control limits a service */
@@ -388,7 +388,7 @@
 enum jt_director_fault {
 	JT_DIRECTOR_FAULT_NONE = 0,
 	/* A single failed probe declares an endpoint dead. */
-	JT_DIRECTOR_FAULT_GUESS_DEATH = 1 << 0,
+	JT_DIRECTOR_FAULT_DEATH_UNCONFIRMED = 1 << 0,
 	JT_DIRECTOR_FAULT_NO_DETECTOR =
 		1 << 1,			    /* never declares endpoints dead */
 	JT_DIRECTOR_FAULT_VERSION = 1 << 2, /* accepts older routing */
@@ -401,9 +401,10 @@
 	JT_DIRECTOR_FAULT_ZONE_DRAIN = 1 << 7,	   /* ignores zone drains */
 	JT_DIRECTOR_FAULT_COLD = 1 << 8,	   /* no cold rate limit */
 	JT_DIRECTOR_FAULT_START_TIME = 1 << 9,	   /* ignores start times */
-	JT_DIRECTOR_FAULT_REFUSE_PLACED = 1 << 10, /* rejects assigned flows */
+	/* Rejects assigned flows. */
+	JT_DIRECTOR_FAULT_REJECT_ASSIGNED = 1 << 10,
 	/* Resets flows at endpoints with a reduced traffic share. */
-	JT_DIRECTOR_FAULT_END_FAILING = 1 << 11,
+	JT_DIRECTOR_FAULT_RESET_REDUCED = 1 << 11,
 };
 
 /* Limits and durations; jt_director_options_init() sets the defaults. */
@@ -453,7 +454,7 @@
 	uint64_t shares_reduced;
 	uint64_t placed_cross_zone; /* new flows assigned to another zone */
 	/* Retransmitted SYNs looked up at peers, and those that a peer knew. */
-	uint64_t flows_sought;
+	uint64_t flow_lookups;
 	uint64_t flows_found;
 };
 
--- a/src/cluster/jt_cluster.c
+++ b/src/cluster/jt_cluster.c
@@ -59,9 +59,9 @@
 
 static bool process_exists(const struct node *node)
 {
-	return node != NULL &&
-	       (node->life == JT_NODE_RUNNING || node->life == JT_NODE_PAUSED ||
-		node->life == JT_NODE_LEAVING);
+	return node != NULL && (node->state == JT_NODE_RUNNING ||
+				node->state == JT_NODE_PAUSED ||
+				node->state == JT_NODE_LEAVING);
 }
 
 static bool reachable(const struct jt_cluster *cluster, unsigned a, unsigned b)
@@ -84,11 +84,11 @@
 
 /* Actions of a node */
 
-static void report_verdict(struct node *node, struct waiting_packet *packet,
+static void report_outcome(struct node *node, struct waiting_packet *packet,
 			   const struct jt_action *action)
 {
 	struct jt_cluster *cluster = node->cluster;
-	struct jt_packet_verdict verdict = {
+	struct jt_packet_outcome outcome = {
 		.node = node->index,
 		.packet = packet->packet,
 		.key = packet->key,
@@ -98,12 +98,12 @@
 	};
 
 	if (action->kind == JT_ACTION_FORWARD)
-		verdict.kind = JT_PACKET_FORWARDED;
+		outcome.kind = JT_PACKET_FORWARDED;
 	else if (action->kind == JT_ACTION_REFUSE)
-		verdict.kind = JT_PACKET_REFUSED;
+		outcome.kind = JT_PACKET_REFUSED;
 	else
-		verdict.kind = JT_PACKET_DROPPED;
-	cluster->options.on_verdict(cluster->options.private_data, &verdict);
+		outcome.kind = JT_PACKET_DROPPED;
+	cluster->options.on_outcome(cluster->options.private_data, &outcome);
 }
 
 static uint64_t transit_us(struct jt_cluster *cluster, unsigned from,
@@ -239,7 +239,7 @@
 	if (action->kind == JT_ACTION_RELAY)
 		relay(node, node_index(action->address), packet, action->hops);
 	else
-		report_verdict(node, packet, action);
+		report_outcome(node, packet, action);
 	talloc_free(packet);
 }
 
@@ -267,7 +267,7 @@
 	node->replay_count = 0;
 	node->probe_count = 0;
 	node->incarnation++;
-	node->life = JT_NODE_STOPPED;
+	node->state = JT_NODE_STOPPED;
 }
 
 static void stop_after_leave(void *object, uint64_t incarnation)
@@ -318,7 +318,7 @@
 	struct jt_cluster *cluster = node->cluster;
 	struct jt_actions *actions = cluster->actions;
 
-	/* The verdict callback may inject a packet while this event is still
+	/* The outcome callback may inject a packet while this event is still
 	 * being handled; a nested event needs an action list of its own. */
 	if (cluster->in_event)
 		actions = jt_actions_create(cluster);
@@ -410,7 +410,7 @@
 
 	if (!process_exists(node))
 		return;
-	if (node->life == JT_NODE_PAUSED) {
+	if (node->state == JT_NODE_PAUSED) {
 		datagram = datagram_create(node, index, 0);
 		datagram->relay = true;
 		datagram->packet = new_packet;
@@ -479,12 +479,12 @@
 	struct backlog_entry *entry;
 
 	(void)argument;
-	if (!process_exists(node) || (node->life == JT_NODE_PAUSED &&
+	if (!process_exists(node) || (node->state == JT_NODE_PAUSED &&
 				      node->backlog_count >= PAUSE_BACKLOG)) {
 		talloc_free(datagram);
 		return;
 	}
-	if (node->life != JT_NODE_PAUSED) {
+	if (node->state != JT_NODE_PAUSED) {
 		datagram_deliver(node, datagram);
 		return;
 	}
@@ -504,7 +504,7 @@
 		return;
 	jt_scheduler_after(node->cluster->scheduler, TICK_US, node_tick, node,
 			   incarnation);
-	if (node->life == JT_NODE_PAUSED)
+	if (node->state == JT_NODE_PAUSED)
 		return;
 	platform_tick(node);
 	node_event(node, &event);
@@ -534,7 +534,7 @@
 	node->cell = cluster->options.cell_nodes
 			     ? index / cluster->options.cell_nodes
 			     : 0;
-	node->life = JT_NODE_RUNNING;
+	node->state = JT_NODE_RUNNING;
 	node->unready = false;
 	node->incarnation++;
 	node->started_us = cluster_now_us(cluster);
@@ -564,7 +564,7 @@
 void jt_cluster_pause(struct jt_cluster *cluster, uint16_t index)
 {
 	if (node_running(cluster->nodes[index]))
-		cluster->nodes[index]->life = JT_NODE_PAUSED;
+		cluster->nodes[index]->state = JT_NODE_PAUSED;
 }
 
 void jt_cluster_resume(struct jt_cluster *cluster, uint16_t index)
@@ -572,10 +572,10 @@
 	struct node *node = cluster->nodes[index];
 	uint32_t incarnation;
 
-	if (node == NULL || node->life != JT_NODE_PAUSED)
+	if (node == NULL || node->state != JT_NODE_PAUSED)
 		return;
 	incarnation = node->incarnation;
-	node->life = node->unready ? JT_NODE_LEAVING : JT_NODE_RUNNING;
+	node->state = node->unready ? JT_NODE_LEAVING : JT_NODE_RUNNING;
 	/* Queued datagrams are processed before any timer. */
 	while (node->backlog != NULL && node->incarnation == incarnation) {
 		struct backlog_entry *entry = node->backlog;
@@ -596,7 +596,7 @@
 
 	if (node->incarnation != incarnation)
 		return;
-	if (node->life == JT_NODE_PAUSED) /* retry until it is resumed */
+	if (node->state == JT_NODE_PAUSED) /* retry until it is resumed */
 		jt_scheduler_after(node->cluster->scheduler, TICK_US,
 				   on_leave_timer, node, incarnation);
 	else
@@ -610,7 +610,7 @@
 	if (!node_running(node) || node->unready)
 		return;
 	node->unready = true;
-	node->life = JT_NODE_LEAVING;
+	node->state = JT_NODE_LEAVING;
 	jt_scheduler_after(cluster->scheduler, cluster->options.leave_delay_us,
 			   on_leave_timer, node, node->incarnation);
 }
@@ -638,7 +638,7 @@
 	memset(info, 0, sizeof(*info));
 	if (node == NULL)
 		return;
-	info->life = node->life;
+	info->state = node->state;
 	info->zone = node->zone;
 	info->cell = node->cell;
 	for (int k = 0; k < JT_CLUSTER_KINDS; k++) {
@@ -652,7 +652,7 @@
 	info->counters = jt_core_counters(node->core);
 	info->flows = jt_core_flow_count(node->core);
 	info->revision = state ? state->config->revision : 0;
-	info->ready = node->life == JT_NODE_RUNNING && !node->unready &&
+	info->ready = node->state == JT_NODE_RUNNING && !node->unready &&
 		      jt_core_ready(node->core, node_clock_ms(node));
 }
 
--- a/src/cluster/jt_cluster.h
+++ b/src/cluster/jt_cluster.h
@@ -21,15 +21,15 @@
 	JT_CLUSTER_KINDS = 17, /* enum jt_wire_kind, and 0 */
 };
 
-enum jt_packet_verdict_kind {
+enum jt_packet_outcome_kind {
 	JT_PACKET_FORWARDED,
 	JT_PACKET_REFUSED,
 	JT_PACKET_DROPPED,
 };
 
 /* Outcome of a packet, reported exactly once per packet. */
-struct jt_packet_verdict {
-	enum jt_packet_verdict_kind kind;
+struct jt_packet_outcome {
+	enum jt_packet_outcome_kind kind;
 	uint16_t node;
 	uint64_t packet; /* as passed to jt_cluster_packet() */
 	struct jt_flow_key key;
@@ -38,7 +38,7 @@
 	uint8_t hops;
 };
 
-enum jt_node_life {
+enum jt_node_state {
 	JT_NODE_ABSENT,
 	JT_NODE_RUNNING,
 	JT_NODE_PAUSED,
@@ -61,8 +61,8 @@
 	unsigned injected_faults;
 	unsigned probe_interval_us;
 	uint32_t leave_delay_us; /* from SIGTERM to leaving the cell */
-	void (*on_verdict)(void *private_data,
-			   const struct jt_packet_verdict *verdict);
+	void (*on_outcome)(void *private_data,
+			   const struct jt_packet_outcome *outcome);
 	/* Reads an endpoint's health page; returns false if there is no
 	 * response. */
 	bool (*read_health)(void *private_data, uint32_t endpoint_id,
@@ -71,7 +71,7 @@
 };
 
 struct jt_cluster_node_info {
-	enum jt_node_life life;
+	enum jt_node_state state;
 	unsigned zone;
 	unsigned cell;
 	bool ready;		/* as reported to the fabric */
--- a/src/cluster/jt_cluster_platform.c
+++ b/src/cluster/jt_cluster_platform.c
@@ -114,7 +114,7 @@
 
 static bool is_reader(const struct node *node)
 {
-	return jt_core_watches_store(node->core);
+	return jt_core_is_store_reader(node->core);
 }
 
 static void on_store_read(void *object, uint64_t incarnation)
@@ -233,7 +233,7 @@
 		uint32_t id = state->endpoints[i].id;
 
 		if (cluster_now_us(cluster) < node->probe_due_us[i] ||
-		    !jt_core_probes(node->core, id))
+		    !jt_core_is_prober(node->core, id))
 			continue;
 		node->probe_due_us[i] =
 			cluster_now_us(cluster) +
@@ -298,7 +298,7 @@
 	for (size_t i = 0; i < cluster->node_count; i++) {
 		const struct node *node = cluster->nodes[i];
 
-		if (node == NULL || node->life != JT_NODE_RUNNING)
+		if (node == NULL || node->state != JT_NODE_RUNNING)
 			continue;
 		if (jt_cluster_random(cluster, ++candidate_count) == 0)
 			chosen = (uint16_t)i;
--- a/src/cluster/jt_cluster_private.h
+++ b/src/cluster/jt_cluster_private.h
@@ -14,7 +14,7 @@
 	PLATFORM = 0,
 };
 
-/* A packet held by a node; freed when its verdict has been reported. */
+/* A packet held by a node; freed when its outcome has been reported. */
 struct waiting_packet {
 	struct waiting_packet *next;
 	uint64_t token;
@@ -32,7 +32,7 @@
 struct node {
 	struct jt_cluster *cluster;
 	uint16_t index;
-	enum jt_node_life life;
+	enum jt_node_state state;
 	unsigned zone;
 	unsigned cell;
 	/* Changes with each start and stop, so that callbacks scheduled for an
@@ -127,8 +127,8 @@
 
 static inline bool node_running(const struct node *node)
 {
-	return node != NULL &&
-	       (node->life == JT_NODE_RUNNING || node->life == JT_NODE_LEAVING);
+	return node != NULL && (node->state == JT_NODE_RUNNING ||
+				node->state == JT_NODE_LEAVING);
 }
 
 /* Adds to the control traffic of a message kind. */
--- a/src/common/jt_log_sink.c
+++ b/src/common/jt_log_sink.c
@@ -23,7 +23,7 @@
 struct jt_log_sink {
 	int fd;
 	size_t used;
-	struct rate_usage rate_usages[JT_LOG_CLASSES];
+	struct rate_usage rate_usages[JT_LOG_CLASS_COUNT];
 	struct jt_log_counters counters;
 	uint64_t reported_lines; /* suppressed and lost, at the last report */
 	uint64_t reported_ms;
@@ -123,7 +123,7 @@
 {
 	uint64_t sum = sink->counters.lost;
 
-	for (int i = 0; i < JT_LOG_CLASSES; i++)
+	for (int i = 0; i < JT_LOG_CLASS_COUNT; i++)
 		sum += sink->counters.suppressed[i];
 	if (sum == sink->reported_lines ||
 	    now_ms - sink->reported_ms < REPORT_INTERVAL_MS)
--- a/src/common/jt_log_sink.h
+++ b/src/common/jt_log_sink.h
@@ -19,12 +19,12 @@
 	JT_LOG_CHANGE,	 /* a change of state */
 	JT_LOG_UNUSUAL,	 /* a flow was refused, reset, dropped, moved */
 	JT_LOG_ORDINARY, /* normal handling of a flow or request */
-	JT_LOG_CLASSES,
+	JT_LOG_CLASS_COUNT,
 };
 
 struct jt_log_counters {
 	uint64_t written;
-	uint64_t suppressed[JT_LOG_CLASSES];
+	uint64_t suppressed[JT_LOG_CLASS_COUNT];
 	uint64_t lost;	   /* the buffer was full */
 	uint64_t write_us; /* time spent in write() */
 };
--- a/src/core/jt_core.c
+++ b/src/core/jt_core.c
@@ -456,7 +456,7 @@
 	return jt_counts_share(core, service_id, group_id);
 }
 
-bool jt_core_watches_store(const struct jt_core *core)
+bool jt_core_is_store_reader(const struct jt_core *core)
 {
 	const struct jt_cell_state *state = core->current;
 
@@ -474,7 +474,7 @@
 	return false;
 }
 
-bool jt_core_probes(const struct jt_core *core, uint32_t endpoint_id)
+bool jt_core_is_prober(const struct jt_core *core, uint32_t endpoint_id)
 {
 	uint16_t owner, replica, self;
 
--- a/src/daemon/jt_api.c
+++ b/src/daemon/jt_api.c
@@ -452,7 +452,7 @@
 	kind_name[length] = '\0';
 	*kind = jt_resource_kind_parse(kind_name);
 	*name = *end == '/' && end[1] != '\0' ? end + 1 : NULL;
-	return *kind != JT_RESOURCE_KINDS;
+	return *kind != JT_RESOURCE_KIND_COUNT;
 }
 
 static void handle_v1(struct jt_api *api, struct jt_http_request *request,
--- a/src/daemon/jt_config_sync.c
+++ b/src/daemon/jt_config_sync.c
@@ -94,7 +94,7 @@
 
 static bool is_reader(const struct jt_config_sync *sync)
 {
-	return jt_core_watches_store(sync->node->core) ||
+	return jt_core_is_store_reader(sync->node->core) ||
 	       jt_core_coordinator(sync->node->core);
 }
 
--- a/src/daemon/jt_health_probe.c
+++ b/src/daemon/jt_health_probe.c
@@ -233,7 +233,7 @@
 		if (target->probe_pending || now < target->due_ms ||
 		    jt_cell_endpoint(state, target->endpoint_id) ==
 			    JT_NO_ENDPOINT ||
-		    !jt_core_probes(probe->node->core, target->endpoint_id))
+		    !jt_core_is_prober(probe->node->core, target->endpoint_id))
 			continue;
 		target->due_ms =
 			now + jt_core_probe_interval(probe->node->core,
--- a/src/director/jt_director_node_packets.c
+++ b/src/director/jt_director_node_packets.c
@@ -219,7 +219,7 @@
 		jt_director_log_endpoint(node->log, action,
 					 "endpoint_restarted");
 		break;
-	case JT_DIRECTOR_SEEN:
+	case JT_DIRECTOR_STATE_CHANGED:
 		/* A full listing is logged in one line. */
 		if (jt_director_started(node->director))
 			jt_director_log_endpoint(node->log, action,
--- a/src/director/jt_director_pages.c
+++ b/src/director/jt_director_pages.c
@@ -129,7 +129,7 @@
 	text = add_metric(text, "flows_placed_far_total", "counter",
 			  counters->placed_cross_zone);
 	text = add_metric(text, "flows_sought_total", "counter",
-			  counters->flows_sought);
+			  counters->flow_lookups);
 	text = add_metric(text, "flows_found_total", "counter",
 			  counters->flows_found);
 	text = add_metric(text, "endpoints_slow", "gauge",
--- a/src/director/jt_directory_sync.c
+++ b/src/director/jt_directory_sync.c
@@ -380,7 +380,7 @@
 	sync->watcher = *watcher;
 	jt_follower_init(&sync->follower, seed);
 	sync->follower.read_mode = JT_READ_MODE_CHECK;
-	sync->follower.strength_permille = cpu_permille;
+	sync->follower.cpu_permille = cpu_permille;
 	sync->timer = jt_timer_create(sync, loop, on_step_due, sync);
 	sync->check_timer = jt_timer_create(sync, loop, on_check_due, sync);
 	if (sync->timer == NULL || sync->check_timer == NULL) {
--- a/src/director/jt_peer_snapshots.c
+++ b/src/director/jt_peer_snapshots.c
@@ -37,7 +37,7 @@
 		      enum jt_fetch_end end)
 {
 	snapshots->fetch = NULL;
-	if (end != JT_FETCH_WORKED)
+	if (end != JT_FETCH_SUCCEEDED)
 		snapshots->frames->counters.fetches_failed++;
 	jt_membership_fetched(snapshots->membership, end, jt_clock_ms());
 }
@@ -127,7 +127,7 @@
 		fetch_end(snapshots, status == STATUS_BUSY ? JT_FETCH_BUSY
 							   : JT_FETCH_FAILED);
 	else if (!snapshots->fetched.begun)
-		fetch_end(snapshots, JT_FETCH_WORKED);
+		fetch_end(snapshots, JT_FETCH_SUCCEEDED);
 	else if (snapshots->fetched.slice > before)
 		part_request(snapshots);
 	else
--- a/src/lab/baseline.c
+++ b/src/lab/baseline.c
@@ -231,20 +231,20 @@
 	return best;
 }
 
-static void report_verdict(struct world *world, uint16_t node,
+static void report_outcome(struct world *world, uint16_t node,
 			   const struct jt_flow_key *key, uint64_t packet,
 			   uint32_t endpoint, uint8_t hops)
 {
-	struct jt_packet_verdict verdict = {
+	struct jt_packet_outcome outcome = {
 		.node = node, .packet = packet, .key = *key, .hops = hops};
 
 	if (endpoint == UINT32_MAX) {
-		verdict.kind = JT_PACKET_DROPPED;
+		outcome.kind = JT_PACKET_DROPPED;
 	} else {
-		verdict.kind = JT_PACKET_FORWARDED;
-		verdict.endpoint = world->endpoints[endpoint]->address;
+		outcome.kind = JT_PACKET_FORWARDED;
+		outcome.endpoint = world->endpoints[endpoint]->address;
 	}
-	flows_on_verdict(world, &verdict);
+	flows_on_outcome(world, &outcome);
 }
 
 /* Returns the recorded endpoint of a flow, or chooses and records one. */
@@ -326,11 +326,11 @@
 		return;
 	switch (world->options.policy) {
 	case POLICY_MODULO:
-		report_verdict(world, index, key, packet,
+		report_outcome(world, index, key, packet,
 			       choose_modulo(world, key), 0);
 		break;
 	case POLICY_MAGLEV:
-		report_verdict(world, index, key, packet,
+		report_outcome(world, index, key, packet,
 			       find_or_choose_endpoint(world, node, key,
 						       tcp_flags, false),
 			       0);
@@ -342,7 +342,7 @@
 		node = &world->baseline->nodes[owner];
 		if (!node->running || node->paused)
 			return;
-		report_verdict(world, owner, key, packet,
+		report_outcome(world, owner, key, packet,
 			       find_or_choose_endpoint(world, node, key,
 						       tcp_flags, true),
 			       owner != index);
--- a/src/lab/flows.c
+++ b/src/lab/flows.c
@@ -449,27 +449,27 @@
 	talloc_free(arrival);
 }
 
-void flows_on_verdict(void *private_data,
-		      const struct jt_packet_verdict *verdict)
+void flows_on_outcome(void *private_data,
+		      const struct jt_packet_outcome *outcome)
 {
 	struct world *world = private_data;
-	struct flow *flow = world->flows[verdict->packet >> 36];
+	struct flow *flow = world->flows[outcome->packet >> 36];
 	struct packet_arrival *arrival;
 	uint64_t delay;
 
 	world->metrics.packets++;
-	world->metrics.relayed += verdict->hops > 0;
-	if (verdict->kind == JT_PACKET_DROPPED ||
-	    (flow->generation & 0xfff) != (verdict->packet >> 24 & 0xfff))
+	world->metrics.relayed += outcome->hops > 0;
+	if (outcome->kind == JT_PACKET_DROPPED ||
+	    (flow->generation & 0xfff) != (outcome->packet >> 24 & 0xfff))
 		return;
 	arrival = talloc_zero(world, struct packet_arrival);
 	arrival->world = world;
 	arrival->flow = flow;
 	arrival->generation = flow->generation;
-	arrival->kind = verdict->packet >> 20 & 0xf;
-	arrival->message = verdict->packet & 0xfffff;
-	arrival->address = verdict->endpoint;
-	arrival->is_refusal = verdict->kind == JT_PACKET_REFUSED;
+	arrival->kind = outcome->packet >> 20 & 0xf;
+	arrival->message = outcome->packet & 0xfffff;
+	arrival->address = outcome->endpoint;
+	arrival->is_refusal = outcome->kind == JT_PACKET_REFUSED;
 	delay = arrival->is_refusal
 			? client_delay(world)
 			: (uint64_t)(world->scenario->zone_to_zone_ms * 700);
--- a/src/lab/label.c
+++ b/src/lab/label.c
@@ -493,11 +493,11 @@
 			   on_peer_responses, held, 0);
 }
 
-static void report_verdict(struct world *world,
-			   enum jt_packet_verdict_kind kind,
+static void report_outcome(struct world *world,
+			   enum jt_packet_outcome_kind kind,
 			   struct jt_address endpoint)
 {
-	struct jt_packet_verdict verdict = {
+	struct jt_packet_outcome outcome = {
 		.kind = kind,
 		.node = world->label->node,
 		.packet = world->label->packet,
@@ -505,7 +505,7 @@
 		.endpoint = endpoint,
 	};
 
-	flows_on_verdict(world, &verdict);
+	flows_on_outcome(world, &outcome);
 }
 
 static void perform_action(struct world *world, uint16_t index,
@@ -517,11 +517,11 @@
 
 	switch (action->kind) {
 	case JT_DIRECTOR_FORWARD:
-		report_verdict(world, JT_PACKET_FORWARDED, action->address);
+		report_outcome(world, JT_PACKET_FORWARDED, action->address);
 		break;
 	case JT_DIRECTOR_RESET:
 		if (processing)
-			report_verdict(world, JT_PACKET_REFUSED,
+			report_outcome(world, JT_PACKET_REFUSED,
 				       action->address);
 		else
 			reset_other_flow(world, &action->key,
--- a/src/lab/oracle.c
+++ b/src/lab/oracle.c
@@ -149,7 +149,7 @@
 
 static void check_revision(struct world *world, struct pending_revision *r)
 {
-	size_t ready = 0, in_force = 0;
+	size_t ready = 0, active = 0;
 	uint64_t now = world_now(world);
 	double lag_ms;
 
@@ -160,11 +160,11 @@
 		if (!info.ready)
 			continue;
 		ready++;
-		in_force += info.revision >= r->revision;
+		active += info.revision >= r->revision;
 	}
-	if (ready == 0 || in_force < ready)
+	if (ready == 0 || active < ready)
 		return;
-	r->in_force = true;
+	r->active = true;
 	lag_ms = (double)(now - r->accepted_us) / 1000;
 	samples_add(&world->metrics.config_lags, world, lag_ms);
 	if (lag_ms > world->metrics.config_lag_max_ms)
@@ -205,7 +205,7 @@
 	for (size_t i = 0; i < world->revision_count; i++) {
 		struct pending_revision *r = &world->revisions[i];
 
-		if (r->in_force)
+		if (r->active)
 			continue;
 		/* The lag starts when the store accepted the revision,
 		 * before the operator gets the response. */
@@ -230,8 +230,8 @@
 		if (world->cluster != NULL) {
 			jt_cluster_info(world->cluster, n, &info);
 			bytes = info.control_bytes;
-			alive = info.life == JT_NODE_RUNNING ||
-				info.life == JT_NODE_LEAVING;
+			alive = info.state == JT_NODE_RUNNING ||
+				info.state == JT_NODE_LEAVING;
 			if (world_time_s(world) <= 0)
 				world->node_bytes[n + JT_CLUSTER_MAX_NODES] =
 					info.store_operations;
--- a/src/lab/trace.c
+++ b/src/lab/trace.c
@@ -224,24 +224,24 @@
 	return &replay->flows[slot];
 }
 
-static void on_verdict(void *private_data,
-		       const struct jt_packet_verdict *verdict)
+static void on_outcome(void *private_data,
+		       const struct jt_packet_outcome *outcome)
 {
 	struct replay *replay = private_data;
-	struct replay_flow *flow = find_flow(replay, &verdict->key);
+	struct replay_flow *flow = find_flow(replay, &outcome->key);
 
-	if (verdict->kind == JT_PACKET_REFUSED) {
+	if (outcome->kind == JT_PACKET_REFUSED) {
 		replay->refused++;
 		replay->refused_and_forwarded += flow->endpoint != 0;
 		flow->refused = true;
 	}
-	if (verdict->kind != JT_PACKET_FORWARDED)
+	if (outcome->kind != JT_PACKET_FORWARDED)
 		return;
 	replay->forwarded++;
 	replay->refused_and_forwarded += flow->refused;
 	if (flow->endpoint == 0)
-		flow->endpoint = verdict->endpoint.ip;
-	else if (flow->endpoint != verdict->endpoint.ip)
+		flow->endpoint = outcome->endpoint.ip;
+	else if (flow->endpoint != outcome->endpoint.ip)
 		replay->moved++;
 }
 
@@ -351,7 +351,7 @@
 	options.loss_per_million = (uint32_t)json_integer_value(
 		json_object_get(head, "loss_per_million"));
 	options.injected_faults = injected_faults;
-	options.on_verdict = on_verdict;
+	options.on_outcome = on_outcome;
 	options.read_health = read_health;
 	options.private_data = replay;
 	replay->scheduler = jt_scheduler_create(replay);
--- a/src/lab/world.c
+++ b/src/lab/world.c
@@ -166,8 +166,8 @@
 		if (world->cluster != NULL) {
 			jt_cluster_info(world->cluster, n, &info);
 			ready = info.ready;
-			silent = info.life == JT_NODE_STOPPED ||
-				 info.life == JT_NODE_PAUSED;
+			silent = info.state == JT_NODE_STOPPED ||
+				 info.state == JT_NODE_PAUSED;
 		} else {
 			ready = baseline_ready(world, n);
 			silent = !ready;
@@ -646,7 +646,7 @@
 	options.store_operations_per_s = (uint32_t)s->store_operations_per_s;
 	options.cell_nodes = s->cell_nodes;
 	options.injected_faults = world->options.injected_faults;
-	options.on_verdict = flows_on_verdict;
+	options.on_outcome = flows_on_outcome;
 	options.read_health = endpoint_health;
 	options.private_data = world;
 	return jt_cluster_create(world, world->scheduler, &options);
--- a/src/lab/world_private.h
+++ b/src/lab/world_private.h
@@ -120,7 +120,7 @@
 struct pending_revision {
 	uint64_t revision;
 	uint64_t accepted_us;
-	bool in_force;
+	bool active;
 };
 
 struct metrics {
@@ -198,8 +198,8 @@
 /* flows.c */
 void flows_start(struct world *world);
 /* Handles the decision of a balancer about one packet. */
-void flows_on_verdict(void *private_data,
-		      const struct jt_packet_verdict *verdict);
+void flows_on_outcome(void *private_data,
+		      const struct jt_packet_outcome *outcome);
 /* Events at the client side of a flow. */
 void flow_on_reset(struct world *world, struct flow *flow);
 void flow_on_syn_ack(struct world *world, struct flow *flow, uint32_t endpoint);
--- a/src/label/admission/jt_admission.c
+++ b/src/label/admission/jt_admission.c
@@ -324,8 +324,8 @@
 
 /* Flow and request events */
 
-void jt_admission_placed(struct jt_admission *admission, uint32_t service_id,
-			 uint64_t now_ms)
+void jt_admission_assigned(struct jt_admission *admission, uint32_t service_id,
+			   uint64_t now_ms)
 {
 	struct admission_service *service =
 		service_controlled(admission, service_id);
@@ -335,13 +335,13 @@
 }
 
 void jt_admission_opened(struct jt_admission *admission, uint32_t service_id,
-			 uint64_t placed_ms, uint64_t now_ms)
+			 uint64_t assigned_ms, uint64_t now_ms)
 {
 	struct admission_service *service =
 		service_controlled(admission, service_id);
 
 	if (service != NULL)
-		jt_in_flight_end(&service->opening, placed_ms, now_ms);
+		jt_in_flight_end(&service->opening, assigned_ms, now_ms);
 }
 
 void jt_admission_requested(struct jt_admission *admission, uint32_t service_id,
@@ -357,7 +357,7 @@
 }
 
 void jt_admission_answered(struct jt_admission *admission, uint32_t service_id,
-			   uint64_t requested_ms, uint32_t bytes, bool placed,
+			   uint64_t requested_ms, uint32_t bytes, bool assigned,
 			   uint64_t now_ms)
 {
 	struct admission_service *service =
@@ -366,7 +366,7 @@
 	if (service == NULL)
 		return;
 	jt_in_flight_end(&service->requests, requested_ms, now_ms);
-	if (!placed) {
+	if (!assigned) {
 		jt_concurrency_limit_open_flow_answered(&service->limit);
 		return;
 	}
--- a/src/label/admission/jt_admission.h
+++ b/src/label/admission/jt_admission.h
@@ -57,20 +57,20 @@
 jt_admission_request(struct jt_admission *admission,
 		     const struct jt_route *route, uint64_t now_ms);
 /* Records that a first packet was assigned to an endpoint of the service. */
-void jt_admission_placed(struct jt_admission *admission, uint32_t service_id,
-			 uint64_t now_ms);
-/* Records that the flow assigned at @placed_ms has opened, or was discarded. */
+void jt_admission_assigned(struct jt_admission *admission, uint32_t service_id,
+			   uint64_t now_ms);
+/* Records that the flow assigned at @assigned_ms opened or was discarded. */
 void jt_admission_opened(struct jt_admission *admission, uint32_t service_id,
-			 uint64_t placed_ms, uint64_t now_ms);
+			 uint64_t assigned_ms, uint64_t now_ms);
 /* Records that a request was forwarded. */
 void jt_admission_requested(struct jt_admission *admission, uint32_t service_id,
 			    uint64_t now_ms);
 /* Records that the first @bytes of the response to a request were acknowledged.
- * @placed: it was the first request of a flow that this node assigned, so that
- * its response time applies to new flows; later requests are bound to their
- * flow's endpoint. */
+ * @assigned: it was the first request of a flow that this node assigned, so
+ * that its response time applies to new flows; later requests are bound to
+ * their flow's endpoint. */
 void jt_admission_answered(struct jt_admission *admission, uint32_t service_id,
-			   uint64_t requested_ms, uint32_t bytes, bool placed,
+			   uint64_t requested_ms, uint32_t bytes, bool assigned,
 			   uint64_t now_ms);
 /* Records that no response to the request is expected any more. */
 void jt_admission_abandoned(struct jt_admission *admission, uint32_t service_id,
--- a/src/label/jt_detector.c
+++ b/src/label/jt_detector.c
@@ -146,7 +146,7 @@
 			     const struct jt_incarnation *incarnation,
 			     enum jt_probe_outcome outcome, bool below_limit)
 {
-	if (detector->injected_faults & JT_DIRECTOR_FAULT_GUESS_DEATH)
+	if (detector->injected_faults & JT_DIRECTOR_FAULT_DEATH_UNCONFIRMED)
 		return true;
 	if (incarnation->progress_ms >= incarnation->probe_sent_ms)
 		return false;
@@ -164,7 +164,7 @@
 
 /* Handles a successful probe: decides if the identity at the address must be
  * verified. */
-static enum jt_detector_verdict
+static enum jt_detector_result
 probe_connected(struct jt_detector *detector,
 		struct jt_incarnation *incarnation)
 {
@@ -174,39 +174,39 @@
 	if (incarnation->state == JT_INCARNATION_DEAD ||
 	    incarnation->probe_connects > 0) {
 		incarnation->probing = true;
-		return JT_VERDICT_IDENTIFY;
+		return JT_DETECTOR_IDENTIFY;
 	}
 	incarnation->probe_connects++;
 	incarnation->suspected_ms = 0;
 	incarnation->flow_unacknowledged = false;
-	return JT_VERDICT_NONE;
+	return JT_DETECTOR_NONE;
 }
 
 /* Handles a failed probe of a dead incarnation. If it confirms that the
  * endpoint had not restarted by then, flows seen before the probe have ended.
  * Two failures are needed if a restarted endpoint might be full. */
-static enum jt_detector_verdict
+static enum jt_detector_result
 dead_probe_failed(const struct jt_detector *detector,
 		  struct jt_incarnation *incarnation,
 		  enum jt_probe_outcome outcome, bool below_limit)
 {
 	if (incarnation->entry.start_time_ms == 0)
-		return JT_VERDICT_NONE;
+		return JT_DETECTOR_NONE;
 	if (outcome != JT_PROBE_REFUSED &&
 	    detector->contact_ms < incarnation->probe_sent_ms)
-		return JT_VERDICT_NONE;
+		return JT_DETECTOR_NONE;
 	incarnation->failed_probes++;
 	if (!below_limit && incarnation->failed_probes < PROBES_TO_CONFIRM)
-		return JT_VERDICT_NONE;
+		return JT_DETECTOR_NONE;
 	incarnation->death_confirmed_ms = incarnation->probe_sent_ms;
-	return JT_VERDICT_STILL_DEAD;
+	return JT_DETECTOR_STILL_DEAD;
 }
 
-enum jt_detector_verdict jt_detector_probed(struct jt_detector *detector,
-					    struct jt_incarnation *incarnation,
-					    enum jt_probe_outcome outcome,
-					    bool below_limit, uint64_t now_ms,
-					    enum jt_death_cause *cause)
+enum jt_detector_result jt_detector_probed(struct jt_detector *detector,
+					   struct jt_incarnation *incarnation,
+					   enum jt_probe_outcome outcome,
+					   bool below_limit, uint64_t now_ms,
+					   enum jt_death_cause *cause)
 {
 	bool dead = incarnation->state == JT_INCARNATION_DEAD;
 
@@ -219,7 +219,7 @@
 		return probe_connected(detector, incarnation);
 	if (outcome == JT_PROBE_INCONCLUSIVE) {
 		incarnation->probe_pending = incarnation->suspected_ms != 0;
-		return JT_VERDICT_NONE;
+		return JT_DETECTOR_NONE;
 	}
 	if (dead)
 		return dead_probe_failed(detector, incarnation, outcome,
@@ -229,14 +229,14 @@
 		incarnation->death_confirmed_ms = incarnation->probe_sent_ms;
 		*cause = outcome == JT_PROBE_REFUSED ? JT_DEATH_REFUSED
 						     : JT_DEATH_SILENT;
-		return JT_VERDICT_DEAD;
+		return JT_DETECTOR_DEAD;
 	}
 	if (outcome == JT_PROBE_SILENT && incarnation->suspected_ms != 0)
-		return JT_VERDICT_AGAIN;
-	return JT_VERDICT_NONE;
+		return JT_DETECTOR_RETRY;
+	return JT_DETECTOR_NONE;
 }
 
-enum jt_detector_verdict
+enum jt_detector_result
 jt_detector_identified(struct jt_detector *detector,
 		       struct jt_incarnation *incarnation, uint64_t found_id,
 		       uint64_t now_ms)
@@ -248,18 +248,18 @@
 		now_ms + (dead ? detector->dead_probe_pause_ms
 			       : detector->probe_pause_ms);
 	if (found_id == 0)
-		return JT_VERDICT_NONE;
+		return JT_DETECTOR_NONE;
 	if (found_id != incarnation->entry.id) {
 		incarnation->death_confirmed_ms = incarnation->probe_sent_ms;
 		return dead && incarnation->entry.start_time_ms != 0
-			       ? JT_VERDICT_STILL_DEAD
-			       : JT_VERDICT_DEAD;
+			       ? JT_DETECTOR_STILL_DEAD
+			       : JT_DETECTOR_DEAD;
 	}
 	/* The detector does not decide which incarnation owns an address. */
 	if (dead && incarnation->cause == JT_DEATH_REPLACED)
-		return JT_VERDICT_NONE;
+		return JT_DETECTOR_NONE;
 	incarnation->probe_connects = 0;
 	incarnation->suspected_ms = 0;
 	incarnation->flow_unacknowledged = false;
-	return dead ? JT_VERDICT_ALIVE : JT_VERDICT_NONE;
+	return dead ? JT_DETECTOR_ALIVE : JT_DETECTOR_NONE;
 }
--- a/src/label/jt_detector.h
+++ b/src/label/jt_detector.h
@@ -70,13 +70,13 @@
 			    uint64_t now_ms);
 
 /* Result of a probe or an identity query. */
-enum jt_detector_verdict {
-	JT_VERDICT_NONE,
-	JT_VERDICT_IDENTIFY,   /* connected: verify the identity */
-	JT_VERDICT_DEAD,       /* declared dead; *cause is set */
-	JT_VERDICT_STILL_DEAD, /* confirmed dead at this probe */
-	JT_VERDICT_ALIVE,
-	JT_VERDICT_AGAIN, /* probe inconclusive: repeat it */
+enum jt_detector_result {
+	JT_DETECTOR_NONE,
+	JT_DETECTOR_IDENTIFY,	/* connected: verify the identity */
+	JT_DETECTOR_DEAD,	/* declared dead; *cause is set */
+	JT_DETECTOR_STILL_DEAD, /* confirmed dead at this probe */
+	JT_DETECTOR_ALIVE,
+	JT_DETECTOR_RETRY, /* probe inconclusive: repeat it */
 };
 
 /* Requests an early probe of a dead incarnation, because flows have arrived
@@ -86,15 +86,15 @@
 
 /* Evaluates the outcome of the current probe. @below_limit: the endpoint is
  * below its connection limit. */
-enum jt_detector_verdict jt_detector_probed(struct jt_detector *detector,
-					    struct jt_incarnation *incarnation,
-					    enum jt_probe_outcome outcome,
-					    bool below_limit, uint64_t now_ms,
-					    enum jt_death_cause *cause);
+enum jt_detector_result jt_detector_probed(struct jt_detector *detector,
+					   struct jt_incarnation *incarnation,
+					   enum jt_probe_outcome outcome,
+					   bool below_limit, uint64_t now_ms,
+					   enum jt_death_cause *cause);
 
 /* Evaluates the identity that answered at the address. @found_id is an endpoint
  * id, 0 if none was reported. */
-enum jt_detector_verdict
+enum jt_detector_result
 jt_detector_identified(struct jt_detector *detector,
 		       struct jt_incarnation *incarnation, uint64_t found_id,
 		       uint64_t now_ms);
--- a/src/label/jt_director.c
+++ b/src/label/jt_director.c
@@ -249,7 +249,7 @@
 		return;
 	jt_chooser_compare(director->chooser, incarnation->pool, now_ms);
 	jt_outlier_peer_overdue(incarnation, now_ms);
-	jt_endpoint_table_watch(director->endpoints, incarnation);
+	jt_endpoint_table_schedule(director->endpoints, incarnation);
 }
 
 /* Stores a peer's load report and merges its response time averages. */
@@ -272,37 +272,37 @@
 	}
 }
 
-static void verdict_apply(struct jt_director *director,
-			  struct jt_incarnation *incarnation,
-			  enum jt_detector_verdict verdict,
-			  enum jt_death_cause cause, uint64_t now_ms,
-			  struct jt_director_actions *actions)
+static void detector_result_apply(struct jt_director *director,
+				  struct jt_incarnation *incarnation,
+				  enum jt_detector_result result,
+				  enum jt_death_cause cause, uint64_t now_ms,
+				  struct jt_director_actions *actions)
 {
-	switch (verdict) {
-	case JT_VERDICT_DEAD:
+	switch (result) {
+	case JT_DETECTOR_DEAD:
 		jt_director_incarnation_declare_dead(director, incarnation,
 						     cause, now_ms, actions);
 		break;
-	case JT_VERDICT_STILL_DEAD:
+	case JT_DETECTOR_STILL_DEAD:
 		if (cause == JT_DEATH_REPLACED)
 			incarnation->cause = cause;
 		jt_director_flows_reset(director, incarnation, now_ms, actions);
 		break;
-	case JT_VERDICT_ALIVE:
+	case JT_DETECTOR_ALIVE:
 		jt_director_incarnation_revives(director, incarnation, now_ms,
 						actions);
 		break;
-	case JT_VERDICT_AGAIN:
+	case JT_DETECTOR_RETRY:
 		if (incarnation->suspected_ms != 0)
 			jt_director_probe(director, incarnation, now_ms,
 					  actions);
 		break;
-	case JT_VERDICT_IDENTIFY:
+	case JT_DETECTOR_IDENTIFY:
 		director->counters.identifications++;
 		jt_director_action_about(actions, JT_DIRECTOR_IDENTIFY, 0,
 					 incarnation, now_ms);
 		break;
-	case JT_VERDICT_NONE:
+	case JT_DETECTOR_NONE:
 		break;
 	}
 }
@@ -333,17 +333,18 @@
 	struct jt_incarnation *incarnation =
 		incarnation_find(director, id, start_time_ms);
 	enum jt_death_cause cause;
-	enum jt_detector_verdict verdict;
+	enum jt_detector_result result;
 
 	if (incarnation == NULL || !incarnation->probing)
 		return;
 	if (outcome == JT_PROBE_INCONCLUSIVE)
 		director->counters.probes_inconclusive++;
-	verdict = jt_detector_probed(
+	result = jt_detector_probed(
 		&director->detector, incarnation, outcome,
 		below_connection_limit(director, incarnation, now_ms), now_ms,
 		&cause);
-	verdict_apply(director, incarnation, verdict, cause, now_ms, actions);
+	detector_result_apply(director, incarnation, result, cause, now_ms,
+			      actions);
 }
 
 static void event_identified(struct jt_director *director, uint64_t id,
@@ -354,14 +355,14 @@
 	struct jt_incarnation *incarnation =
 		incarnation_find(director, id, start_time_ms);
 	struct jt_incarnation *responder;
-	enum jt_detector_verdict verdict;
+	enum jt_detector_result result;
 
 	if (incarnation == NULL || !incarnation->probing)
 		return;
-	verdict = jt_detector_identified(&director->detector, incarnation,
-					 found, now_ms);
-	verdict_apply(director, incarnation, verdict, JT_DEATH_REPLACED, now_ms,
-		      actions);
+	result = jt_detector_identified(&director->detector, incarnation, found,
+					now_ms);
+	detector_result_apply(director, incarnation, result, JT_DEATH_REPLACED,
+			      now_ms, actions);
 	responder = jt_endpoint_table_by_id(director->endpoints, found);
 	if (responder != NULL && jt_address_same(responder->entry.address,
 						 incarnation->entry.address))
@@ -480,7 +481,7 @@
 				   event->u.tick.peer_count, now_ms);
 		if (event->u.tick.store_age_ms >=
 		    director->options.store_outage_ms)
-			director->store_away_until_ms = now_ms;
+			director->store_unreachable_ms = now_ms;
 		jt_director_flows_expire(director, now_ms);
 		jt_director_openings_check(director, now_ms, actions);
 		jt_director_requests_check(director, now_ms, actions);
--- a/src/label/jt_director_answers.c
+++ b/src/label/jt_director_answers.c
@@ -21,7 +21,7 @@
 {
 	const struct jt_answer answer = {
 		.took_ms = (double)flow->answer_took_ms - director->open_ms,
-		.lone = flow->answer_lone,
+		.single_segment = flow->answer_single_segment,
 	};
 
 	jt_outlier_answered(incarnation, flow->answer_took_ms);
@@ -78,8 +78,9 @@
 {
 	if (flow->waiting_ms != 0) {
 		flow->answer_took_ms = (uint32_t)(now_ms - flow->waiting_ms);
-		flow->answer_lone = packet->length == 0 &&
-				    response_bytes(flow) <= SEGMENT_BYTES;
+		flow->answer_single_segment =
+			packet->length == 0 &&
+			response_bytes(flow) <= SEGMENT_BYTES;
 		flow->answer_counted = false;
 		jt_latency_add(director->latency, flow->answer_took_ms);
 		jt_admission_answered(director->admission,
@@ -102,7 +103,7 @@
 {
 	jt_chooser_compare(director->chooser, incarnation->pool, now_ms);
 	jt_outlier_failed(incarnation, weight, share_permille, now_ms);
-	jt_endpoint_table_watch(director->endpoints, incarnation);
+	jt_endpoint_table_schedule(director->endpoints, incarnation);
 }
 
 /* Once failures are known, served requests are reported to peers as well. */
@@ -176,9 +177,9 @@
 	struct jt_cached_flow *flow = director->flows->answering;
 
 	/* Most packets end no response: checks at most once per interval. */
-	if (now_ms - director->answers_ms < RESPONSES_CHECK_MS)
+	if (now_ms - director->answers_checked_ms < RESPONSES_CHECK_MS)
 		return;
-	director->answers_ms = now_ms;
+	director->answers_checked_ms = now_ms;
 	while (flow != NULL &&
 	       now_ms - flow->answer_seen_ms >= RESPONSE_IDLE_MS) {
 		struct jt_cached_flow *next = flow->answering_next;
--- a/src/label/jt_director_entry.c
+++ b/src/label/jt_director_entry.c
@@ -32,10 +32,10 @@
 	if (incarnation->state == JT_INCARNATION_DEAD)
 		return;
 	incarnation->expired_in_outage =
-		director->store_away_until_ms != 0 &&
+		director->store_unreachable_ms != 0 &&
 		jt_feature_enabled(director->options.disabled_features,
 				   JT_FEATURE_OUTAGE_EXPIRY) &&
-		now_ms - director->store_away_until_ms < OUTAGE_REPORT_MS;
+		now_ms - director->store_unreachable_ms < OUTAGE_REPORT_MS;
 	jt_director_state_enter(incarnation, JT_INCARNATION_EXPIRED, now_ms,
 				actions);
 	/* The endpoint may be dead: a probe finds out, so that idle flows are
@@ -104,8 +104,8 @@
 			jt_director_incarnation_revives(director, incarnation,
 							now_ms, actions);
 	} else if (result == JT_ENTRY_NEW) {
-		incarnation_start(director, incarnation, JT_DIRECTOR_SEEN,
-				  now_ms, actions);
+		incarnation_start(director, incarnation,
+				  JT_DIRECTOR_STATE_CHANGED, now_ms, actions);
 	} else {
 		jt_director_state_enter(incarnation,
 					jt_director_listed_state(incarnation),
--- a/src/label/jt_director_expiry.c
+++ b/src/label/jt_director_expiry.c
@@ -65,9 +65,9 @@
 	struct jt_incarnation *incarnation, *next;
 
 	/* Only endpoints with pending work are visited. */
-	incarnation = director->endpoints->watched;
+	incarnation = director->endpoints->scheduled;
 	for (; incarnation != NULL; incarnation = next) {
-		next = incarnation->watched_next;
+		next = incarnation->scheduled_next;
 		if (jt_detector_probe_due(&director->detector, incarnation,
 					  now_ms))
 			jt_director_probe(director, incarnation, now_ms,
@@ -78,7 +78,7 @@
 		if (incarnation_outdated(director, incarnation, now_ms))
 			incarnation_forget(director, incarnation);
 		else if (!incarnation_pending(incarnation))
-			jt_endpoint_table_unwatch(director->endpoints,
-						  incarnation);
+			jt_endpoint_table_unschedule(director->endpoints,
+						     incarnation);
 	}
 }
--- a/src/label/jt_director_flow.c
+++ b/src/label/jt_director_flow.c
@@ -19,7 +19,7 @@
 	flow->sequence_end = packet->sequence + packet->length;
 	flow->acknowledged = packet->acknowledged;
 	flow->sent_ms = now_ms;
-	if (jt_incarnation_placed(incarnation, label))
+	if (jt_incarnation_owns_flow(incarnation, label))
 		incarnation->flows++;
 	return flow;
 }
@@ -45,7 +45,7 @@
 		jt_endpoint_table_by_label(director->endpoints, flow->label);
 
 	if (incarnation != NULL &&
-	    jt_incarnation_placed(incarnation, flow->label)) {
+	    jt_incarnation_owns_flow(incarnation, flow->label)) {
 		if (!flow->closing && incarnation->flows > 0)
 			incarnation->flows--;
 		if (flow->waiting_ms != 0 && incarnation->waiting > 0)
--- a/src/label/jt_director_incarnation.c
+++ b/src/label/jt_director_incarnation.c
@@ -17,8 +17,8 @@
 		return;
 	incarnation->state = state;
 	incarnation->state_ms = now_ms;
-	jt_director_action_about(actions, JT_DIRECTOR_SEEN, 0, incarnation,
-				 now_ms);
+	jt_director_action_about(actions, JT_DIRECTOR_STATE_CHANGED, 0,
+				 incarnation, now_ms);
 }
 
 enum jt_incarnation_state
@@ -85,7 +85,7 @@
 		return;
 	}
 	incarnation->state = JT_INCARNATION_DEAD;
-	jt_endpoint_table_watch(director->endpoints, incarnation);
+	jt_endpoint_table_schedule(director->endpoints, incarnation);
 	incarnation->state_ms = now_ms;
 	incarnation->cause = cause;
 	director->counters.deaths[cause]++;
--- a/src/label/jt_director_lookup.c
+++ b/src/label/jt_director_lookup.c
@@ -31,7 +31,7 @@
 					JT_DIRECTOR_FLOW_LOOKUP_PENDING);
 	if (action == NULL)
 		return false;
-	director->counters.flows_sought++;
+	director->counters.flow_lookups++;
 	action->key = packet->key;
 	action->first_sequence = packet->sequence;
 	return true;
--- a/src/label/jt_director_packet.c
+++ b/src/label/jt_director_packet.c
@@ -162,7 +162,7 @@
 				   struct jt_director_actions *actions)
 {
 	return director->options.injected_faults &
-		       JT_DIRECTOR_FAULT_REFUSE_PLACED &&
+		       JT_DIRECTOR_FAULT_REJECT_ASSIGNED &&
 	       !flow_admit(director, packet, route, now_ms, actions);
 }
 
@@ -199,8 +199,8 @@
 		jt_flow_cache_opening(director->flows, flow, now_ms);
 		flow->expected = true;
 		jt_recent_load_add(&endpoint->recent_load, 1, now_ms);
-		jt_admission_placed(director->admission,
-				    endpoint->entry.service_id, now_ms);
+		jt_admission_assigned(director->admission,
+				      endpoint->entry.service_id, now_ms);
 	}
 	forward_add(director, packet, endpoint, reason, now_ms, actions);
 }
@@ -266,7 +266,8 @@
 		flow->copies = packet->acknowledged;
 		director->counters.resent++;
 	}
-	if (retransmitted && jt_incarnation_placed(incarnation, flow->label)) {
+	if (retransmitted &&
+	    jt_incarnation_owns_flow(incarnation, flow->label)) {
 		jt_director_suspect(director, incarnation,
 				    JT_EVIDENCE_NO_ANSWER, now_ms, actions);
 	}
@@ -417,7 +418,7 @@
 		return;
 	jt_director_answer_end(director, flow, incarnation, now_ms);
 	flow->closing = true;
-	if (jt_incarnation_placed(incarnation, flow->label) &&
+	if (jt_incarnation_owns_flow(incarnation, flow->label) &&
 	    incarnation->flows > 0)
 		incarnation->flows--;
 }
@@ -428,7 +429,7 @@
 			       uint64_t now_ms)
 {
 	return (director->options.injected_faults &
-		JT_DIRECTOR_FAULT_END_FAILING) != 0 &&
+		JT_DIRECTOR_FAULT_RESET_REDUCED) != 0 &&
 	       jt_outlier_share_permille(incarnation, now_ms) <
 		       JT_FULL_SHARE_PERMILLE;
 }
@@ -536,7 +537,7 @@
 		jt_flow_cache_touch(director->flows, flow, now_ms);
 		/* A flow assigned to an earlier incarnation gives no evidence
 		 * about this one until a response carries this one's label. */
-		if (jt_incarnation_placed(incarnation, label))
+		if (jt_incarnation_owns_flow(incarnation, label))
 			flow_observe(director, flow, incarnation, packet,
 				     now_ms, actions);
 	}
--- a/src/label/jt_director_private.h
+++ b/src/label/jt_director_private.h
@@ -23,9 +23,9 @@
 	const struct jt_routing *routing;
 	uint64_t started_ms; /* when the endpoints became known */
 	/* Last time at which the store was unreachable; 0: never. */
-	uint64_t store_away_until_ms;
-	uint64_t openings_ms; /* last check for overdue SYN responses */
-	double open_ms;	      /* smoothed response time of SYNs */
+	uint64_t store_unreachable_ms;
+	uint64_t openings_checked_ms; /* last check for overdue SYN responses */
+	double open_ms;		      /* smoothed response time of SYNs */
 	uint64_t nodes;	   /* nodes sharing the endpoints, including this one */
 	size_t peer_count; /* peers available for flow lookups */
 	uint64_t revision; /* all changes up to it are known */
@@ -41,7 +41,7 @@
 	struct jt_detector detector;
 	struct jt_latency *latency;
 	struct jt_answer_profiles *answers;
-	uint64_t answers_ms; /* last check for complete responses */
+	uint64_t answers_checked_ms; /* last check for complete responses */
 	struct jt_failure_reports failure_reports;
 	struct jt_peer_loads *peer_loads;
 	struct jt_random random;
--- a/src/label/jt_director_suspicion.c
+++ b/src/label/jt_director_suspicion.c
@@ -19,7 +19,7 @@
 		       struct jt_director_actions *actions)
 {
 	jt_detector_probe_sent(incarnation, now_ms);
-	jt_endpoint_table_watch(director->endpoints, incarnation);
+	jt_endpoint_table_schedule(director->endpoints, incarnation);
 	director->counters.probes++;
 	jt_director_action_about(actions, JT_DIRECTOR_PROBE, 0, incarnation,
 				 now_ms);
@@ -76,9 +76,9 @@
 
 	/* Few packets find an overdue response: checks at most once per
 	 * interval. */
-	if (now_ms - director->openings_ms < OPENING_CHECK_MS)
+	if (now_ms - director->openings_checked_ms < OPENING_CHECK_MS)
 		return;
-	director->openings_ms = now_ms;
+	director->openings_checked_ms = now_ms;
 	while (flow != NULL &&
 	       (double)(now_ms - flow->opening_ms) >= limit_ms) {
 		struct jt_cached_flow *next = flow->opening_next;
@@ -105,7 +105,7 @@
 		return;
 	director->counters.overdue++;
 	jt_chooser_compare(director->chooser, incarnation->pool, now_ms);
-	jt_endpoint_table_watch(director->endpoints, incarnation);
+	jt_endpoint_table_schedule(director->endpoints, incarnation);
 	if (jt_outlier_overdue(incarnation, now_ms))
 		jt_director_action_about(actions, JT_DIRECTOR_OVERDUE_REPORT, 0,
 					 incarnation, now_ms);
--- a/src/label/jt_endpoint_table.c
+++ b/src/label/jt_endpoint_table.c
@@ -476,25 +476,27 @@
 	incarnation->entry.removed_revision = revision;
 	incarnation->entry_received_ms = now_ms;
 	slice_revision_update(table, incarnation);
-	jt_endpoint_table_watch(table, incarnation);
+	jt_endpoint_table_schedule(table, incarnation);
 }
 
-void jt_endpoint_table_watch(struct jt_endpoint_table *table,
-			     struct jt_incarnation *incarnation)
+void jt_endpoint_table_schedule(struct jt_endpoint_table *table,
+				struct jt_incarnation *incarnation)
 {
-	if (incarnation->watched)
+	if (incarnation->scheduled)
 		return;
-	incarnation->watched = true;
-	DL_APPEND2(table->watched, incarnation, watched_prev, watched_next);
+	incarnation->scheduled = true;
+	DL_APPEND2(table->scheduled, incarnation, scheduled_prev,
+		   scheduled_next);
 }
 
-void jt_endpoint_table_unwatch(struct jt_endpoint_table *table,
-			       struct jt_incarnation *incarnation)
+void jt_endpoint_table_unschedule(struct jt_endpoint_table *table,
+				  struct jt_incarnation *incarnation)
 {
-	if (!incarnation->watched)
+	if (!incarnation->scheduled)
 		return;
-	incarnation->watched = false;
-	DL_DELETE2(table->watched, incarnation, watched_prev, watched_next);
+	incarnation->scheduled = false;
+	DL_DELETE2(table->scheduled, incarnation, scheduled_prev,
+		   scheduled_next);
 }
 
 void jt_endpoint_table_remove(struct jt_endpoint_table *table,
@@ -505,7 +507,7 @@
 	earlier_label_leave(table, incarnation);
 	address_leave(table, incarnation);
 	slice_leave(table, incarnation);
-	jt_endpoint_table_unwatch(table, incarnation);
+	jt_endpoint_table_unschedule(table, incarnation);
 	pool_leave(table, incarnation);
 	table->count--;
 	talloc_free(incarnation);
--- a/src/label/jt_endpoint_table.h
+++ b/src/label/jt_endpoint_table.h
@@ -90,8 +90,8 @@
 	struct jt_incarnation *address_next, *address_prev;
 	UT_hash_handle by_address; /* only the first of each address */
 	struct jt_incarnation *slice_next, *slice_prev;
-	struct jt_incarnation *watched_next, *watched_prev;
-	bool watched; /* true if in the table's watched list */
+	struct jt_incarnation *scheduled_next, *scheduled_prev;
+	bool scheduled; /* true if in the table's scheduled list */
 	UT_hash_handle by_id;
 	/* Labels are hashes of ids and may collide. The incarnation that
 	 * was registered with discovery first owns the label and gets its
@@ -130,7 +130,7 @@
 	struct jt_incarnation *labels;
 	struct jt_incarnation *earlier_labels;
 	struct jt_incarnation *addresses; /* only the first of each address */
-	struct jt_incarnation *watched;	  /* unordered, by watched_next */
+	struct jt_incarnation *scheduled; /* unordered, by scheduled_next */
 	struct jt_service_pool *pools;
 	size_t count;
 };
@@ -191,12 +191,12 @@
 				      struct jt_incarnation *incarnation,
 				      uint64_t revision, uint64_t now_ms);
 /* Adds the incarnation to the list of those that need timed work, such as a
- * probe or their removal. Call jt_endpoint_table_unwatch() when there is none
- * left. */
-void jt_endpoint_table_watch(struct jt_endpoint_table *table,
-			     struct jt_incarnation *incarnation);
-void jt_endpoint_table_unwatch(struct jt_endpoint_table *table,
-			       struct jt_incarnation *incarnation);
+ * probe or their removal. Call jt_endpoint_table_unschedule() when there is
+ * none left. */
+void jt_endpoint_table_schedule(struct jt_endpoint_table *table,
+				struct jt_incarnation *incarnation);
+void jt_endpoint_table_unschedule(struct jt_endpoint_table *table,
+				  struct jt_incarnation *incarnation);
 /* Removes and frees the incarnation. */
 void jt_endpoint_table_remove(struct jt_endpoint_table *table,
 			      struct jt_incarnation *incarnation);
@@ -216,8 +216,8 @@
 			      uint32_t label);
 /* Returns true if the flow was assigned to this incarnation and not to an
  * earlier one. */
-static inline bool jt_incarnation_placed(const struct jt_incarnation *in,
-					 uint32_t flow_label)
+static inline bool jt_incarnation_owns_flow(const struct jt_incarnation *in,
+					    uint32_t flow_label)
 {
 	return in->label == flow_label;
 }
--- a/src/label/jt_flow_cache.h
+++ b/src/label/jt_flow_cache.h
@@ -29,8 +29,9 @@
 	/* From the request to the first response bytes. */
 	uint32_t answer_took_ms;
 	bool answer_counted; /* its response time has been recorded */
-	bool answer_lone;    /* first response bytes were a single segment */
-	bool overdue;	     /* the pending response is known to be overdue */
+	/* The first response bytes fitted into one segment. */
+	bool answer_single_segment;
+	bool overdue; /* the pending response is known to be overdue */
 	/* When its first SYN arrived; 0: the flow is open. */
 	uint64_t opening_ms;
 	/* The pending request is the first since the flow was assigned. */
--- a/src/label/jt_follower.c
+++ b/src/label/jt_follower.c
@@ -168,7 +168,7 @@
  * while others pause. */
 static bool continues_listing(struct jt_follower *follower)
 {
-	uint32_t permille = follower->strength_permille;
+	uint32_t permille = follower->cpu_permille;
 
 	if (permille < MIN_CONTINUE_PERMILLE)
 		permille = MIN_CONTINUE_PERMILLE;
--- a/src/label/jt_follower.h
+++ b/src/label/jt_follower.h
@@ -57,8 +57,8 @@
 	bool paging;	   /* a listing has begun */
 	bool page_late;	   /* its first page was late at least once */
 	bool yielded;	   /* has paused in favour of other nodes that list */
-	uint32_t strength_permille; /* CPU capacity, 1000: one core */
-	uint32_t failures;	    /* consecutive */
+	uint32_t cpu_permille; /* CPU capacity, 1000: one core */
+	uint32_t failures;     /* consecutive */
 	uint64_t failures_ever;
 	uint64_t due_ms;
 	uint64_t answered_ms; /* time of the last valid response */
--- a/src/label/jt_membership.c
+++ b/src/label/jt_membership.c
@@ -176,7 +176,7 @@
 	peer->last_heard_ms = now_ms;
 	peer->heard_directly = true;
 	peer->lost = false;
-	peer->no_answer = false;
+	peer->fetch_failed = false;
 	peer->zone_id = availability->zone;
 	peer->started = availability->started;
 	peer->leaving = availability->leaving;
--- a/src/label/jt_membership.h
+++ b/src/label/jt_membership.h
@@ -51,12 +51,13 @@
 	bool leaving;
 	bool ready; /* answers readiness checks with "ready" */
 	bool lost;
-	bool no_answer; /* a fetch failed, and no message has come since then */
+	/* A fetch failed, and no message has come since then. */
+	bool fetch_failed;
 };
 
 /* Result of a fetch from a peer. */
 enum jt_fetch_end {
-	JT_FETCH_WORKED,
+	JT_FETCH_SUCCEEDED,
 	JT_FETCH_BUSY, /* the peer is serving too many fetches */
 	JT_FETCH_FAILED,
 };
--- a/src/label/jt_membership_digest.c
+++ b/src/label/jt_membership_digest.c
@@ -114,7 +114,7 @@
 	for (size_t i = 0; i < membership->count; i++) {
 		const struct jt_peer *peer = &membership->peers[i];
 
-		if (!jt_peer_started(peer) || peer->no_answer)
+		if (!jt_peer_started(peer) || peer->fetch_failed)
 			continue;
 		count = source_insert(
 			best, count,
--- a/src/label/jt_membership_fetch.c
+++ b/src/label/jt_membership_fetch.c
@@ -45,7 +45,7 @@
 		const struct jt_peer *peer = &membership->peers[i];
 		uint64_t rank;
 
-		if (!is_ahead(peer, own) || peer->no_answer)
+		if (!is_ahead(peer, own) || peer->fetch_failed)
 			continue;
 		rank = jt_source_rank(peer, membership->zone_id, now_ms);
 		total += rank;
@@ -60,7 +60,7 @@
 static int fetch_rank(const struct jt_membership *membership,
 		      const struct jt_peer *peer)
 {
-	return (peer->no_answer ? 0 : 2) +
+	return (peer->fetch_failed ? 0 : 2) +
 	       (peer->zone_id == membership->zone_id ? 1 : 0);
 }
 
@@ -120,7 +120,7 @@
 {
 	for (size_t i = 0; i < membership->count; i++) {
 		if (membership->peers[i].id == id)
-			membership->peers[i].no_answer = true;
+			membership->peers[i].fetch_failed = true;
 	}
 }
 
@@ -128,7 +128,7 @@
 			       enum jt_fetch_end end)
 {
 	switch (end) {
-	case JT_FETCH_WORKED:
+	case JT_FETCH_SUCCEEDED:
 		return FETCH_PAUSE_MS;
 	case JT_FETCH_BUSY:
 		return FETCH_BUSY_PAUSE_MS / 2 +
@@ -144,7 +144,7 @@
 {
 	membership->fetching = false;
 	membership->fetch_next_ms = now_ms + fetch_pause_ms(membership, end);
-	if (end == JT_FETCH_WORKED)
+	if (end == JT_FETCH_SUCCEEDED)
 		membership->behind_ms = 0;
 	if (end == JT_FETCH_FAILED)
 		mark_no_answer(membership, membership->fetching_from);
--- a/src/label/jt_response_ratio.c
+++ b/src/label/jt_response_ratio.c
@@ -49,7 +49,7 @@
 {
 	bool prompt = answer->took_ms < DELAYED_ACK_MS;
 
-	if (!answer->lone)
+	if (!answer->single_segment)
 		return answer->took_ms;
 	usual->prompt_part += (prompt - usual->prompt_part) / PROMPT_SMOOTHING;
 	if (prompt || usual->prompt_part > PROMPT_FRACTION_MAX)
--- a/src/label/jt_response_ratio.h
+++ b/src/label/jt_response_ratio.h
@@ -34,8 +34,8 @@
 
 /* A response as seen through the client's acknowledgement. */
 struct jt_answer {
-	double took_ms; /* since the request, without network delay */
-	bool lone;	/* a single segment */
+	double took_ms;	     /* since the request, without network delay */
+	bool single_segment; /* true if it fitted into one segment */
 };
 
 /* Returns the time that the endpoint took for the response, corrected for the
--- a/src/resource/jt_change.c
+++ b/src/resource/jt_change.c
@@ -229,11 +229,11 @@
 	json_object_foreach ((json_t *)posted, name, list) {
 		enum jt_resource_kind kind = jt_resource_kind_parse(name);
 
-		if (kind == JT_RESOURCE_KINDS || !json_is_array(list)) {
+		if (kind == JT_RESOURCE_KIND_COUNT || !json_is_array(list)) {
 			snprintf(error->resource, sizeof(error->resource),
 				 "%.63s", name);
 			snprintf(error->reason, sizeof(error->reason), "%s",
-				 kind == JT_RESOURCE_KINDS
+				 kind == JT_RESOURCE_KIND_COUNT
 					 ? "unknown kind of resource"
 					 : "must be a list");
 			return -1;
--- a/src/resource/jt_resource.c
+++ b/src/resource/jt_resource.c
@@ -14,7 +14,7 @@
 	MAX_RESOURCES = 100000,
 };
 
-static const char *const kind_names[JT_RESOURCE_KINDS] = {
+static const char *const kind_names[JT_RESOURCE_KIND_COUNT] = {
 	[JT_RESOURCE_GROUP] = "groups",
 	[JT_RESOURCE_SERVICE] = "services",
 	[JT_RESOURCE_ENDPOINT] = "endpoints",
@@ -22,7 +22,7 @@
 	[JT_RESOURCE_SHARE] = "shares",
 };
 
-static const char *const kind_fields[JT_RESOURCE_KINDS][9] = {
+static const char *const kind_fields[JT_RESOURCE_KIND_COUNT][9] = {
 	[JT_RESOURCE_GROUP] = {"name", "version"},
 	[JT_RESOURCE_SERVICE] = {"name", "kind", "free_permille", "version"},
 	[JT_RESOURCE_ENDPOINT] = {"name", "service", "address", "health",
@@ -42,7 +42,8 @@
 {
 	int kind = 0;
 
-	while (kind < JT_RESOURCE_KINDS && strcmp(kind_names[kind], name) != 0)
+	while (kind < JT_RESOURCE_KIND_COUNT &&
+	       strcmp(kind_names[kind], name) != 0)
 		kind++;
 	return kind;
 }
@@ -408,7 +409,8 @@
 
 static int build_kind(struct builder *b, const json_t *list)
 {
-	static int (*const builders[JT_RESOURCE_KINDS])(struct builder *) = {
+	static int (*const builders[JT_RESOURCE_KIND_COUNT])(
+		struct builder *) = {
 		[JT_RESOURCE_GROUP] = build_group,
 		[JT_RESOURCE_SERVICE] = build_service,
 		[JT_RESOURCE_ENDPOINT] = build_endpoint,
@@ -435,7 +437,7 @@
 	json_object_foreach ((json_t *)document, kind, list) {
 		if (strcmp(kind, "write_ids") == 0)
 			continue;
-		if (jt_resource_kind_parse(kind) == JT_RESOURCE_KINDS) {
+		if (jt_resource_kind_parse(kind) == JT_RESOURCE_KIND_COUNT) {
 			snprintf(b->error->resource, sizeof(b->error->resource),
 				 "%.63s", kind);
 			b->error->field[0] = '\0';
@@ -454,11 +456,11 @@
 					 const json_t *document)
 {
 	struct jt_config *config = talloc_zero(mem_ctx, struct jt_config);
-	size_t capacity[JT_RESOURCE_KINDS];
+	size_t capacity[JT_RESOURCE_KIND_COUNT];
 
 	if (config == NULL)
 		return NULL;
-	for (int k = 0; k < JT_RESOURCE_KINDS; k++)
+	for (int k = 0; k < JT_RESOURCE_KIND_COUNT; k++)
 		capacity[k] = json_array_size(json_object_get(document,
 							      kind_names[k])) +
 			      1;
@@ -499,7 +501,7 @@
 		return NULL;
 	}
 	b.config->revision = revision;
-	for (int kind = 0; kind < JT_RESOURCE_KINDS; kind++) {
+	for (int kind = 0; kind < JT_RESOURCE_KIND_COUNT; kind++) {
 		b.kind = kind;
 		if (build_kind(&b, json_object_get(document,
 						   kind_names[kind])) != 0)
--- a/src/resource/jt_resource.h
+++ b/src/resource/jt_resource.h
@@ -26,7 +26,7 @@
 	JT_RESOURCE_ENDPOINT,
 	JT_RESOURCE_ADDRESS,
 	JT_RESOURCE_SHARE,
-	JT_RESOURCE_KINDS,
+	JT_RESOURCE_KIND_COUNT,
 };
 
 /* A validation error: the resource, the field and the reason. */
@@ -38,7 +38,7 @@
 
 /* Returns the document's key for a kind: "groups", "services", ... */
 const char *jt_resource_kind_name(enum jt_resource_kind kind);
-/* Returns the kind with that key, JT_RESOURCE_KINDS if it is unknown. */
+/* Returns the kind with that key, JT_RESOURCE_KIND_COUNT if it is unknown. */
 enum jt_resource_kind jt_resource_kind_parse(const char *name);
 
 /* Returns the name of a resource, "service/group" for a share, allocated below
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -78,7 +78,7 @@
 	if (soak->recovered_requests == 0 ||
 	    soak->recovered_answered * 100 <
 		    soak->recovered_requests * ANSWERED_PERCENT)
-		soak_promise_broken(
+		soak_guarantee_violated(
 			soak, "RECOVER", "%llu of %llu answered",
 			(unsigned long long)soak->recovered_answered,
 			(unsigned long long)soak->recovered_requests);
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -223,7 +223,7 @@
 int soak_endpoint_start(struct soak *soak, uint32_t service, int address_index);
 void soak_endpoint_drain(struct soak *soak, int endpoint, bool by_removal);
 void soak_endpoint_crash(struct soak *soak, int endpoint, bool blackhole);
-void soak_endpoint_cut(struct soak *soak, int endpoint, uint64_t for_ms);
+void soak_endpoint_disconnect(struct soak *soak, int endpoint, uint64_t for_ms);
 /* Crashes the endpoint and restarts it at once under its id. */
 void soak_endpoint_restart(struct soak *soak, int endpoint);
 /* Overwrites its entry with an invalid one of that kind until @until_ms. */
@@ -278,8 +278,8 @@
 
 /* Oracle */
 
-void soak_promise_broken(struct soak *soak, const char *promise,
-			 const char *format, ...)
+void soak_guarantee_violated(struct soak *soak, const char *guarantee,
+			     const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
 /* Checks a first packet that reached an endpoint through a node. */
 void soak_check_first(struct soak *soak, int endpoint, int node,
--- a/tests/soak/soak_callers.c
+++ b/tests/soak/soak_callers.c
@@ -360,9 +360,9 @@
 		return; /* a duplicate response */
 	if (seal == NULL || sscanf(seal, "Server-Seal: %u", &request) != 1 ||
 	    request != flow->request) {
-		soak_promise_broken(soak, "MIXED",
-				    "request %u got the response of %u",
-				    flow->request, request);
+		soak_guarantee_violated(soak, "MIXED",
+					"request %u got the response of %u",
+					flow->request, request);
 		return;
 	}
 	soak->answered++;
--- a/tests/soak/soak_endpoint_flows.c
+++ b/tests/soak/soak_endpoint_flows.c
@@ -123,15 +123,15 @@
 	uint64_t sent_ms;
 
 	if (packet->flags & SOAK_ACK) {
-		soak_promise_broken(soak, "UNASKED",
-				    "node %d passed a forged packet", node);
+		soak_guarantee_violated(soak, "UNASKED",
+					"node %d passed a forged packet", node);
 		return;
 	}
 	if (!soak_flow_first_sent(soak, packet->source, packet->source_port,
 				  &sent_ms)) {
-		soak_promise_broken(soak, "UNASKED",
-				    "node %d sent a packet of an unknown flow",
-				    node);
+		soak_guarantee_violated(
+			soak, "UNASKED",
+			"node %d sent a packet of an unknown flow", node);
 		return;
 	}
 	if (flow == NULL) {
@@ -159,7 +159,7 @@
 	if (sscanf(packet->data, "GET /%u ", &request) != 1 ||
 	    !soak_flow_request_ran(soak, packet->source, packet->source_port,
 				   request))
-		soak_promise_broken(
+		soak_guarantee_violated(
 			soak, "UNASKED",
 			"endpoint %llx ran an unknown request, or one twice",
 			(unsigned long long)soak->endpoints[index].id);
@@ -244,8 +244,8 @@
 		target_id = target_id << 8 | data[i];
 	node = soak_node_by_ip(soak, jt_address_from_socket(&name).ip);
 	if (!soak_packet_decode(data + 8, (size_t)length - 8, &packet)) {
-		soak_promise_broken(soak, "UNASKED", "node %d changed a packet",
-				    node);
+		soak_guarantee_violated(soak, "UNASKED",
+					"node %d changed a packet", node);
 		return;
 	}
 	if (target_id != 0 &&
--- a/tests/soak/soak_endpoints.c
+++ b/tests/soak/soak_endpoints.c
@@ -257,7 +257,7 @@
 	endpoint_end(soak, index);
 }
 
-void soak_endpoint_cut(struct soak *soak, int index, uint64_t for_ms)
+void soak_endpoint_disconnect(struct soak *soak, int index, uint64_t for_ms)
 {
 	struct soak_endpoint *endpoint = &soak->endpoints[index];
 
--- a/tests/soak/soak_faults.c
+++ b/tests/soak/soak_faults.c
@@ -28,7 +28,7 @@
 	if (endpoint->state != SOAK_ALIVE || endpoint->no_new_flows_ms != 0 ||
 	    !endpoint->listed)
 		return -1;
-	if (fault->kind <= SOAK_ENDPOINT_CUT && !enough_endpoints(soak))
+	if (fault->kind <= SOAK_ENDPOINT_DISCONNECT && !enough_endpoints(soak))
 		return -1;
 	return index;
 }
@@ -53,8 +53,8 @@
 		soak_endpoint_crash(soak, index,
 				    fault->kind == SOAK_ENDPOINT_BLACKHOLE);
 		break;
-	case SOAK_ENDPOINT_CUT:
-		soak_endpoint_cut(soak, index, fault->for_ms);
+	case SOAK_ENDPOINT_DISCONNECT:
+		soak_endpoint_disconnect(soak, index, fault->for_ms);
 		break;
 	case SOAK_ENDPOINT_RESTARTS:
 		soak_endpoint_restart(soak, index);
--- a/tests/soak/soak_nodes.c
+++ b/tests/soak/soak_nodes.c
@@ -307,9 +307,9 @@
 
 	if (!exited_cleanly(node, status)) {
 		soak->unexpected_exits++;
-		soak_promise_broken(soak, "END",
-				    "node %d exited unexpectedly, status %d",
-				    index, status);
+		soak_guarantee_violated(
+			soak, "END", "node %d exited unexpectedly, status %d",
+			index, status);
 	}
 	node->pid = 0;
 	node->ready = false;
@@ -326,8 +326,8 @@
 		node_exited(soak, index, status, now_ms);
 	if (node->pid != 0 && node->leaving && !node->paused &&
 	    now_ms - node->sigterm_ms > SOAK_GRACE_MS) {
-		soak_promise_broken(soak, "END",
-				    "node %d still runs after SIGTERM", index);
+		soak_guarantee_violated(
+			soak, "END", "node %d still runs after SIGTERM", index);
 		soak_node_signal(soak, index, SIGKILL);
 	}
 	if (node->pid == 0 && now_ms >= node->restart_ms)
--- a/tests/soak/soak_oracle.c
+++ b/tests/soak/soak_oracle.c
@@ -46,11 +46,11 @@
 	va_end(list);
 }
 
-void soak_promise_broken(struct soak *soak, const char *promise,
-			 const char *format, ...)
+void soak_guarantee_violated(struct soak *soak, const char *guarantee,
+			     const char *format, ...)
 {
 	va_list list;
-	char *kind = talloc_asprintf(soak, "BROKEN %s", promise);
+	char *kind = talloc_asprintf(soak, "BROKEN %s", guarantee);
 
 	soak->broken++;
 	va_start(list, format);
@@ -120,7 +120,7 @@
 
 	if (version_find_service(soak, oldest, service) == 0 &&
 	    bound_applies(soak, node, sent_ms, SOAK_CONFIG_MS))
-		soak_promise_broken(
+		soak_guarantee_violated(
 			soak, "CONFIG",
 			"node %d sent a new flow to service %u, which no "
 			"version from %llu on allows",
@@ -128,7 +128,7 @@
 	version = version_find_service(soak, sender->version_seen, service);
 	if (version == 0 &&
 	    sent_ms > sender->version_seen_ms + SOAK_ROLLBACK_MS)
-		soak_promise_broken(
+		soak_guarantee_violated(
 			soak, "CONFIG",
 			"node %d used an older version: service %u after "
 			"version %llu",
@@ -168,7 +168,7 @@
 	const struct soak_endpoint *endpoint = &soak->endpoints[index];
 
 	if (route_port == SOAK_STEADY_PORT && endpoint->service != 0)
-		soak_promise_broken(
+		soak_guarantee_violated(
 			soak, "ROUTE",
 			"node %d sent a flow of the steady route to "
 			"service %u",
@@ -176,12 +176,12 @@
 	else if (route_port == SOAK_SWITCH_PORT)
 		check_switch_route(soak, node, endpoint->service, sent_ms);
 	else if (route_port != SOAK_STEADY_PORT)
-		soak_promise_broken(soak, "ROUTE",
-				    "node %d forwarded to no route", node);
+		soak_guarantee_violated(soak, "ROUTE",
+					"node %d forwarded to no route", node);
 	if (endpoint->no_new_flows_ms != 0 &&
 	    sent_ms > endpoint->no_new_flows_ms + SOAK_DRAIN_MS &&
 	    bound_applies(soak, node, sent_ms, SOAK_DRAIN_MS))
-		soak_promise_broken(
+		soak_guarantee_violated(
 			soak, "DRAIN",
 			"node %d sent a new flow to %llx, %llu ms after it "
 			"was published as leaving",
@@ -190,7 +190,7 @@
 					     endpoint->no_new_flows_ms));
 	if (zone_drain_known(soak, endpoint->zone, sent_ms) &&
 	    bound_applies(soak, node, sent_ms, SOAK_ZONE_DRAIN_MS))
-		soak_promise_broken(
+		soak_guarantee_violated(
 			soak, "ZONE",
 			"node %d sent a new flow to %llx, %llu ms after "
 			"zone %u was drained",
@@ -287,7 +287,7 @@
 	if (route_has_eligible(soak, route_port, sent_ms) &&
 	    !route_has_ended_endpoint(soak, route_port, sent_ms) &&
 	    bound_applies(soak, node, sent_ms, SOAK_CONFIG_MS))
-		soak_promise_broken(
+		soak_guarantee_violated(
 			soak, "CONFIG",
 			"node %d refused a flow of route %u with "
 			"endpoints, begun %llu ms before",
@@ -306,7 +306,7 @@
 	if (endpoint->state == SOAK_ENDED ||
 	    endpoint->disturbed_ms + SOAK_SETTLE_MS > now_ms)
 		return;
-	soak_promise_broken(
+	soak_guarantee_violated(
 		soak, "FLOW",
 		"node %d reset the open flow of %s at %llx, which is alive",
 		node,
@@ -342,7 +342,7 @@
 		return false;
 	if (node_was_down(soak, first_ms))
 		return true;
-	soak_promise_broken(
+	soak_guarantee_violated(
 		soak, "FLOW",
 		"copies of a first packet reached two endpoints: of %s at "
 		"%llx and %llx",
@@ -355,7 +355,7 @@
 
 void soak_check_misrouted(struct soak *soak, int index, int owner, int node)
 {
-	soak_promise_broken(
+	soak_guarantee_violated(
 		soak, "FLOW",
 		"node %d sent a packet of an open flow of %llx to %llx", node,
 		(unsigned long long)soak->endpoints[owner].id,
--- a/tests/soak/soak_schedule.c
+++ b/tests/soak/soak_schedule.c
@@ -70,7 +70,7 @@
 	[SOAK_ENDPOINT_UNLISTED] = "endpoint_goes",
 	[SOAK_ENDPOINT_CRASHES] = "endpoint_crashes",
 	[SOAK_ENDPOINT_BLACKHOLE] = "endpoint_dark",
-	[SOAK_ENDPOINT_CUT] = "endpoint_cut",
+	[SOAK_ENDPOINT_DISCONNECT] = "endpoint_cut",
 	[SOAK_ENDPOINT_RESTARTS] = "endpoint_restarts",
 	[SOAK_ENTRY_CORRUPTED] = "entry_spoiled",
 	[SOAK_ENTRY_FOREIGN] = "entry_foreign",
@@ -138,7 +138,7 @@
 		.target = (unsigned)random_below(random, plan->addresses),
 	};
 
-	if (fault.kind == SOAK_ENDPOINT_CUT)
+	if (fault.kind == SOAK_ENDPOINT_DISCONNECT)
 		fault.for_ms = random_between(random, ENDPOINT_CUT_MIN_MS,
 					      ENDPOINT_CUT_MAX_MS);
 	fault_add(schedule, fault);
--- a/tests/soak/soak_schedule.h
+++ b/tests/soak/soak_schedule.h
@@ -18,7 +18,7 @@
 	SOAK_ENDPOINT_UNLISTED, /* entry removed; it serves on */
 	SOAK_ENDPOINT_CRASHES,
 	SOAK_ENDPOINT_BLACKHOLE, /* crashes; its address doesn't respond */
-	SOAK_ENDPOINT_CUT,
+	SOAK_ENDPOINT_DISCONNECT,
 	SOAK_ENDPOINT_RESTARTS, /* at once, under the same id */
 	SOAK_ENTRY_CORRUPTED,	/* overwritten by another writer */
 	SOAK_ENTRY_FOREIGN,	/* entries of no endpoint by another writer */
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -406,7 +406,7 @@
 	const struct {
 		uint32_t priority;
 		uint32_t target_ms;
-		bool watched;
+		bool controlled;
 	} cases[] = {{2, 300, true}, {1, 300, false}, {2, 0, false}};
 
 	(void)state;
@@ -422,7 +422,7 @@
 		model_restart_node(model, 0);
 		assert_int_equal(
 			jt_admission_view_at(model->nodes[0], 0, &view),
-			cases[i].watched);
+			cases[i].controlled);
 		talloc_free(model);
 	}
 }
--- a/tests/test_detector.c
+++ b/tests/test_detector.c
@@ -111,7 +111,8 @@
 {
 	(void)state;
 	assert_true(live_endpoint_keeps_flows(0));
-	assert_false(live_endpoint_keeps_flows(JT_DIRECTOR_FAULT_GUESS_DEATH));
+	assert_false(
+		live_endpoint_keeps_flows(JT_DIRECTOR_FAULT_DEATH_UNCONFIRMED));
 }
 
 static void test_isolated_node_declares_no_endpoint_dead(void **state)
@@ -234,10 +235,10 @@
 	(void)state;
 	assert_true(full_endpoint_keeps_flows(0, JT_PROBE_SILENT, 20));
 	assert_true(full_endpoint_keeps_flows(0, JT_PROBE_REFUSED, 20));
-	assert_false(full_endpoint_keeps_flows(JT_DIRECTOR_FAULT_GUESS_DEATH,
-					       JT_PROBE_SILENT, 20));
-	assert_false(full_endpoint_keeps_flows(JT_DIRECTOR_FAULT_GUESS_DEATH,
-					       JT_PROBE_REFUSED, 20));
+	assert_false(full_endpoint_keeps_flows(
+		JT_DIRECTOR_FAULT_DEATH_UNCONFIRMED, JT_PROBE_SILENT, 20));
+	assert_false(full_endpoint_keeps_flows(
+		JT_DIRECTOR_FAULT_DEATH_UNCONFIRMED, JT_PROBE_REFUSED, 20));
 }
 
 /* Guards against declaring an endpoint dead after one failed connection, as it
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -220,7 +220,7 @@
 		struct jt_follower follower;
 
 		jt_follower_init(&follower, node);
-		follower.strength_permille = 500;
+		follower.cpu_permille = 500;
 		gave_up += jt_follower_yields_listing(&follower, 1000);
 	}
 	assert_in_range(gave_up, 160, 240);
--- a/tests/test_many_endpoints.c
+++ b/tests/test_many_endpoints.c
@@ -160,28 +160,28 @@
 }
 
 /* A tick visits only endpoints at which something may be due. */
-static void test_ticks_visit_watched_endpoints_only(void **state)
+static void test_ticks_visit_scheduled_endpoints_only(void **state)
 {
 	struct fixture *fixture = fixture_with_endpoints(100);
 	const struct jt_endpoint_table *table = fixture->director->endpoints;
 
 	(void)state;
-	assert_null(table->watched);
+	assert_null(table->scheduled);
 	fixture_remove_entry(fixture, FIRST_ID + 7, 1000);
-	assert_non_null(table->watched);
-	assert_int_equal(table->watched->entry.id, FIRST_ID + 7);
-	assert_null(table->watched->watched_next);
-	/* The entry is kept for an hour, the longest life of its flows. */
+	assert_non_null(table->scheduled);
+	assert_int_equal(table->scheduled->entry.id, FIRST_ID + 7);
+	assert_null(table->scheduled->scheduled_next);
+	/* The entry is kept for an hour, the maximum lifetime of its flows. */
 	fixture_tick(fixture, 3600 * 1000);
-	assert_non_null(table->watched);
+	assert_non_null(table->scheduled);
 	fixture_tick(fixture, 2);
-	assert_null(table->watched);
+	assert_null(table->scheduled);
 	assert_int_equal(table->count, 99);
 	talloc_free(fixture);
 }
 
-/* A probed endpoint is watched until it is known to be alive. */
-static void test_probed_endpoints_are_watched(void **state)
+/* A probed endpoint is scheduled until it is known to be alive. */
+static void test_probed_endpoints_are_scheduled(void **state)
 {
 	struct fixture *fixture = fixture_with_endpoints(1);
 	const struct jt_endpoint_table *table = fixture->director->endpoints;
@@ -191,16 +191,16 @@
 	assert_int_equal(flow_send_syn(fixture, &flow), FIRST_ID);
 	fixture_tick(fixture, 100);
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
-	assert_non_null(table->watched);
+	assert_non_null(table->scheduled);
 	fixture_deliver_probe_result(fixture, FIRST_ID, JT_PROBE_SILENT);
 	fixture_tick(fixture, 100);
-	assert_non_null(table->watched);
+	assert_non_null(table->scheduled);
 	/* The next probe is sent after a pause. */
 	fixture_tick(fixture, 1000);
 	assert_non_null(fixture_find_action(fixture, JT_DIRECTOR_PROBE));
 	fixture_deliver_probe_result(fixture, FIRST_ID, JT_PROBE_CONNECTED);
 	fixture_tick(fixture, 100);
-	assert_null(table->watched);
+	assert_null(table->scheduled);
 	talloc_free(fixture);
 }
 
@@ -408,8 +408,8 @@
 		cmocka_unit_test(test_entry_added_again_keeps_its_label),
 		cmocka_unit_test(test_younger_endpoint_takes_over_the_label),
 		cmocka_unit_test(test_end_of_younger_endpoint_resets_no_flows),
-		cmocka_unit_test(test_ticks_visit_watched_endpoints_only),
-		cmocka_unit_test(test_probed_endpoints_are_watched),
+		cmocka_unit_test(test_ticks_visit_scheduled_endpoints_only),
+		cmocka_unit_test(test_probed_endpoints_are_scheduled),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
