--- a/tests/choice_world.h
+++ b/tests/choice_sim.h
@@ -1,8 +1,8 @@
 /* Simulation in virtual time: directors, endpoints with slots and queues, and
  * clients with flows of several requests. It measures what clients get from the
  * choice of endpoints. */
-#ifndef CHOICE_WORLD_H
-#define CHOICE_WORLD_H
+#ifndef CHOICE_SIM_H
+#define CHOICE_SIM_H
 
 #include "director_fixture.h"
 #include "jt_director_private.h"
--- a/tests/test_choice.c
+++ b/tests/test_choice.c
@@ -1,6 +1,6 @@
 /* Tests the choice of endpoints with load reports that are half a second old or
  * older: latency, zone locality, endpoint speed. */
-#include "choice_world.h"
+#include "choice_sim.h"
 #include "jt_target.h"
 #include "jt_load_distribution.h"
 #include "jt_feature.h"
