--- a/fuzz/fuzz_document.c
+++ b/fuzz/fuzz_document.c
@@ -119,14 +119,15 @@
 /* Checks a page that has @item between two valid entries. */
 static void check_page(json_t *item)
 {
-	struct jt_kv_answer *answer = talloc_zero(NULL, struct jt_kv_answer);
+	struct jt_kv_response *answer =
+		talloc_zero(NULL, struct jt_kv_response);
 	json_t *page = json_pack("{s:i, s:b, s:[o, O, o]}", "at", REVISION,
 				 "more", 1, "items", valid_item("servers/i-a1"),
 				 item, valid_item("servers/i-a2"));
 	char *body = json_dumps(page, 0);
 	const struct jt_directory_change *last;
 
-	jt_platform_answer_parse(answer, body);
+	jt_platform_response_parse(answer, body);
 	if (answer->status != JT_KV_OK || answer->change_count < 2 ||
 	    strcmp(answer->last_key, "servers/i-a2") != 0)
 		abort();
@@ -146,11 +147,12 @@
 /* Parses the input as the body of a whole response. */
 static void check_body(const struct input *input)
 {
-	struct jt_kv_answer *answer = talloc_zero(NULL, struct jt_kv_answer);
+	struct jt_kv_response *answer =
+		talloc_zero(NULL, struct jt_kv_response);
 	char *body = talloc_strndup(answer, (const char *)input->data,
 				    input->remaining);
 
-	jt_platform_answer_parse(answer, body);
+	jt_platform_response_parse(answer, body);
 	for (size_t i = 0; i < answer->change_count; i++)
 		check_change(&answer->changes[i]);
 	talloc_free(answer);
--- a/src/common/jt_feature.h
+++ b/src/common/jt_feature.h
@@ -60,7 +60,7 @@
 	/* Overloaded services refuse flows by priority. */
 	JT_FEATURE_ADMISSION_CONTROL = 1 << 23,
 	/* Short answers may count as failures. */
-	JT_FEATURE_SHORT_ANSWERS = 1 << 24,
+	JT_FEATURE_SHORT_RESPONSES = 1 << 24,
 	/* Uses slow endpoints only if the load requires it. */
 	JT_FEATURE_OPTIMAL_LOAD = 1 << 25,
 	/* Sends flows to other zones if the own one lacks headroom. */
--- a/src/daemon/jt_config_sync.c
+++ b/src/daemon/jt_config_sync.c
@@ -246,7 +246,7 @@
 		write_retry_schedule(write);
 		break;
 	case JT_STORE_LOST:
-	case JT_STORE_BAD_ANSWER:
+	case JT_STORE_BAD_RESPONSE:
 		store_state_set(sync, false);
 		write->sent = true;
 		write_retry_schedule(write);
--- a/src/director/jt_director_node_packets.c
+++ b/src/director/jt_director_node_packets.c
@@ -198,7 +198,7 @@
 	case JT_DIRECTOR_OVERDUE_REPORT:
 		jt_director_log_endpoint(node->log, action, "endpoint_failing");
 		jt_peer_exchange_suspicion_send(
-			node->peers, JT_WIRE_ANSWERS_OVERDUE,
+			node->peers, JT_WIRE_RESPONSES_OVERDUE,
 			action->endpoint_id, action->start_time_ms);
 		break;
 	case JT_DIRECTOR_FAILURES:
--- a/src/director/jt_director_node_sync.c
+++ b/src/director/jt_director_node_sync.c
@@ -396,7 +396,7 @@
 {
 	struct jt_director_node *node = private_data;
 	struct jt_director_event event = {.kind = JT_DIRECTOR_SUSPICION};
-	bool overdue = suspicion->kind == JT_WIRE_ANSWERS_OVERDUE;
+	bool overdue = suspicion->kind == JT_WIRE_RESPONSES_OVERDUE;
 
 	if (overdue)
 		event.kind = JT_DIRECTOR_OVERDUE;
--- a/src/director/jt_directory_sync.c
+++ b/src/director/jt_directory_sync.c
@@ -69,7 +69,7 @@
 }
 
 static void changes_report(struct jt_directory_sync *sync,
-			   const struct jt_kv_answer *answer)
+			   const struct jt_kv_response *answer)
 {
 	for (size_t i = 0; i < answer->change_count; i++) {
 		if (answer->changes[i].kind == JT_DIRECTORY_CHANGE_INVALID)
@@ -81,7 +81,7 @@
 
 /* Reports the newest revision of a watch, whose changes come in order. */
 static void caught_up_report(struct jt_directory_sync *sync,
-			     const struct jt_kv_answer *answer)
+			     const struct jt_kv_response *answer)
 {
 	uint64_t newest = 0;
 
@@ -93,10 +93,10 @@
 		sync->watcher.caught_up(newest, sync->watcher.private_data);
 }
 
-static struct jt_kv_answer *call_finish(struct jt_directory_sync *sync,
-					struct tevent_req *req)
+static struct jt_kv_response *call_finish(struct jt_directory_sync *sync,
+					  struct tevent_req *req)
 {
-	struct jt_kv_answer *answer = sync->directory->recv(req, sync);
+	struct jt_kv_response *answer = sync->directory->recv(req, sync);
 
 	TALLOC_FREE(sync->call);
 	sync->watching = false;
@@ -118,7 +118,7 @@
 {
 	struct jt_directory_sync *sync =
 		tevent_req_callback_data(req, struct jt_directory_sync);
-	struct jt_kv_answer *answer = call_finish(sync, req);
+	struct jt_kv_response *answer = call_finish(sync, req);
 	uint64_t now_ms = jt_clock_ms();
 	bool complete;
 
@@ -147,7 +147,7 @@
 {
 	struct jt_directory_sync *sync =
 		tevent_req_callback_data(req, struct jt_directory_sync);
-	struct jt_kv_answer *answer = call_finish(sync, req);
+	struct jt_kv_response *answer = call_finish(sync, req);
 
 	if (answer == NULL)
 		return;
@@ -212,7 +212,7 @@
 {
 	struct jt_directory_sync *sync =
 		tevent_req_callback_data(req, struct jt_directory_sync);
-	struct jt_kv_answer *answer = sync->directory->recv(req, sync);
+	struct jt_kv_response *answer = sync->directory->recv(req, sync);
 	enum jt_kv_status status;
 	uint64_t revision;
 
--- a/src/director/jt_environment.h
+++ b/src/director/jt_environment.h
@@ -61,7 +61,7 @@
 };
 
 /* The response to a list, watch or check. */
-struct jt_kv_answer {
+struct jt_kv_response {
 	enum jt_kv_status status;
 	uint64_t revision;
 	bool more;
@@ -95,8 +95,8 @@
 					 uint32_t timeout_ms);
 	/* Returns the response to any of these calls, a talloc child of
 	 * @mem_ctx; NULL only if memory runs out. */
-	struct jt_kv_answer *(*recv)(struct tevent_req *req,
-				     TALLOC_CTX *mem_ctx);
+	struct jt_kv_response *(*recv)(struct tevent_req *req,
+				       TALLOC_CTX *mem_ctx);
 };
 
 /* Queries the identity of an endpoint. */
--- a/src/label/admission/jt_concurrency_limit.c
+++ b/src/label/admission/jt_concurrency_limit.c
@@ -116,7 +116,7 @@
 
 void jt_concurrency_limit_open_flow_answered(struct jt_concurrency_limit *limit)
 {
-	limit->samples.open_flow_answers++;
+	limit->samples.open_flow_responses++;
 }
 
 void jt_concurrency_limit_begun(struct jt_concurrency_limit *limit)
@@ -338,7 +338,8 @@
 	answers_process(limit, service->target_ms);
 	rate_update(&limit->begun_per_s, samples->begun, elapsed_ms);
 	rate_update(&limit->answers_per_s,
-		    samples->answers + samples->open_flow_answers, elapsed_ms);
+		    samples->answers + samples->open_flow_responses,
+		    elapsed_ms);
 	rate_update(&limit->offered_per_s, samples->begun + samples->refused,
 		    elapsed_ms);
 	pressure_update(limit);
--- a/src/label/admission/jt_concurrency_limit.h
+++ b/src/label/admission/jt_concurrency_limit.h
@@ -29,7 +29,7 @@
 	uint32_t rejected; /* responses classified as rejections */
 	/* Responses to requests on open flows, which are bound to an endpoint.
 	 */
-	uint32_t open_flow_answers;
+	uint32_t open_flow_responses;
 	uint32_t begun;	  /* requests forwarded */
 	uint32_t refused; /* first packets refused */
 };
--- a/src/label/jt_choose.c
+++ b/src/label/jt_choose.c
@@ -229,7 +229,7 @@
 void jt_chooser_answered(struct jt_chooser *chooser,
 			 const struct jt_route *route,
 			 struct jt_incarnation *incarnation,
-			 const struct jt_answer *answer, uint64_t now_ms)
+			 const struct jt_response *answer, uint64_t now_ms)
 {
 	struct jt_split *split =
 		route != NULL ? jt_splits_find(chooser->splits, route) : NULL;
--- a/src/label/jt_detector.c
+++ b/src/label/jt_detector.c
@@ -72,7 +72,7 @@
 		return false;
 	if (incarnation->state == JT_INCARNATION_DEAD)
 		return false;
-	if (evidence == JT_EVIDENCE_NO_ANSWER)
+	if (evidence == JT_EVIDENCE_NO_RESPONSE)
 		avoid(incarnation, now_ms);
 	else if (incarnation->suspected_ms == 0)
 		incarnation->suspected_ms = now_ms;
--- a/src/label/jt_detector.h
+++ b/src/label/jt_detector.h
@@ -34,7 +34,7 @@
 	/* A first packet got no response, or the discovery entry was removed:
 	 * the endpoint may be full, shutting down or dead. It is avoided and
 	 * probed. */
-	JT_EVIDENCE_NO_ANSWER,
+	JT_EVIDENCE_NO_RESPONSE,
 	/* A client has retransmitted on an open flow: the packet may be lost,
 	 * or be queued unacknowledged. */
 	JT_EVIDENCE_RETRANSMISSION,
--- a/src/label/jt_director.c
+++ b/src/label/jt_director.c
@@ -1,5 +1,5 @@
 #include "jt_director_admission.h"
-#include "jt_director_answers.h"
+#include "jt_director_responses.h"
 #include "jt_director_expiry.h"
 #include "jt_director_entry.h"
 #include "jt_director_flow.h"
@@ -68,7 +68,7 @@
 		director, opts, director->peer_loads, &director->zone_drains);
 	director->admission = jt_admission_create(director, opts);
 	director->latency = jt_latency_create(director);
-	director->answers = jt_answer_profiles_create(director);
+	director->answers = jt_response_profiles_create(director);
 	if (director->endpoints == NULL || director->flows == NULL ||
 	    director->lookups == NULL || director->chooser == NULL ||
 	    director->latency == NULL || director->peer_loads == NULL ||
@@ -382,7 +382,7 @@
 	}
 	director->routing = talloc_steal(director, routing);
 	jt_splits_prune(director->chooser->splits, routing);
-	jt_answer_profiles_prune(director->answers, routing);
+	jt_response_profiles_prune(director->answers, routing);
 	jt_admission_routing(director->admission, routing);
 	talloc_free((void *)old);
 }
@@ -485,7 +485,7 @@
 		jt_director_flows_expire(director, now_ms);
 		jt_director_openings_check(director, now_ms, actions);
 		jt_director_requests_check(director, now_ms, actions);
-		jt_director_answers_check(director, now_ms, actions);
+		jt_director_responses_check(director, now_ms, actions);
 		jt_director_endpoints_tick(director, now_ms, actions);
 		jt_director_admission_tick(director, now_ms, actions);
 		break;
--- a/src/label/jt_director_entry.c
+++ b/src/label/jt_director_entry.c
@@ -43,7 +43,7 @@
 	if (incarnation->flows > 0 &&
 	    !jt_incarnation_alive_after_outage(incarnation, now_ms))
 		jt_director_suspect(director, incarnation,
-				    JT_EVIDENCE_NO_ANSWER, now_ms, actions);
+				    JT_EVIDENCE_NO_RESPONSE, now_ms, actions);
 }
 
 void jt_director_entry_unreadable(struct jt_director *director, uint64_t id,
--- a/src/label/jt_director_expiry.c
+++ b/src/label/jt_director_expiry.c
@@ -1,5 +1,5 @@
 #include "jt_director_expiry.h"
-#include "jt_director_answers.h"
+#include "jt_director_responses.h"
 #include "jt_director_flow.h"
 #include "jt_director_suspicion.h"
 #include "jt_outlier.h"
--- a/src/label/jt_director_flow.c
+++ b/src/label/jt_director_flow.c
@@ -114,7 +114,7 @@
 		if (flow->label != incarnation->earlier_label)
 			continue;
 		jt_flow_cache_answered(director->flows, flow);
-		jt_flow_cache_answer_end(director->flows, flow);
+		jt_flow_cache_response_end(director->flows, flow);
 		flow->resent = 0;
 		flow->expected = false;
 		flow->suspected = true;
--- a/src/label/jt_director_packet.c
+++ b/src/label/jt_director_packet.c
@@ -1,7 +1,7 @@
 /* Decides what happens to one client packet. */
 #include "jt_director_packet.h"
 #include "jt_director_admission.h"
-#include "jt_director_answers.h"
+#include "jt_director_responses.h"
 #include "jt_director_flow.h"
 #include "jt_director_lookup.h"
 #include "jt_director_suspicion.h"
@@ -116,7 +116,7 @@
 	if (flow->waiting_ms != 0)
 		return;
 	jt_flow_cache_waits(director->flows, flow, now_ms);
-	flow->answer_from = flow->acknowledged;
+	flow->response_from = flow->acknowledged;
 	jt_admission_requested(director->admission,
 			       incarnation->entry.service_id, now_ms);
 	incarnation->waiting++;
@@ -269,7 +269,7 @@
 	if (retransmitted &&
 	    jt_incarnation_owns_flow(incarnation, flow->label)) {
 		jt_director_suspect(director, incarnation,
-				    JT_EVIDENCE_NO_ANSWER, now_ms, actions);
+				    JT_EVIDENCE_NO_RESPONSE, now_ms, actions);
 	}
 	forward_add(director, packet, incarnation, JT_DIRECTOR_REMEMBERED,
 		    now_ms, actions);
@@ -376,15 +376,15 @@
 		if (flow->opening_ms != 0)
 			flow_opened(director, flow, incarnation, now_ms);
 		else
-			jt_director_answer_progress(director, flow, incarnation,
-						    packet, now_ms);
+			jt_director_response_progress(
+				director, flow, incarnation, packet, now_ms);
 		flow->answered = flow->answered || flow->opening_ms == 0;
 		jt_flow_cache_opened(director->flows, flow);
 	}
 	if (packet->length == 0)
 		return;
 	if (sequence_after(end, flow->sequence_end)) {
-		jt_director_answer_end(director, flow, incarnation, now_ms);
+		jt_director_response_end(director, flow, incarnation, now_ms);
 		flow->sequence_end = end;
 		flow->sent_ms = now_ms;
 		if (flow->waiting_ms == 0) {
@@ -416,7 +416,7 @@
 	}
 	if (flow->closing || !(packet->flags & JT_PACKET_FIN))
 		return;
-	jt_director_answer_end(director, flow, incarnation, now_ms);
+	jt_director_response_end(director, flow, incarnation, now_ms);
 	flow->closing = true;
 	if (jt_incarnation_owns_flow(incarnation, flow->label) &&
 	    incarnation->flows > 0)
@@ -553,7 +553,7 @@
 	bool first = packet->flags & JT_PACKET_SYN;
 
 	jt_director_openings_check(director, now_ms, actions);
-	jt_director_answers_check(director, now_ms, actions);
+	jt_director_responses_check(director, now_ms, actions);
 	if (packet->held_ms >=
 	    (first ? JT_CLIENT_OPEN_TIMEOUT_MS : HOLD_MAX_MS)) {
 		drop_add(director, packet, JT_DIRECTOR_INITIAL_SYNC, actions);
--- a/src/label/jt_director_private.h
+++ b/src/label/jt_director_private.h
@@ -3,7 +3,7 @@
 #define JT_DIRECTOR_PRIVATE_H
 
 #include "jaspertrack/director.h"
-#include "jt_answer_profile.h"
+#include "jt_response_profile.h"
 #include "jt_admission.h"
 #include "jt_choose.h"
 #include "jt_detector.h"
@@ -40,8 +40,8 @@
 	struct jt_admission *admission;
 	struct jt_detector detector;
 	struct jt_latency *latency;
-	struct jt_answer_profiles *answers;
-	uint64_t answers_checked_ms; /* last check for complete responses */
+	struct jt_response_profiles *answers;
+	uint64_t responses_checked_ms; /* last check for complete responses */
 	struct jt_failure_reports failure_reports;
 	struct jt_peer_loads *peer_loads;
 	struct jt_random random;
--- a/src/label/jt_director_answers.c
+++ b/src/label/jt_director_responses.c
@@ -1,4 +1,4 @@
-#include "jt_director_answers.h"
+#include "jt_director_responses.h"
 #include "jt_feature.h"
 #include "jt_outlier.h"
 
@@ -19,19 +19,19 @@
 				 struct jt_incarnation *incarnation,
 				 uint64_t now_ms)
 {
-	const struct jt_answer answer = {
-		.took_ms = (double)flow->answer_took_ms - director->open_ms,
-		.single_segment = flow->answer_single_segment,
+	const struct jt_response answer = {
+		.took_ms = (double)flow->response_took_ms - director->open_ms,
+		.single_segment = flow->response_single_segment,
 	};
 
-	jt_outlier_answered(incarnation, flow->answer_took_ms);
+	jt_outlier_answered(incarnation, flow->response_took_ms);
 	jt_chooser_answered(director->chooser,
 			    jt_routing_route(director->routing, &flow->key),
 			    incarnation, &answer, now_ms);
 }
 
 /* Returns NULL if response lengths are not evaluated. */
-static struct jt_answer_profile *
+static struct jt_response_profile *
 profile_find(struct jt_director *director, const struct jt_cached_flow *flow,
 	     const struct jt_incarnation *incarnation)
 {
@@ -40,15 +40,15 @@
 
 	if (route == NULL ||
 	    !jt_feature_enabled(director->options.disabled_features,
-				JT_FEATURE_SHORT_ANSWERS))
+				JT_FEATURE_SHORT_RESPONSES))
 		return NULL;
-	return jt_answer_profiles_find(director->answers, route,
-				       incarnation->entry.service_id);
+	return jt_response_profiles_find(director->answers, route,
+					 incarnation->entry.service_id);
 }
 
 static uint32_t response_bytes(const struct jt_cached_flow *flow)
 {
-	return flow->acknowledged - flow->answer_from;
+	return flow->acknowledged - flow->response_from;
 }
 
 /* Records the response time once the response is too long to be an error: an
@@ -58,31 +58,32 @@
 				struct jt_incarnation *incarnation,
 				uint64_t now_ms)
 {
-	const struct jt_answer_profile *profile;
+	const struct jt_response_profile *profile;
 
-	if (flow->answer_counted)
+	if (flow->response_counted)
 		return;
 	profile = profile_find(director, flow, incarnation);
-	if (profile != NULL && jt_answer_is_short(profile, response_bytes(flow),
-						  flow->answer_took_ms))
+	if (profile != NULL &&
+	    jt_response_is_short(profile, response_bytes(flow),
+				 flow->response_took_ms))
 		return;
-	flow->answer_counted = true;
+	flow->response_counted = true;
 	response_time_record(director, flow, incarnation, now_ms);
 }
 
-void jt_director_answer_progress(struct jt_director *director,
-				 struct jt_cached_flow *flow,
-				 struct jt_incarnation *incarnation,
-				 const struct jt_label_packet *packet,
-				 uint64_t now_ms)
+void jt_director_response_progress(struct jt_director *director,
+				   struct jt_cached_flow *flow,
+				   struct jt_incarnation *incarnation,
+				   const struct jt_label_packet *packet,
+				   uint64_t now_ms)
 {
 	if (flow->waiting_ms != 0) {
-		flow->answer_took_ms = (uint32_t)(now_ms - flow->waiting_ms);
-		flow->answer_single_segment =
+		flow->response_took_ms = (uint32_t)(now_ms - flow->waiting_ms);
+		flow->response_single_segment =
 			packet->length == 0 &&
 			response_bytes(flow) <= SEGMENT_BYTES;
-		flow->answer_counted = false;
-		jt_latency_add(director->latency, flow->answer_took_ms);
+		flow->response_counted = false;
+		jt_latency_add(director->latency, flow->response_took_ms);
 		jt_admission_answered(director->admission,
 				      incarnation->entry.service_id,
 				      flow->waiting_ms, response_bytes(flow),
@@ -90,7 +91,7 @@
 		jt_flow_cache_answered(director->flows, flow);
 		if (incarnation->waiting > 0)
 			incarnation->waiting--;
-	} else if (flow->answer_seen_ms == 0) {
+	} else if (flow->response_seen_ms == 0) {
 		return;
 	}
 	jt_flow_cache_answering(director->flows, flow, now_ms);
@@ -118,36 +119,37 @@
 }
 
 /* Responses of an endpoint that is known to fail don't count as usual. */
-static void profile_update(struct jt_answer_profile *profile,
+static void profile_update(struct jt_response_profile *profile,
 			   const struct jt_cached_flow *flow,
 			   const struct jt_incarnation *incarnation,
 			   uint64_t now_ms)
 {
 	if (profile != NULL && jt_outlier_share_permille(incarnation, now_ms) ==
 				       JT_FULL_SHARE_PERMILLE)
-		jt_answer_profile_update(profile, response_bytes(flow),
-					 flow->answer_took_ms, now_ms);
+		jt_response_profile_update(profile, response_bytes(flow),
+					   flow->response_took_ms, now_ms);
 }
 
-void jt_director_answer_end(struct jt_director *director,
-			    struct jt_cached_flow *flow,
-			    struct jt_incarnation *incarnation, uint64_t now_ms)
+void jt_director_response_end(struct jt_director *director,
+			      struct jt_cached_flow *flow,
+			      struct jt_incarnation *incarnation,
+			      uint64_t now_ms)
 {
-	struct jt_answer_profile *profile;
+	struct jt_response_profile *profile;
 	double weight, served_weight;
 
-	if (flow->answer_seen_ms == 0)
+	if (flow->response_seen_ms == 0)
 		return;
 	profile = profile_find(director, flow, incarnation);
-	jt_flow_cache_answer_end(director->flows, flow);
+	jt_flow_cache_response_end(director->flows, flow);
 	if (profile == NULL ||
-	    !jt_answer_is_short(profile, response_bytes(flow),
-				flow->answer_took_ms)) {
+	    !jt_response_is_short(profile, response_bytes(flow),
+				  flow->response_took_ms)) {
 		profile_update(profile, flow, incarnation, now_ms);
 		served_record(director, incarnation, now_ms);
 		return;
 	}
-	weight = jt_answer_failure(profile);
+	weight = jt_response_failure(profile);
 	profile_update(profile, flow, incarnation, now_ms);
 	if (weight == 0)
 		return;
@@ -171,26 +173,26 @@
 		jt_director_action_add(actions, JT_DIRECTOR_FAILURES, 0);
 }
 
-void jt_director_answers_check(struct jt_director *director, uint64_t now_ms,
-			       struct jt_director_actions *actions)
+void jt_director_responses_check(struct jt_director *director, uint64_t now_ms,
+				 struct jt_director_actions *actions)
 {
 	struct jt_cached_flow *flow = director->flows->answering;
 
 	/* Most packets end no response: checks at most once per interval. */
-	if (now_ms - director->answers_checked_ms < RESPONSES_CHECK_MS)
+	if (now_ms - director->responses_checked_ms < RESPONSES_CHECK_MS)
 		return;
-	director->answers_checked_ms = now_ms;
+	director->responses_checked_ms = now_ms;
 	while (flow != NULL &&
-	       now_ms - flow->answer_seen_ms >= RESPONSE_IDLE_MS) {
+	       now_ms - flow->response_seen_ms >= RESPONSE_IDLE_MS) {
 		struct jt_cached_flow *next = flow->answering_next;
 		struct jt_incarnation *incarnation = jt_endpoint_table_by_label(
 			director->endpoints, flow->label);
 
 		if (incarnation != NULL)
-			jt_director_answer_end(director, flow, incarnation,
-					       now_ms);
+			jt_director_response_end(director, flow, incarnation,
+						 now_ms);
 		else
-			jt_flow_cache_answer_end(director->flows, flow);
+			jt_flow_cache_response_end(director->flows, flow);
 		flow = next;
 	}
 	failure_report_check(director, now_ms, actions);
--- a/src/label/jt_director_suspicion.c
+++ b/src/label/jt_director_suspicion.c
@@ -29,7 +29,7 @@
 			     enum jt_evidence evidence)
 {
 	return jt_feature_enabled(director->options.disabled_features,
-				  evidence == JT_EVIDENCE_NO_ANSWER
+				  evidence == JT_EVIDENCE_NO_RESPONSE
 					  ? JT_FEATURE_SUSPECT_UNANSWERED
 					  : JT_FEATURE_SUSPECT_RETRANSMISSION);
 }
@@ -57,7 +57,7 @@
 	flow->suspected = true;
 	if (incarnation != NULL)
 		jt_director_suspect(director, incarnation,
-				    JT_EVIDENCE_NO_ANSWER, now_ms, actions);
+				    JT_EVIDENCE_NO_RESPONSE, now_ms, actions);
 }
 
 /* Returns the time after which the response to a SYN is overdue. */
--- a/src/label/jt_flow_cache.c
+++ b/src/label/jt_flow_cache.c
@@ -113,17 +113,17 @@
 void jt_flow_cache_answering(struct jt_flow_cache *cache,
 			     struct jt_cached_flow *flow, uint64_t now_ms)
 {
-	jt_flow_cache_answer_end(cache, flow);
-	flow->answer_seen_ms = now_ms;
+	jt_flow_cache_response_end(cache, flow);
+	flow->response_seen_ms = now_ms;
 	DL_APPEND2(cache->answering, flow, answering_prev, answering_next);
 }
 
-void jt_flow_cache_answer_end(struct jt_flow_cache *cache,
-			      struct jt_cached_flow *flow)
+void jt_flow_cache_response_end(struct jt_flow_cache *cache,
+				struct jt_cached_flow *flow)
 {
-	if (flow->answer_seen_ms == 0)
+	if (flow->response_seen_ms == 0)
 		return;
-	flow->answer_seen_ms = 0;
+	flow->response_seen_ms = 0;
 	DL_DELETE2(cache->answering, flow, answering_prev, answering_next);
 }
 
@@ -132,7 +132,7 @@
 {
 	jt_flow_cache_opened(cache, flow);
 	jt_flow_cache_answered(cache, flow);
-	jt_flow_cache_answer_end(cache, flow);
+	jt_flow_cache_response_end(cache, flow);
 	HASH_DEL(cache->flows, flow);
 	DL_DELETE2(cache->idle, flow, older, newer);
 	cache->count--;
--- a/src/label/jt_flow_cache.h
+++ b/src/label/jt_flow_cache.h
@@ -21,16 +21,16 @@
 	uint32_t acknowledged; /* highest acknowledgement of the client */
 	uint64_t first_seen_ms;
 	uint64_t seen_ms;
-	uint64_t waiting_ms;  /* since when a request is pending; 0: none */
-	uint32_t answer_from; /* acknowledgement when that request arrived */
+	uint64_t waiting_ms;	/* since when a request is pending; 0: none */
+	uint32_t response_from; /* acknowledgement when that request arrived */
 	/* When the client last acknowledged more of a response that has not
 	 * ended yet; 0: no response is in progress. */
-	uint64_t answer_seen_ms;
+	uint64_t response_seen_ms;
 	/* From the request to the first response bytes. */
-	uint32_t answer_took_ms;
-	bool answer_counted; /* its response time has been recorded */
+	uint32_t response_took_ms;
+	bool response_counted; /* its response time has been recorded */
 	/* The first response bytes fitted into one segment. */
-	bool answer_single_segment;
+	bool response_single_segment;
 	bool overdue; /* the pending response is known to be overdue */
 	/* When its first SYN arrived; 0: the flow is open. */
 	uint64_t opening_ms;
@@ -92,8 +92,8 @@
 void jt_flow_cache_answering(struct jt_flow_cache *cache,
 			     struct jt_cached_flow *flow, uint64_t now_ms);
 /* Marks the response as complete. */
-void jt_flow_cache_answer_end(struct jt_flow_cache *cache,
-			      struct jt_cached_flow *flow);
+void jt_flow_cache_response_end(struct jt_flow_cache *cache,
+				struct jt_cached_flow *flow);
 /* Removes and frees the flow. */
 void jt_flow_cache_remove(struct jt_flow_cache *cache,
 			  struct jt_cached_flow *flow);
--- a/src/label/jt_outlier.h
+++ b/src/label/jt_outlier.h
@@ -1,7 +1,7 @@
 /*
  * Outlier detection: finds endpoints that seem alive but fail requests. They
  * leave requests unanswered, or answer with far less data than the route's
- * usual response (jt_answer_profile.h).
+ * usual response (jt_response_profile.h).
  *
  * Failures seen by all nodes are added up for each endpoint and decay with
  * time. An endpoint's failure rate is compared with that of the better quarter
--- a/src/label/jt_answer_profile.c
+++ b/src/label/jt_response_profile.c
@@ -1,4 +1,4 @@
-#include "jt_answer_profile.h"
+#include "jt_response_profile.h"
 #include "jt_routing.h"
 
 #include <math.h>
@@ -30,27 +30,27 @@
 	FAST_FACTOR = 4,
 };
 
-static int profiles_destructor(struct jt_answer_profiles *profiles)
+static int profiles_destructor(struct jt_response_profiles *profiles)
 {
 	HASH_CLEAR(hh, profiles->profiles);
 	return 0;
 }
 
-struct jt_answer_profiles *jt_answer_profiles_create(TALLOC_CTX *mem_ctx)
+struct jt_response_profiles *jt_response_profiles_create(TALLOC_CTX *mem_ctx)
 {
-	struct jt_answer_profiles *profiles =
-		talloc_zero(mem_ctx, struct jt_answer_profiles);
+	struct jt_response_profiles *profiles =
+		talloc_zero(mem_ctx, struct jt_response_profiles);
 
 	if (profiles != NULL)
 		talloc_set_destructor(profiles, profiles_destructor);
 	return profiles;
 }
 
-struct jt_answer_profile *
-jt_answer_profiles_find(struct jt_answer_profiles *profiles,
-			const struct jt_route *route, uint32_t service_id)
+struct jt_response_profile *
+jt_response_profiles_find(struct jt_response_profiles *profiles,
+			  const struct jt_route *route, uint32_t service_id)
 {
-	struct jt_answer_profile *profile, wanted;
+	struct jt_response_profile *profile, wanted;
 
 	memset(&wanted, 0, sizeof(wanted));
 	wanted.key.address.ip = route->address.ip;
@@ -60,7 +60,7 @@
 		  profile);
 	if (profile != NULL)
 		return profile;
-	profile = talloc_zero(profiles, struct jt_answer_profile);
+	profile = talloc_zero(profiles, struct jt_response_profile);
 	if (profile == NULL)
 		return NULL;
 	memcpy(&profile->key, &wanted.key, sizeof(wanted.key));
@@ -68,10 +68,10 @@
 	return profile;
 }
 
-void jt_answer_profiles_prune(struct jt_answer_profiles *profiles,
-			      const struct jt_routing *routing)
+void jt_response_profiles_prune(struct jt_response_profiles *profiles,
+				const struct jt_routing *routing)
 {
-	struct jt_answer_profile *profile, *next;
+	struct jt_response_profile *profile, *next;
 
 	for (profile = profiles->profiles; profile != NULL; profile = next) {
 		struct jt_flow_key key = {
@@ -87,8 +87,8 @@
 	}
 }
 
-bool jt_answer_is_short(const struct jt_answer_profile *profile, uint32_t bytes,
-			uint64_t took_ms)
+bool jt_response_is_short(const struct jt_response_profile *profile,
+			  uint32_t bytes, uint64_t took_ms)
 {
 	double usual = exp(profile->log_bytes);
 
@@ -99,14 +99,14 @@
 }
 
 /* Returns the upper confidence bound of the short fraction. */
-static double short_fraction_bound(const struct jt_answer_profile *profile)
+static double short_fraction_bound(const struct jt_response_profile *profile)
 {
 	double part = profile->short_part;
 
 	return part + sqrt(part * (1 - part) / profile->answers);
 }
 
-double jt_answer_failure(const struct jt_answer_profile *profile)
+double jt_response_failure(const struct jt_response_profile *profile)
 {
 	double confidence;
 
@@ -117,7 +117,7 @@
 }
 
 /* Returns the weight of the current response in slowly changing averages. */
-static double averaging_weight(const struct jt_answer_profile *profile,
+static double averaging_weight(const struct jt_response_profile *profile,
 			       uint64_t now_ms)
 {
 	double part =
@@ -128,7 +128,7 @@
 
 /* Updates the usual length. Short responses change it slowly, because the
  * route's responses may have become shorter permanently. */
-static void length_update(struct jt_answer_profile *profile, double log_bytes,
+static void length_update(struct jt_response_profile *profile, double log_bytes,
 			  bool is_short, double update_weight)
 {
 	if (is_short)
@@ -143,10 +143,11 @@
 		profile->log_bytes -= LENGTH_STEP * (1 - USUAL_QUANTILE);
 }
 
-void jt_answer_profile_update(struct jt_answer_profile *profile, uint32_t bytes,
-			      uint64_t took_ms, uint64_t now_ms)
+void jt_response_profile_update(struct jt_response_profile *profile,
+				uint32_t bytes, uint64_t took_ms,
+				uint64_t now_ms)
 {
-	bool is_short = jt_answer_is_short(profile, bytes, took_ms);
+	bool is_short = jt_response_is_short(profile, bytes, took_ms);
 	double update_weight = averaging_weight(profile, now_ms), part;
 
 	profile->updated_ms = now_ms;
--- a/src/label/jt_answer_profile.h
+++ b/src/label/jt_response_profile.h
@@ -7,15 +7,15 @@
  * The response time alone is no indication either: a fast endpoint may just be
  * idle.
  */
-#ifndef JT_ANSWER_PROFILE_H
-#define JT_ANSWER_PROFILE_H
+#ifndef JT_RESPONSE_PROFILE_H
+#define JT_RESPONSE_PROFILE_H
 
 #include "jaspertrack/director-t.h"
 
 #include <uthash.h>
 
 /* Profile of the responses of one service on one route. */
-struct jt_answer_profile {
+struct jt_response_profile {
 	struct {
 		struct jt_address address; /* of the route */
 		uint32_t service_id;
@@ -28,24 +28,24 @@
 	UT_hash_handle hh;
 };
 
-struct jt_answer_profiles {
-	struct jt_answer_profile *profiles; /* hash by key */
+struct jt_response_profiles {
+	struct jt_response_profile *profiles; /* hash by key */
 };
 
 /* Returns NULL when out of memory. */
-struct jt_answer_profiles *jt_answer_profiles_create(TALLOC_CTX *mem_ctx);
+struct jt_response_profiles *jt_response_profiles_create(TALLOC_CTX *mem_ctx);
 /* Returns the profile, creating it if needed; NULL when out of memory. */
-struct jt_answer_profile *
-jt_answer_profiles_find(struct jt_answer_profiles *profiles,
-			const struct jt_route *route, uint32_t service_id);
+struct jt_response_profile *
+jt_response_profiles_find(struct jt_response_profiles *profiles,
+			  const struct jt_route *route, uint32_t service_id);
 /* Removes the profiles of routes that are not in @routing. */
-void jt_answer_profiles_prune(struct jt_answer_profiles *profiles,
-			      const struct jt_routing *routing);
+void jt_response_profiles_prune(struct jt_response_profiles *profiles,
+				const struct jt_routing *routing);
 
 /* Returns true if a response of @bytes after @took_ms is much shorter than
  * usual. */
-bool jt_answer_is_short(const struct jt_answer_profile *profile, uint32_t bytes,
-			uint64_t took_ms);
+bool jt_response_is_short(const struct jt_response_profile *profile,
+			  uint32_t bytes, uint64_t took_ms);
 /*
  * Returns the probability, up to 1, that a short response is a failure; 0 while
  * there are too few responses. JT_FAILURE_UNSURE where short ones are common:
@@ -53,9 +53,10 @@
  * others.
  */
 #define JT_FAILURE_UNSURE 0.2
-double jt_answer_failure(const struct jt_answer_profile *profile);
+double jt_response_failure(const struct jt_response_profile *profile);
 /* Updates the profile with a complete response. */
-void jt_answer_profile_update(struct jt_answer_profile *profile, uint32_t bytes,
-			      uint64_t took_ms, uint64_t now_ms);
+void jt_response_profile_update(struct jt_response_profile *profile,
+				uint32_t bytes, uint64_t took_ms,
+				uint64_t now_ms);
 
 #endif
--- a/src/label/jt_response_ratio.c
+++ b/src/label/jt_response_ratio.c
@@ -45,7 +45,7 @@
 }
 
 double jt_usual_response_time_correct(struct jt_usual_response_time *usual,
-				      const struct jt_answer *answer)
+				      const struct jt_response *answer)
 {
 	bool prompt = answer->took_ms < DELAYED_ACK_MS;
 
--- a/src/label/jt_response_ratio.h
+++ b/src/label/jt_response_ratio.h
@@ -33,7 +33,7 @@
 };
 
 /* A response as seen through the client's acknowledgement. */
-struct jt_answer {
+struct jt_response {
 	double took_ms;	     /* since the request, without network delay */
 	bool single_segment; /* true if it fitted into one segment */
 };
@@ -41,7 +41,7 @@
 /* Returns the time that the endpoint took for the response, corrected for the
  * delayed acknowledgement of a single segment. */
 double jt_usual_response_time_correct(struct jt_usual_response_time *usual,
-				      const struct jt_answer *answer);
+				      const struct jt_response *answer);
 /* Records a response time of @took_ms milliseconds. Returns the logarithm of
  * its ratio to the previous usual time, bounded. */
 double jt_usual_response_time_update(struct jt_usual_response_time *usual,
--- a/src/label/jt_target.c
+++ b/src/label/jt_target.c
@@ -113,7 +113,7 @@
 void jt_target_answered(const struct jt_target *target,
 			struct jt_usual_response_time *kind,
 			struct jt_incarnation *in,
-			const struct jt_answer *answer, uint64_t now_ms)
+			const struct jt_response *answer, uint64_t now_ms)
 {
 	struct jt_service_pool *pool = in->pool;
 	double took_ms = jt_usual_response_time_correct(kind, answer);
--- a/src/proto/jt_director_proto.h
+++ b/src/proto/jt_director_proto.h
@@ -65,7 +65,7 @@
 
 enum jt_wire_suspicion_kind {
 	JT_WIRE_DECLARED_DEAD = 1,
-	JT_WIRE_ANSWERS_OVERDUE = 2,
+	JT_WIRE_RESPONSES_OVERDUE = 2,
 };
 typedef enum jt_wire_suspicion_kind jt_wire_suspicion_kind;
 
--- a/src/proto/jt_director_proto.x
+++ b/src/proto/jt_director_proto.x
@@ -62,7 +62,7 @@
 /* Kinds of failure reports about an endpoint. */
 enum jt_wire_suspicion_kind {
 	JT_WIRE_DECLARED_DEAD = 1,  /* by the sender */
-	JT_WIRE_ANSWERS_OVERDUE = 2 /* alive, but responses are overdue */
+	JT_WIRE_RESPONSES_OVERDUE = 2 /* alive, but responses are overdue */
 };
 
 struct jt_wire_suspicion {
--- a/src/store/jt_store.c
+++ b/src/store/jt_store.c
@@ -117,7 +117,7 @@
 	} else {
 		state->answer = json_loads(body, 0, NULL);
 		state->result =
-			state->answer ? JT_STORE_OK : JT_STORE_BAD_ANSWER;
+			state->answer ? JT_STORE_OK : JT_STORE_BAD_RESPONSE;
 	}
 	tevent_req_done(req);
 }
@@ -188,7 +188,7 @@
 		list = json_object_get(state->answer, "kvs");
 		if (json_array_size(list) > 0 &&
 		    !value_from_json(mem_ctx, json_array_get(list, 0), value))
-			result = JT_STORE_BAD_ANSWER;
+			result = JT_STORE_BAD_RESPONSE;
 	}
 	tevent_req_received(req);
 	return result;
--- a/src/store/jt_store.h
+++ b/src/store/jt_store.h
@@ -11,8 +11,8 @@
 	JT_STORE_OK,
 	JT_STORE_FAILED_COMPARE, /* the key was modified concurrently */
 	JT_STORE_REFUSED,	 /* rate limit or error: it was not applied */
-	JT_STORE_LOST,	     /* no response: a write may have been applied */
-	JT_STORE_BAD_ANSWER, /* the response could not be parsed */
+	JT_STORE_LOST,	       /* no response: a write may have been applied */
+	JT_STORE_BAD_RESPONSE, /* the response could not be parsed */
 };
 
 struct jt_store_value {
--- a/tests/test_choice.c
+++ b/tests/test_choice.c
@@ -270,8 +270,8 @@
 static void test_delayed_acknowledgements(void **state)
 {
 	struct jt_usual_response_time delaying = {0}, prompt = {0};
-	const struct jt_answer delayed = {70, true}, full = {70, false},
-			       prompt_answer = {25, true};
+	const struct jt_response delayed = {70, true}, full = {70, false},
+				 prompt_answer = {25, true};
 
 	(void)state;
 	for (int i = 0; i < 50; i++) {
--- a/tests/test_endpoint_health.c
+++ b/tests/test_endpoint_health.c
@@ -2,7 +2,7 @@
  * shares of new flows, as nodes observe answers and exchange failure reports.
  */
 #include "director_fixture.h"
-#include "jt_answer_profile.h"
+#include "jt_response_profile.h"
 #include "jt_failure_reports.h"
 #include "jt_random.h"
 
@@ -469,30 +469,30 @@
 	talloc_free(cluster);
 }
 
-static struct jt_answer_profile *typical_profile(void)
+static struct jt_response_profile *typical_profile(void)
 {
-	struct jt_answer_profile *profile =
-		talloc_zero(NULL, struct jt_answer_profile);
+	struct jt_response_profile *profile =
+		talloc_zero(NULL, struct jt_response_profile);
 
 	for (uint64_t i = 0; i < 200; i++)
-		jt_answer_profile_update(profile, TYPICAL_BYTES, TYPICAL_MS,
-					 1000 + i * 10);
+		jt_response_profile_update(profile, TYPICAL_BYTES, TYPICAL_MS,
+					   1000 + i * 10);
 	return profile;
 }
 
 static void test_short_answer_classification(void **state)
 {
-	struct jt_answer_profile *profile = typical_profile();
+	struct jt_response_profile *profile = typical_profile();
 
 	(void)state;
-	assert_true(jt_answer_is_short(profile, 150, 2));
-	assert_true(jt_answer_is_short(profile, 150, 100));
+	assert_true(jt_response_is_short(profile, 150, 2));
+	assert_true(jt_response_is_short(profile, 150, 100));
 	/* Moderately short answers count only if they are implausibly fast. */
-	assert_true(jt_answer_is_short(profile, 500, 2));
-	assert_false(jt_answer_is_short(profile, 500, 20));
+	assert_true(jt_response_is_short(profile, 500, 2));
+	assert_false(jt_response_is_short(profile, 500, 20));
 	/* Neither fast nor long answers alone count as failures. */
-	assert_false(jt_answer_is_short(profile, TYPICAL_BYTES, 1));
-	assert_false(jt_answer_is_short(profile, 20000, 1));
+	assert_false(jt_response_is_short(profile, TYPICAL_BYTES, 1));
+	assert_false(jt_response_is_short(profile, 20000, 1));
 	talloc_free(profile);
 }
 
@@ -500,23 +500,23 @@
  * typical after some minutes. */
 static void test_answer_profile_is_learned(void **state)
 {
-	struct jt_answer_profile *profile =
-		talloc_zero(NULL, struct jt_answer_profile);
+	struct jt_response_profile *profile =
+		talloc_zero(NULL, struct jt_response_profile);
 	uint64_t now_ms = 1000;
 
 	(void)state;
-	assert_false(jt_answer_is_short(profile, 1, 1));
+	assert_false(jt_response_is_short(profile, 1, 1));
 	talloc_free(profile);
 	profile = typical_profile();
-	assert_float_equal(jt_answer_failure(profile), 1, 0);
+	assert_float_equal(jt_response_failure(profile), 1, 0);
 	for (now_ms = 3000; now_ms < 5000; now_ms += 100)
-		jt_answer_profile_update(profile, 150, 5, now_ms);
-	assert_true(jt_answer_is_short(profile, 150, 5));
-	assert_in_range((unsigned)(jt_answer_failure(profile) * 1000), 500,
+		jt_response_profile_update(profile, 150, 5, now_ms);
+	assert_true(jt_response_is_short(profile, 150, 5));
+	assert_in_range((unsigned)(jt_response_failure(profile) * 1000), 500,
 			900);
 	for (; now_ms < 303000; now_ms += 100)
-		jt_answer_profile_update(profile, 150, 5, now_ms);
-	assert_false(jt_answer_is_short(profile, 150, 5));
+		jt_response_profile_update(profile, 150, 5, now_ms);
+	assert_false(jt_response_is_short(profile, 150, 5));
 	talloc_free(profile);
 }
 
--- a/tests/test_feature_switches.c
+++ b/tests/test_feature_switches.c
@@ -238,7 +238,7 @@
 	for (int off = 0; off < 2; off++) {
 		struct fixture *fixture =
 			fixture_add_two_endpoints(fixture_create_with_disabled(
-				0, off ? JT_FEATURE_SHORT_ANSWERS : 0));
+				0, off ? JT_FEATURE_SHORT_RESPONSES : 0));
 		struct client_flow bad, good;
 
 		open_flow_at_each(fixture, &bad, &good);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -395,7 +395,8 @@
 /* Malformed items of a page must not affect the other items or paging. */
 static void test_malformed_items_do_not_affect_others(void **state)
 {
-	struct jt_kv_answer *answer = talloc_zero(NULL, struct jt_kv_answer);
+	struct jt_kv_response *answer =
+		talloc_zero(NULL, struct jt_kv_response);
 	char *text = make_entry("", NULL), *body;
 	json_t *good = make_item("servers/i-2", text);
 	json_t *page = json_pack(
@@ -408,7 +409,7 @@
 	(void)state;
 	assert_non_null(page);
 	body = json_dumps(page, 0);
-	jt_platform_answer_parse(answer, body);
+	jt_platform_response_parse(answer, body);
 	assert_int_equal(answer->status, JT_KV_OK);
 	assert_int_equal(answer->revision, 500);
 	assert_true(answer->more);
