--- a/fuzz/fuzz_document.c
+++ b/fuzz/fuzz_document.c
@@ -119,7 +119,7 @@
 /* Checks a page that has @item between two valid entries. */
 static void check_page(json_t *item)
 {
-	struct jt_kv_response *answer =
+	struct jt_kv_response *response =
 		talloc_zero(NULL, struct jt_kv_response);
 	json_t *page = json_pack("{s:i, s:b, s:[o, O, o]}", "at", REVISION,
 				 "more", 1, "items", valid_item("servers/i-a1"),
@@ -127,35 +127,35 @@
 	char *body = json_dumps(page, 0);
 	const struct jt_directory_change *last;
 
-	jt_platform_response_parse(answer, body);
-	if (answer->status != JT_KV_OK || answer->change_count < 2 ||
-	    strcmp(answer->last_key, "servers/i-a2") != 0)
+	jt_platform_response_parse(response, body);
+	if (response->status != JT_KV_OK || response->change_count < 2 ||
+	    strcmp(response->last_key, "servers/i-a2") != 0)
 		abort();
-	for (size_t i = 0; i < answer->change_count; i++)
-		check_change(&answer->changes[i]);
-	last = &answer->changes[answer->change_count - 1];
-	if (answer->changes[0].kind != JT_DIRECTORY_CHANGE_ENDPOINT ||
-	    answer->changes[0].endpoint.id != 0xa1 ||
+	for (size_t i = 0; i < response->change_count; i++)
+		check_change(&response->changes[i]);
+	last = &response->changes[response->change_count - 1];
+	if (response->changes[0].kind != JT_DIRECTORY_CHANGE_ENDPOINT ||
+	    response->changes[0].endpoint.id != 0xa1 ||
 	    last->kind != JT_DIRECTORY_CHANGE_ENDPOINT ||
 	    last->endpoint.id != 0xa2)
 		abort();
 	free(body);
 	json_decref(page);
-	talloc_free(answer);
+	talloc_free(response);
 }
 
 /* Parses the input as the body of a whole response. */
 static void check_body(const struct input *input)
 {
-	struct jt_kv_response *answer =
+	struct jt_kv_response *response =
 		talloc_zero(NULL, struct jt_kv_response);
-	char *body = talloc_strndup(answer, (const char *)input->data,
+	char *body = talloc_strndup(response, (const char *)input->data,
 				    input->remaining);
 
-	jt_platform_response_parse(answer, body);
-	for (size_t i = 0; i < answer->change_count; i++)
-		check_change(&answer->changes[i]);
-	talloc_free(answer);
+	jt_platform_response_parse(response, body);
+	for (size_t i = 0; i < response->change_count; i++)
+		check_change(&response->changes[i]);
+	talloc_free(response);
 }
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
--- a/include/jaspertrack/director-t.h
+++ b/include/jaspertrack/director-t.h
@@ -448,7 +448,7 @@
 	uint64_t entries_refused;
 	uint64_t resent;	    /* retransmitted packets */
 	uint64_t overdue;	    /* requests with overdue responses */
-	uint64_t short_answers;	    /* short responses counted as failures */
+	uint64_t short_responses;   /* short responses counted as failures */
 	uint64_t failures_sent;	    /* endpoints in failure reports sent */
 	uint64_t failures_received; /* endpoints in failure reports received */
 	uint64_t shares_reduced;
--- a/src/daemon/jt_config_sync.c
+++ b/src/daemon/jt_config_sync.c
@@ -9,8 +9,8 @@
 enum {
 	RETRY_MIN_MS = 300,
 	RETRY_MAX_MS = 8000,
-	WRITE_ANSWER_TIMEOUT_MS = 4000, /* limit for answering the request */
-	WRITE_RETRY_LIMIT_MS = 60000,	/* limit for retries of a write */
+	WRITE_RESPONSE_TIMEOUT_MS = 4000, /* limit for answering the request */
+	WRITE_RETRY_LIMIT_MS = 60000,	  /* limit for retries of a write */
 	WRITE_RETRY_MS = 300,
 };
 
@@ -238,7 +238,7 @@
 		write_stored(write, revision);
 		break;
 	case JT_STORE_FAILED_COMPARE:
-		/* Another node wrote, or the answer to an earlier put was
+		/* Another node wrote, or the response to an earlier put was
 		 * lost: reads the store to find out. */
 		write_get(write);
 		break;
@@ -362,13 +362,13 @@
 		if (write_active(write))
 			write_finish(write, JT_WRITE_ACCEPTED,
 				     write->stored_revision, NULL);
-		else if (now >= write->started_ms + WRITE_ANSWER_TIMEOUT_MS)
+		else if (now >= write->started_ms + WRITE_RESPONSE_TIMEOUT_MS)
 			write_finish(write, JT_WRITE_STORED,
 				     write->stored_revision, NULL);
 		return;
 	}
 
-	if (now >= write->started_ms + WRITE_ANSWER_TIMEOUT_MS &&
+	if (now >= write->started_ms + WRITE_RESPONSE_TIMEOUT_MS &&
 	    write->callback != NULL) {
 		if (!write->sent && write->step == STEP_WAIT) {
 			write_finish(write, JT_WRITE_NOT_RUN, 0, NULL);
--- a/src/daemon/jt_config_sync.h
+++ b/src/daemon/jt_config_sync.h
@@ -23,7 +23,7 @@
 	JT_WRITE_INVALID,
 	JT_WRITE_FORBIDDEN,
 	JT_WRITE_NOT_RUN, /* the store is unreachable; nothing changed */
-	JT_WRITE_UNKNOWN, /* sent without an answer; query it by the id */
+	JT_WRITE_UNKNOWN, /* sent without a response; query it by the id */
 	JT_WRITE_BUSY,	  /* over the rate limit; nothing was sent */
 };
 
--- a/src/daemon/jt_founding.c
+++ b/src/daemon/jt_founding.c
@@ -117,7 +117,7 @@
 		record_write(founding, 0);
 	} else if (state == NULL && record_cell == founding->cell) {
 		attempt_finish(founding,
-			       true); /* the answer to the put was lost */
+			       true); /* the response to the put was lost */
 	} else if (state == NULL) {
 		if (record_is_stale(founding, value->mod_revision))
 			record_write(founding, value->mod_revision);
--- a/src/daemon/jt_witness.h
+++ b/src/daemon/jt_witness.h
@@ -1,8 +1,8 @@
 /*
  * Witness vote of the store, used when exactly half of a cell with an even
  * number of members remains. The witness record is read, changed by
- * jt_witness_apply() and written back by compare-and-swap. A lost answer counts
- * as no vote; the proposer retries.
+ * jt_witness_apply() and written back by compare-and-swap. A lost response
+ * counts as no vote; the proposer retries.
  */
 #ifndef JT_WITNESS_H
 #define JT_WITNESS_H
--- a/src/director/jt_director_pages.c
+++ b/src/director/jt_director_pages.c
@@ -114,7 +114,7 @@
 	text = add_metric(text, "requests_overdue_total", "counter",
 			  counters->overdue);
 	text = add_metric(text, "answers_short_total", "counter",
-			  counters->short_answers);
+			  counters->short_responses);
 	text = add_metric(text, "failures_told_total", "counter",
 			  counters->failures_sent);
 	text = add_metric(text, "failures_heard_total", "counter",
--- a/src/director/jt_directory_sync.c
+++ b/src/director/jt_directory_sync.c
@@ -69,25 +69,25 @@
 }
 
 static void changes_report(struct jt_directory_sync *sync,
-			   const struct jt_kv_response *answer)
+			   const struct jt_kv_response *response)
 {
-	for (size_t i = 0; i < answer->change_count; i++) {
-		if (answer->changes[i].kind == JT_DIRECTORY_CHANGE_INVALID)
+	for (size_t i = 0; i < response->change_count; i++) {
+		if (response->changes[i].kind == JT_DIRECTORY_CHANGE_INVALID)
 			sync->counters.invalid_items++;
-		sync->watcher.changed(&answer->changes[i],
+		sync->watcher.changed(&response->changes[i],
 				      sync->watcher.private_data);
 	}
 }
 
 /* Reports the newest revision of a watch, whose changes come in order. */
 static void caught_up_report(struct jt_directory_sync *sync,
-			     const struct jt_kv_response *answer)
+			     const struct jt_kv_response *response)
 {
 	uint64_t newest = 0;
 
-	for (size_t i = 0; i < answer->change_count; i++) {
-		if (answer->changes[i].revision > newest)
-			newest = answer->changes[i].revision;
+	for (size_t i = 0; i < response->change_count; i++) {
+		if (response->changes[i].revision > newest)
+			newest = response->changes[i].revision;
 	}
 	if (newest > 0)
 		sync->watcher.caught_up(newest, sync->watcher.private_data);
@@ -96,12 +96,12 @@
 static struct jt_kv_response *call_finish(struct jt_directory_sync *sync,
 					  struct tevent_req *req)
 {
-	struct jt_kv_response *answer = sync->directory->recv(req, sync);
+	struct jt_kv_response *response = sync->directory->recv(req, sync);
 
 	TALLOC_FREE(sync->call);
 	sync->watching = false;
 	sync->first_page_pending = false;
-	return answer;
+	return response;
 }
 
 static void calls_cancel(struct jt_directory_sync *sync)
@@ -118,28 +118,29 @@
 {
 	struct jt_directory_sync *sync =
 		tevent_req_callback_data(req, struct jt_directory_sync);
-	struct jt_kv_response *answer = call_finish(sync, req);
+	struct jt_kv_response *response = call_finish(sync, req);
 	uint64_t now_ms = jt_clock_ms();
 	bool complete;
 
-	if (answer == NULL)
+	if (response == NULL)
 		return;
-	sync->counters.lists[answer->status]++;
-	changes_report(sync, answer);
-	complete = jt_follower_page(&sync->follower, answer->status,
-				    answer->revision, answer->more,
+	sync->counters.lists[response->status]++;
+	changes_report(sync, response);
+	complete = jt_follower_page(&sync->follower, response->status,
+				    response->revision, response->more,
 				    now_ms - sync->page_sent_ms, now_ms);
-	if (answer->status == JT_KV_OK)
+	if (response->status == JT_KV_OK)
 		TALLOC_FREE(sync->page_key);
-	if (answer->status == JT_KV_OK && answer->more)
-		sync->page_key = talloc_strdup(sync, answer->last_key);
-	if (answer->status == JT_KV_OK && answer->zones_complete && !complete)
+	if (response->status == JT_KV_OK && response->more)
+		sync->page_key = talloc_strdup(sync, response->last_key);
+	if (response->status == JT_KV_OK && response->zones_complete &&
+	    !complete)
 		sync->watcher.partly_listed(sync->watcher.private_data);
 	if (complete)
 		sync->watcher.listed(sync->follower.listing,
 				     sync->watcher.private_data);
-	reachability_update(sync, answer->status);
-	talloc_free(answer);
+	reachability_update(sync, response->status);
+	talloc_free(response);
 	sync_step(sync);
 }
 
@@ -147,17 +148,18 @@
 {
 	struct jt_directory_sync *sync =
 		tevent_req_callback_data(req, struct jt_directory_sync);
-	struct jt_kv_response *answer = call_finish(sync, req);
+	struct jt_kv_response *response = call_finish(sync, req);
 
-	if (answer == NULL)
+	if (response == NULL)
 		return;
-	sync->counters.watches[answer->status]++;
-	changes_report(sync, answer);
-	caught_up_report(sync, answer);
-	jt_follower_watched(&sync->follower, answer->status, answer->revision,
-			    answer->change_count > 0, jt_clock_ms());
-	reachability_update(sync, answer->status);
-	talloc_free(answer);
+	sync->counters.watches[response->status]++;
+	changes_report(sync, response);
+	caught_up_report(sync, response);
+	jt_follower_watched(&sync->follower, response->status,
+			    response->revision, response->change_count > 0,
+			    jt_clock_ms());
+	reachability_update(sync, response->status);
+	talloc_free(response);
 	sync_step(sync);
 }
 
@@ -212,16 +214,16 @@
 {
 	struct jt_directory_sync *sync =
 		tevent_req_callback_data(req, struct jt_directory_sync);
-	struct jt_kv_response *answer = sync->directory->recv(req, sync);
+	struct jt_kv_response *response = sync->directory->recv(req, sync);
 	enum jt_kv_status status;
 	uint64_t revision;
 
 	TALLOC_FREE(sync->check);
-	if (answer == NULL)
+	if (response == NULL)
 		return;
-	status = answer->status;
-	revision = answer->revision;
-	talloc_free(answer);
+	status = response->status;
+	revision = response->revision;
+	talloc_free(response);
 	sync->counters.checks[status]++;
 	if (sync->polling)
 		poll_apply(sync, status, revision);
--- a/src/label/admission/jt_concurrency_limit.c
+++ b/src/label/admission/jt_concurrency_limit.c
@@ -72,7 +72,7 @@
 	SAMPLES_TO_BEGIN = 16,
 	STEP_MS = 80,
 	STEP_MAX_MS = 400,
-	/* Number of answers at which a new delay gets half of the weight. */
+	/* Number of responses at which a new delay gets half of the weight. */
 	SMOOTH_SAMPLES = 8,
 	/* Without refusals for this time the demand fits, and the limit
 	 * ends. */
@@ -108,9 +108,9 @@
 	}
 	if (took_ms > UINT16_MAX)
 		took_ms = UINT16_MAX;
-	samples->took_ms[samples->answers % JT_LIMIT_SAMPLES] =
+	samples->took_ms[samples->responses % JT_LIMIT_SAMPLES] =
 		(uint16_t)took_ms;
-	samples->answers++;
+	samples->responses++;
 	return true;
 }
 
@@ -174,12 +174,13 @@
 	limit->delay_ms += (delay_ms - limit->delay_ms) * part;
 }
 
-static void answers_process(struct jt_concurrency_limit *limit,
-			    uint32_t target_ms)
+static void responses_process(struct jt_concurrency_limit *limit,
+			      uint32_t target_ms)
 {
 	struct jt_limit_samples *samples = &limit->samples;
-	size_t count = samples->answers < JT_LIMIT_SAMPLES ? samples->answers
-							   : JT_LIMIT_SAMPLES;
+	size_t count = samples->responses < JT_LIMIT_SAMPLES
+			       ? samples->responses
+			       : JT_LIMIT_SAMPLES;
 
 	if (count > 0) {
 		qsort(samples->took_ms, count, sizeof(samples->took_ms[0]),
@@ -209,7 +210,7 @@
 static void pressure_update(struct jt_concurrency_limit *limit)
 {
 	const struct jt_limit_samples *samples = &limit->samples;
-	double ended = (double)samples->answers + samples->rejected;
+	double ended = (double)samples->responses + samples->rejected;
 
 	if (ended > 0)
 		limit->rejected_part +=
@@ -257,10 +258,10 @@
 {
 	const struct jt_limit_samples *samples = &limit->samples;
 
-	if (samples->answers < SAMPLES_MIN)
+	if (samples->responses < SAMPLES_MIN)
 		return false;
 	return limit->limit != 0 ||
-	       samples->answers + samples->rejected >= SAMPLES_TO_BEGIN;
+	       samples->responses + samples->rejected >= SAMPLES_TO_BEGIN;
 }
 
 /* Returns the minimum limit of this node. */
@@ -276,7 +277,8 @@
 	if (utilisation < BEGIN_UTILISATION_MIN ||
 	    limit->delay_ms <= limit->allowed_ms || !has_enough_samples(limit))
 		return JT_LIMIT_SAME;
-	limit->limit = fmax(minimum, in_flight_at(limit, limit->answers_per_s));
+	limit->limit =
+		fmax(minimum, in_flight_at(limit, limit->responses_per_s));
 	return JT_LIMIT_BEGAN;
 }
 
@@ -297,7 +299,7 @@
 	 * much in flight. */
 	if (low_delay)
 		adjusted = fmax(adjusted,
-				in_flight_at(limit, limit->answers_per_s));
+				in_flight_at(limit, limit->responses_per_s));
 	return adjusted;
 }
 
@@ -335,10 +337,10 @@
 	if (elapsed_ms < STEP_MS ||
 	    (!has_enough_samples(limit) && elapsed_ms < STEP_MAX_MS))
 		return JT_LIMIT_SAME;
-	answers_process(limit, service->target_ms);
+	responses_process(limit, service->target_ms);
 	rate_update(&limit->begun_per_s, samples->begun, elapsed_ms);
-	rate_update(&limit->answers_per_s,
-		    samples->answers + samples->open_flow_responses,
+	rate_update(&limit->responses_per_s,
+		    samples->responses + samples->open_flow_responses,
 		    elapsed_ms);
 	rate_update(&limit->offered_per_s, samples->begun + samples->refused,
 		    elapsed_ms);
--- a/src/label/admission/jt_concurrency_limit.h
+++ b/src/label/admission/jt_concurrency_limit.h
@@ -25,8 +25,8 @@
 /* Measurements of the service since the last step. */
 struct jt_limit_samples {
 	uint16_t took_ms[JT_LIMIT_SAMPLES]; /* latest response times */
-	uint32_t answers;  /* responses to requests that were served */
-	uint32_t rejected; /* responses classified as rejections */
+	uint32_t responses; /* responses to requests that were served */
+	uint32_t rejected;  /* responses classified as rejections */
 	/* Responses to requests on open flows, which are bound to an endpoint.
 	 */
 	uint32_t open_flow_responses;
@@ -47,7 +47,7 @@
 	/* Smoothed length that a quarter of the responses exceed. */
 	double usual_bytes;
 	double begun_per_s; /* smoothed */
-	double answers_per_s;
+	double responses_per_s;
 	double offered_per_s; /* including refused ones */
 	uint64_t stepped_ms;
 	uint64_t refused_ms; /* last refusal */
--- a/src/label/jt_choose.c
+++ b/src/label/jt_choose.c
@@ -229,7 +229,7 @@
 void jt_chooser_answered(struct jt_chooser *chooser,
 			 const struct jt_route *route,
 			 struct jt_incarnation *incarnation,
-			 const struct jt_response *answer, uint64_t now_ms)
+			 const struct jt_response *response, uint64_t now_ms)
 {
 	struct jt_split *split =
 		route != NULL ? jt_splits_find(chooser->splits, route) : NULL;
@@ -240,7 +240,8 @@
 		usual = jt_split_response_time(split,
 					       incarnation->entry.service_id);
 	if (usual != NULL)
-		jt_target_answered(&target, usual, incarnation, answer, now_ms);
+		jt_target_answered(&target, usual, incarnation, response,
+				   now_ms);
 }
 
 /* Returns true with the given probability. */
--- a/src/label/jt_choose.h
+++ b/src/label/jt_choose.h
@@ -53,7 +53,7 @@
 void jt_chooser_answered(struct jt_chooser *chooser,
 			 const struct jt_route *route,
 			 struct jt_incarnation *incarnation,
-			 const struct jt_response *answer, uint64_t now_ms);
+			 const struct jt_response *response, uint64_t now_ms);
 /* Returns the estimated number of open flows of all nodes at the
  * incarnation. */
 double jt_chooser_flows(const struct jt_chooser *chooser,
--- a/src/label/jt_director.c
+++ b/src/label/jt_director.c
@@ -68,11 +68,11 @@
 		director, opts, director->peer_loads, &director->zone_drains);
 	director->admission = jt_admission_create(director, opts);
 	director->latency = jt_latency_create(director);
-	director->answers = jt_response_profiles_create(director);
+	director->response_profiles = jt_response_profiles_create(director);
 	if (director->endpoints == NULL || director->flows == NULL ||
 	    director->lookups == NULL || director->chooser == NULL ||
 	    director->latency == NULL || director->peer_loads == NULL ||
-	    director->admission == NULL || director->answers == NULL)
+	    director->admission == NULL || director->response_profiles == NULL)
 		TALLOC_FREE(director);
 	return director;
 }
@@ -382,7 +382,7 @@
 	}
 	director->routing = talloc_steal(director, routing);
 	jt_splits_prune(director->chooser->splits, routing);
-	jt_response_profiles_prune(director->answers, routing);
+	jt_response_profiles_prune(director->response_profiles, routing);
 	jt_admission_routing(director->admission, routing);
 	talloc_free((void *)old);
 }
--- a/src/label/jt_director_private.h
+++ b/src/label/jt_director_private.h
@@ -40,7 +40,7 @@
 	struct jt_admission *admission;
 	struct jt_detector detector;
 	struct jt_latency *latency;
-	struct jt_response_profiles *answers;
+	struct jt_response_profiles *response_profiles;
 	uint64_t responses_checked_ms; /* last check for complete responses */
 	struct jt_failure_reports failure_reports;
 	struct jt_peer_loads *peer_loads;
--- a/src/label/jt_director_responses.c
+++ b/src/label/jt_director_responses.c
@@ -19,7 +19,7 @@
 				 struct jt_incarnation *incarnation,
 				 uint64_t now_ms)
 {
-	const struct jt_response answer = {
+	const struct jt_response response = {
 		.took_ms = (double)flow->response_took_ms - director->open_ms,
 		.single_segment = flow->response_single_segment,
 	};
@@ -27,7 +27,7 @@
 	jt_outlier_answered(incarnation, flow->response_took_ms);
 	jt_chooser_answered(director->chooser,
 			    jt_routing_route(director->routing, &flow->key),
-			    incarnation, &answer, now_ms);
+			    incarnation, &response, now_ms);
 }
 
 /* Returns NULL if response lengths are not evaluated. */
@@ -42,7 +42,7 @@
 	    !jt_feature_enabled(director->options.disabled_features,
 				JT_FEATURE_SHORT_RESPONSES))
 		return NULL;
-	return jt_response_profiles_find(director->answers, route,
+	return jt_response_profiles_find(director->response_profiles, route,
 					 incarnation->entry.service_id);
 }
 
@@ -153,7 +153,7 @@
 	profile_update(profile, flow, incarnation, now_ms);
 	if (weight == 0)
 		return;
-	director->counters.short_answers++;
+	director->counters.short_responses++;
 	/* The less certain a failure is, the more it counts as served too. */
 	served_weight = weight < 1 - weight ? weight : 1 - weight;
 	failure_record(director, incarnation, weight, JT_FULL_SHARE_PERMILLE,
--- a/src/label/jt_follower.c
+++ b/src/label/jt_follower.c
@@ -76,7 +76,7 @@
 }
 
 /* Records a valid response of the store. */
-static void record_answer(struct jt_follower *follower, uint64_t now_ms)
+static void record_response(struct jt_follower *follower, uint64_t now_ms)
 {
 	follower->failures = 0;
 	follower->answered_ms = now_ms;
@@ -194,7 +194,7 @@
 		back_off(follower, now_ms);
 		return false;
 	}
-	record_answer(follower, now_ms);
+	record_response(follower, now_ms);
 	first = !follower->paging;
 	/* Pages are no consistent snapshot: watch from the first one's
 	 * revision. */
@@ -261,7 +261,7 @@
 	follower->catching_up = false;
 	switch (status) {
 	case JT_KV_OK:
-		record_answer(follower, now_ms);
+		record_response(follower, now_ms);
 		follower->as_of_ms = now_ms;
 		if (store_revision > follower->revision)
 			follower->revision = store_revision;
--- a/src/label/jt_membership_fetch.c
+++ b/src/label/jt_membership_fetch.c
@@ -116,7 +116,7 @@
 
 /* Marks a peer that did not answer, so that others are preferred until a
  * message comes from it. */
-static void mark_no_answer(struct jt_membership *membership, uint64_t id)
+static void mark_no_response(struct jt_membership *membership, uint64_t id)
 {
 	for (size_t i = 0; i < membership->count; i++) {
 		if (membership->peers[i].id == id)
@@ -147,5 +147,5 @@
 	if (end == JT_FETCH_SUCCEEDED)
 		membership->behind_ms = 0;
 	if (end == JT_FETCH_FAILED)
-		mark_no_answer(membership, membership->fetching_from);
+		mark_no_response(membership, membership->fetching_from);
 }
--- a/src/label/jt_reader.c
+++ b/src/label/jt_reader.c
@@ -26,7 +26,7 @@
 	 * knows some endpoints and already accepts new flows. */
 	PEERS_LISTING_MS = 1500,
 	/* Time within which a live peer answers. */
-	PEER_ANSWER_MS = 15,
+	PEER_RESPONSE_MS = 15,
 	/* There is no traffic yet when the whole system starts: the seeds have
 	 * this long to list the store, then the others do so at random
 	 * times. */
@@ -159,8 +159,8 @@
 {
 	uint64_t wait_ms = jt_reader_start_wait_ms(cpu_permille);
 
-	if (wait_ms < PEER_ANSWER_MS)
-		wait_ms = PEER_ANSWER_MS;
+	if (wait_ms < PEER_RESPONSE_MS)
+		wait_ms = PEER_RESPONSE_MS;
 	if (!first_start)
 		return wait_ms;
 	reader->watch_after_ms = WATCH_AFTER_FIRST_START_MS;
--- a/src/label/jt_response_profile.c
+++ b/src/label/jt_response_profile.c
@@ -103,14 +103,14 @@
 {
 	double part = profile->short_part;
 
-	return part + sqrt(part * (1 - part) / profile->answers);
+	return part + sqrt(part * (1 - part) / profile->responses);
 }
 
 double jt_response_failure(const struct jt_response_profile *profile)
 {
 	double confidence;
 
-	if (profile->answers < DETECTION_MIN_RESPONSES)
+	if (profile->responses < DETECTION_MIN_RESPONSES)
 		return 0;
 	confidence = 1 - short_fraction_bound(profile) / SHORT_FRACTION_MAX;
 	return confidence > JT_FAILURE_UNSURE ? confidence : JT_FAILURE_UNSURE;
@@ -135,7 +135,7 @@
 		profile->log_bytes +=
 			(log_bytes - profile->log_bytes) * update_weight;
 	else if (log_bytes > profile->log_bytes &&
-		 profile->answers < INITIAL_RESPONSES)
+		 profile->responses < INITIAL_RESPONSES)
 		profile->log_bytes = log_bytes;
 	else if (log_bytes > profile->log_bytes)
 		profile->log_bytes += LENGTH_STEP * USUAL_QUANTILE;
@@ -153,11 +153,11 @@
 	profile->updated_ms = now_ms;
 	length_update(profile, log(bytes > 0 ? bytes : 1), is_short,
 		      update_weight);
-	if (profile->answers < AVERAGED_RESPONSES) {
-		profile->answers++;
-		update_weight = 1.0 / profile->answers;
+	if (profile->responses < AVERAGED_RESPONSES) {
+		profile->responses++;
+		update_weight = 1.0 / profile->responses;
 	}
-	part = is_short ? update_weight : 1.0 / profile->answers;
+	part = is_short ? update_weight : 1.0 / profile->responses;
 	profile->took_ms += ((double)took_ms - profile->took_ms) * part;
 	profile->short_part += (is_short - profile->short_part) * update_weight;
 }
--- a/src/label/jt_response_profile.h
+++ b/src/label/jt_response_profile.h
@@ -20,7 +20,7 @@
 		struct jt_address address; /* of the route */
 		uint32_t service_id;
 	} key;
-	uint32_t answers;    /* number of responses, up to a limit */
+	uint32_t responses;  /* number of responses, up to a limit */
 	uint64_t updated_ms; /* time of the last update */
 	double log_bytes;    /* smoothed logarithm of the usual length */
 	double took_ms;	     /* smoothed time of usual responses */
--- a/src/label/jt_response_ratio.c
+++ b/src/label/jt_response_ratio.c
@@ -45,16 +45,16 @@
 }
 
 double jt_usual_response_time_correct(struct jt_usual_response_time *usual,
-				      const struct jt_response *answer)
+				      const struct jt_response *response)
 {
-	bool prompt = answer->took_ms < DELAYED_ACK_MS;
+	bool prompt = response->took_ms < DELAYED_ACK_MS;
 
-	if (!answer->single_segment)
-		return answer->took_ms;
+	if (!response->single_segment)
+		return response->took_ms;
 	usual->prompt_part += (prompt - usual->prompt_part) / PROMPT_SMOOTHING;
 	if (prompt || usual->prompt_part > PROMPT_FRACTION_MAX)
-		return answer->took_ms;
-	return answer->took_ms - DELAYED_ACK_MS;
+		return response->took_ms;
+	return response->took_ms - DELAYED_ACK_MS;
 }
 
 double jt_usual_response_time_update(struct jt_usual_response_time *usual,
@@ -63,13 +63,13 @@
 	double log_ms = log(fmax(took_ms, 0) + RESPONSE_SLACK_MS);
 	double ratio = 0;
 
-	if (usual->answers > 0)
+	if (usual->responses > 0)
 		ratio = clamp(log_ms - usual->log_ms, LOG_RATIO_MAX);
 	else
 		usual->log_ms = log_ms;
-	if (usual->answers < BASELINE_RESPONSES)
-		usual->answers++;
-	usual->log_ms += ratio / usual->answers;
+	if (usual->responses < BASELINE_RESPONSES)
+		usual->responses++;
+	usual->log_ms += ratio / usual->responses;
 	return ratio;
 }
 
--- a/src/label/jt_response_ratio.h
+++ b/src/label/jt_response_ratio.h
@@ -27,7 +27,7 @@
 /* Usual response time of a kind of request; all zero: no responses. */
 struct jt_usual_response_time {
 	double log_ms; /* mean of log(milliseconds + slack) */
-	double answers;
+	double responses;
 	/* Fraction of single segments acknowledged at once. */
 	double prompt_part;
 };
@@ -41,7 +41,7 @@
 /* Returns the time that the endpoint took for the response, corrected for the
  * delayed acknowledgement of a single segment. */
 double jt_usual_response_time_correct(struct jt_usual_response_time *usual,
-				      const struct jt_response *answer);
+				      const struct jt_response *response);
 /* Records a response time of @took_ms milliseconds. Returns the logarithm of
  * its ratio to the previous usual time, bounded. */
 double jt_usual_response_time_update(struct jt_usual_response_time *usual,
--- a/src/label/jt_target.c
+++ b/src/label/jt_target.c
@@ -6,7 +6,7 @@
 
 enum {
 	/* Responses over which a service's mean service time is averaged. */
-	SERVICE_TIME_ANSWERS = 64,
+	SERVICE_TIME_RESPONSES = 64,
 };
 
 /* A cold endpoint counts as at least this many times slower than usual. */
@@ -113,10 +113,10 @@
 void jt_target_answered(const struct jt_target *target,
 			struct jt_usual_response_time *kind,
 			struct jt_incarnation *in,
-			const struct jt_response *answer, uint64_t now_ms)
+			const struct jt_response *response, uint64_t now_ms)
 {
 	struct jt_service_pool *pool = in->pool;
-	double took_ms = jt_usual_response_time_correct(kind, answer);
+	double took_ms = jt_usual_response_time_correct(kind, response);
 	double log_ratio = jt_usual_response_time_update(kind, took_ms);
 	double normalized_ms;
 
@@ -128,7 +128,7 @@
 	else
 		pool->service_time_ms +=
 			(normalized_ms - pool->service_time_ms) /
-			SERVICE_TIME_ANSWERS;
+			SERVICE_TIME_RESPONSES;
 	jt_response_ratio_update(&in->response_ratio, log_ratio, target->nodes,
 				 now_ms);
 }
--- a/src/label/jt_target.h
+++ b/src/label/jt_target.h
@@ -43,6 +43,6 @@
 void jt_target_answered(const struct jt_target *target,
 			struct jt_usual_response_time *kind,
 			struct jt_incarnation *in,
-			const struct jt_response *answer, uint64_t now_ms);
+			const struct jt_response *response, uint64_t now_ms);
 
 #endif
--- a/src/store/jt_store.c
+++ b/src/store/jt_store.c
@@ -18,7 +18,7 @@
 struct call_state {
 	struct jt_store *store;
 	enum jt_store_result result;
-	json_t *answer;
+	json_t *response;
 };
 
 struct jt_store *jt_store_create(TALLOC_CTX *mem_ctx,
@@ -89,8 +89,8 @@
 
 static int call_destructor(struct call_state *state)
 {
-	json_decref(state->answer);
-	state->answer = NULL;
+	json_decref(state->response);
+	state->response = NULL;
 	return 0;
 }
 
@@ -115,9 +115,9 @@
 					? JT_STORE_REFUSED
 					: JT_STORE_LOST;
 	} else {
-		state->answer = json_loads(body, 0, NULL);
+		state->response = json_loads(body, 0, NULL);
 		state->result =
-			state->answer ? JT_STORE_OK : JT_STORE_BAD_RESPONSE;
+			state->response ? JT_STORE_OK : JT_STORE_BAD_RESPONSE;
 	}
 	tevent_req_done(req);
 }
@@ -185,7 +185,7 @@
 
 	*value = (struct jt_store_value){0};
 	if (result == JT_STORE_OK) {
-		list = json_object_get(state->answer, "kvs");
+		list = json_object_get(state->response, "kvs");
 		if (json_array_size(list) > 0 &&
 		    !value_from_json(mem_ctx, json_array_get(list, 0), value))
 			result = JT_STORE_BAD_RESPONSE;
@@ -221,8 +221,9 @@
 
 	if (result == JT_STORE_OK) {
 		*revision = read_number(
-			json_object_get(state->answer, "header"), "revision");
-		if (!json_is_true(json_object_get(state->answer, "succeeded")))
+			json_object_get(state->response, "header"), "revision");
+		if (!json_is_true(
+			    json_object_get(state->response, "succeeded")))
 			result = JT_STORE_FAILED_COMPARE;
 	}
 	tevent_req_received(req);
--- a/tests/admission_model.h
+++ b/tests/admission_model.h
@@ -25,8 +25,8 @@
 	MODEL_WORK_MEAN_MS = 24,
 	MODEL_TARGET_MS = 250,
 	MODEL_GROUPS = 4,	  /* lower-priority routes */
-	MODEL_BYTES = 800,	  /* answer size */
-	MODEL_REJECT_BYTES = 120, /* answer of a full endpoint */
+	MODEL_BYTES = 800,	  /* response size */
+	MODEL_REJECT_BYTES = 120, /* response of a full endpoint */
 	MODEL_ATTEMPTS = 3,	  /* per client */
 	MODEL_ENDPOINT_REQUESTS = MODEL_SLOTS + MODEL_QUEUE,
 };
@@ -251,8 +251,8 @@
 	model->per_node[first].refused += !served;
 }
 
-static inline void model_record_answer(struct model *model,
-				       const struct model_request *request)
+static inline void model_record_response(struct model *model,
+					 const struct model_request *request)
 {
 	struct model_counters *counters = &model->kinds[request->kind];
 
@@ -280,7 +280,7 @@
 			model->busy_ms++;
 		}
 		if (request->remaining_ms == 0)
-			model_record_answer(model, request);
+			model_record_response(model, request);
 		else
 			endpoint->queue[remaining++] = *request;
 	}
--- a/tests/choice_sim.h
+++ b/tests/choice_sim.h
@@ -148,7 +148,7 @@
 	sim_schedule(sim, flow, STEP_ANSWERED, SIM_RTT_MS);
 }
 
-static inline void sim_receive_answer(struct sim *sim, struct sim_flow *flow)
+static inline void sim_receive_response(struct sim *sim, struct sim_flow *flow)
 {
 	const struct sim_kind *kind = &sim->kinds[flow->kind];
 	double latency_ms = (double)(sim->now_ms - flow->requested_ms);
@@ -205,7 +205,7 @@
 		sim_finish_work(sim, flow);
 		break;
 	case STEP_ANSWERED:
-		sim_receive_answer(sim, flow);
+		sim_receive_response(sim, flow);
 		break;
 	}
 }
--- a/tests/director_fixture.h
+++ b/tests/director_fixture.h
@@ -268,7 +268,7 @@
 }
 
 /* Opens the flow: sends the first packet and the client's acknowledgement of
- * the endpoint's answer. */
+ * the endpoint's response. */
 static inline void flow_open(struct fixture *fixture, struct client_flow *flow)
 {
 	assert_int_not_equal(flow_send_syn(fixture, flow), 0);
@@ -279,7 +279,7 @@
 	flow_send(fixture, flow, JT_PACKET_ACK, 0);
 }
 
-/* Sends a request; its answer of @bytes bytes is acknowledged after
+/* Sends a request; its response of @bytes bytes is acknowledged after
  * @latency_ms. */
 static inline void flow_request_sized(struct fixture *fixture,
 				      struct client_flow *flow,
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -226,7 +226,7 @@
 }
 
 /* Long waits alone cause no refusals while endpoints accept requests. */
-static void test_slow_answers_below_capacity_refuse_no_client(void **state)
+static void test_slow_responses_below_capacity_refuse_no_client(void **state)
 {
 	struct model *model = model_create();
 
@@ -241,8 +241,8 @@
 	talloc_free(model);
 }
 
-/* Open flows stay at endpoints that have become slow; the fastest answers show
- * that new flows find capacity. */
+/* Open flows stay at endpoints that have become slow; the fastest responses
+ * show that new flows find capacity. */
 static void test_open_flows_at_slow_endpoints_refuse_no_client(void **state)
 {
 	const struct jt_limit_service service = {
@@ -263,7 +263,7 @@
 			jt_concurrency_limit_step(&limit, &service, now_ms),
 			JT_LIMIT_SAME);
 	}
-	/* When all answers are slow the limit becomes active. */
+	/* When all responses are slow the limit becomes active. */
 	for (int i = 0; i < 20; i++) {
 		jt_concurrency_limit_begun(&limit);
 		jt_concurrency_limit_answered(&limit, 350, 800);
@@ -464,7 +464,7 @@
 		cmocka_unit_test(test_sufficient_capacity_refuses_no_client),
 		cmocka_unit_test(test_slow_endpoints_refuse_no_client),
 		cmocka_unit_test(
-			test_slow_answers_below_capacity_refuse_no_client),
+			test_slow_responses_below_capacity_refuse_no_client),
 		cmocka_unit_test(
 			test_open_flows_at_slow_endpoints_refuse_no_client),
 		cmocka_unit_test(
--- a/tests/test_choice.c
+++ b/tests/test_choice.c
@@ -169,8 +169,8 @@
 	sim_free(sim);
 }
 
-/* A single answer of seven times the usual time has little effect. */
-static void test_single_slow_answer_has_little_effect(void **state)
+/* A single response of seven times the usual time has little effect. */
+static void test_single_slow_response_has_little_effect(void **state)
 {
 	struct jt_response_ratio ratio = {0};
 	struct jt_usual_response_time usual = {0};
@@ -271,13 +271,13 @@
 {
 	struct jt_usual_response_time delaying = {0}, prompt = {0};
 	const struct jt_response delayed = {70, true}, full = {70, false},
-				 prompt_answer = {25, true};
+				 prompt_response = {25, true};
 
 	(void)state;
 	for (int i = 0; i < 50; i++) {
 		jt_usual_response_time_correct(&delaying, &delayed);
-		jt_usual_response_time_correct(&prompt, i % 2 ? &delayed
-							      : &prompt_answer);
+		jt_usual_response_time_correct(
+			&prompt, i % 2 ? &delayed : &prompt_response);
 	}
 	assert_true(jt_usual_response_time_correct(&delaying, &delayed) == 30);
 	assert_true(jt_usual_response_time_correct(&delaying, &full) == 70);
@@ -367,7 +367,7 @@
 		cmocka_unit_test(test_nodes_converge_on_endpoint_speed),
 		cmocka_unit_test(test_own_zone_is_used_below_capacity),
 		cmocka_unit_test(test_zone_spill_does_not_oscillate),
-		cmocka_unit_test(test_single_slow_answer_has_little_effect),
+		cmocka_unit_test(test_single_slow_response_has_little_effect),
 		cmocka_unit_test(test_response_times_are_kept_per_kind),
 		cmocka_unit_test(test_response_ratio_report_round_trip),
 		cmocka_unit_test(test_response_ratio_expires),
--- a/tests/test_detector.c
+++ b/tests/test_detector.c
@@ -44,9 +44,9 @@
 	assert_false(dead_endpoint_is_detected(JT_DIRECTOR_FAULT_NO_DETECTOR));
 }
 
-/* Guards against taking an answer to a packet from before the probe as evidence
- * that this node reaches the endpoints. */
-static void test_late_answers_do_not_show_reachability(void **state)
+/* Guards against taking a response to a packet from before the probe as
+ * evidence that this node reaches the endpoints. */
+static void test_late_responses_do_not_show_reachability(void **state)
 {
 	struct fixture *fixture = fixture_with_two_endpoints(0);
 	struct client_flow suspected, other;
@@ -58,7 +58,7 @@
 	other.acknowledged += 600;
 	send_and_retransmit(fixture, &suspected);
 	fixture->now_ms += 200;
-	/* The answer to a packet that was sent before the probe. */
+	/* The response to a packet that was sent before the probe. */
 	flow_send(fixture, &other, JT_PACKET_ACK, 0);
 	fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_SILENT);
 	assert_int_equal(endpoint_state(fixture, 0x101), JT_INCARNATION_READY);
@@ -97,7 +97,7 @@
 	send_and_retransmit(fixture, &flow);
 	kept = fixture_find_action(fixture, JT_DIRECTOR_RESET) == NULL;
 	if (kept) {
-		/* Another flow of the endpoint gets an answer. */
+		/* Another flow of the endpoint gets a response. */
 		flow_request(fixture, &third, 20);
 		flow_request(fixture, &other, 20);
 		fixture_deliver_probe_result(fixture, 0x101, JT_PROBE_SILENT);
@@ -506,7 +506,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_dead_endpoint_is_detected),
-		cmocka_unit_test(test_late_answers_do_not_show_reachability),
+		cmocka_unit_test(test_late_responses_do_not_show_reachability),
 		cmocka_unit_test(test_refused_probe_confirms_death),
 		cmocka_unit_test(test_live_endpoint_keeps_its_flows),
 		cmocka_unit_test(test_isolated_node_declares_no_endpoint_dead),
--- a/tests/test_director.c
+++ b/tests/test_director.c
@@ -292,7 +292,7 @@
 	assert_int_equal(place_after_expiry_in_outage(fixture, true, 100),
 			 0x101);
 	talloc_free(fixture);
-	/* An endpoint without recent answers is a last resort. */
+	/* An endpoint without recent responses is a last resort. */
 	fixture = fixture_with_two_endpoints(0);
 	assert_int_equal(place_after_expiry_in_outage(fixture, false, 1500),
 			 0x102);
--- a/tests/test_endpoint_health.c
+++ b/tests/test_endpoint_health.c
@@ -1,5 +1,5 @@
 /* Tests many nodes with endpoints that fail requests while they are alive: the
- * shares of new flows, as nodes observe answers and exchange failure reports.
+ * shares of new flows, as nodes observe responses and exchange failure reports.
  */
 #include "director_fixture.h"
 #include "jt_response_profile.h"
@@ -22,14 +22,14 @@
 	WARMUP_MS = 4000,
 };
 
-/* How an endpoint fails a request: by an error answer or by none. */
+/* How an endpoint fails a request: by an error response or by none. */
 enum failure_mode { FAIL_ERROR, FAIL_HANG };
 
 /* A client's request on its own flow. */
 struct request {
 	bool open;
 	int node;
-	uint64_t answer_ms;
+	uint64_t response_ms;
 	uint32_t bytes;
 	struct client_flow flow;
 };
@@ -39,7 +39,7 @@
 	int node_count;
 	int endpoint_count;
 	uint32_t failing_permille[ENDPOINTS_MAX];
-	uint32_t short_permille; /* short good answers */
+	uint32_t short_permille; /* short good responses */
 	enum failure_mode failure_mode;
 	bool no_gossip; /* nodes exchange no messages */
 	unsigned rate;	/* requests per second */
@@ -163,17 +163,17 @@
 		       cluster->failing_permille[endpoint];
 
 	cluster->placed[endpoint]++;
-	request->answer_ms = cluster->now_ms + TYPICAL_MS / 2 +
-			     random_below(cluster, TYPICAL_MS);
+	request->response_ms = cluster->now_ms + TYPICAL_MS / 2 +
+			       random_below(cluster, TYPICAL_MS);
 	request->bytes =
 		TYPICAL_BYTES + random_below(cluster, TYPICAL_BYTES / 2);
 	if (random_below(cluster, 1000) < cluster->short_permille)
 		request->bytes = ERROR_BYTES;
 	if (!failing)
 		return;
-	request->answer_ms = cluster->failure_mode == FAIL_HANG
-				     ? UINT64_MAX
-				     : cluster->now_ms + ERROR_MS;
+	request->response_ms = cluster->failure_mode == FAIL_HANG
+				       ? UINT64_MAX
+				       : cluster->now_ms + ERROR_MS;
 	request->bytes = ERROR_BYTES;
 }
 
@@ -200,12 +200,12 @@
 	endpoint_handle_request(cluster, request);
 }
 
-static void send_answers(struct cluster *cluster)
+static void send_responses(struct cluster *cluster)
 {
 	for (size_t i = 0; i < REQUESTS_MAX; i++) {
 		struct request *request = &cluster->requests[i];
 
-		if (!request->open || request->answer_ms > cluster->now_ms)
+		if (!request->open || request->response_ms > cluster->now_ms)
 			continue;
 		request->flow.acknowledged += request->bytes;
 		request_send(cluster, request, JT_PACKET_ACK, 0);
@@ -246,7 +246,7 @@
 	memset(cluster->placed, 0, sizeof(cluster->placed));
 	cluster->messages = 0;
 	for (; cluster->now_ms < end_ms; cluster->now_ms++) {
-		send_answers(cluster);
+		send_responses(cluster);
 		for (cluster->requests_due += cluster->rate / 1000.0;
 		     cluster->requests_due >= 1; cluster->requests_due--)
 			request_start(cluster);
@@ -371,9 +371,10 @@
 	return most * 100 * (unsigned)cluster->endpoint_count / all;
 }
 
-/* Where three in ten good answers are short, short answers are weak evidence.
+/* Where three in ten good responses are short, short responses are weak
+ * evidence.
  */
-static void test_short_answers_of_a_healthy_route(void **state)
+static void test_short_responses_of_a_healthy_route(void **state)
 {
 	struct cluster *cluster = cluster_create(10, 30, 600);
 	uint64_t reduced = 0;
@@ -436,8 +437,8 @@
 	talloc_free(cluster);
 }
 
-/* A starting node has no answer profile. Fast error answers do not attract its
- * flows, and peers report the failures. */
+/* A starting node has no response profile. Fast error responses do not attract
+ * its flows, and peers report the failures. */
 static void test_node_starts_during_failures(void **state)
 {
 	struct cluster *cluster = cluster_create(4, 12, 600);
@@ -480,25 +481,25 @@
 	return profile;
 }
 
-static void test_short_answer_classification(void **state)
+static void test_short_response_classification(void **state)
 {
 	struct jt_response_profile *profile = typical_profile();
 
 	(void)state;
 	assert_true(jt_response_is_short(profile, 150, 2));
 	assert_true(jt_response_is_short(profile, 150, 100));
-	/* Moderately short answers count only if they are implausibly fast. */
+	/* Moderately short responses count only if implausibly fast. */
 	assert_true(jt_response_is_short(profile, 500, 2));
 	assert_false(jt_response_is_short(profile, 500, 20));
-	/* Neither fast nor long answers alone count as failures. */
+	/* Neither fast nor long responses alone count as failures. */
 	assert_false(jt_response_is_short(profile, TYPICAL_BYTES, 1));
 	assert_false(jt_response_is_short(profile, 20000, 1));
 	talloc_free(profile);
 }
 
-/* No answer is short before enough are known; answers that stay short become
- * typical after some minutes. */
-static void test_answer_profile_is_learned(void **state)
+/* No response is short before enough are known; responses that stay short
+ * become typical after some minutes. */
+static void test_response_profile_is_learned(void **state)
 {
 	struct jt_response_profile *profile =
 		talloc_zero(NULL, struct jt_response_profile);
@@ -562,14 +563,14 @@
 		cmocka_unit_test(test_few_endpoints_fail),
 		cmocka_unit_test(test_recovered_endpoints_regain_their_share),
 		cmocka_unit_test(test_false_report_is_corrected),
-		cmocka_unit_test(test_short_answers_of_a_healthy_route),
+		cmocka_unit_test(test_short_responses_of_a_healthy_route),
 		cmocka_unit_test(test_equal_failure_rates_keep_equal_shares),
 		cmocka_unit_test(test_hanging_endpoints_at_low_rate),
 		cmocka_unit_test(test_missing_failure_reports),
 		cmocka_unit_test(test_node_starts_during_failures),
 		cmocka_unit_test(test_only_endpoint_fails),
-		cmocka_unit_test(test_short_answer_classification),
-		cmocka_unit_test(test_answer_profile_is_learned),
+		cmocka_unit_test(test_short_response_classification),
+		cmocka_unit_test(test_response_profile_is_learned),
 		cmocka_unit_test(test_failure_reports_are_bounded),
 	};
 
--- a/tests/test_feature_switches.c
+++ b/tests/test_feature_switches.c
@@ -232,7 +232,7 @@
 	}
 }
 
-static void test_short_answers(void **state)
+static void test_short_responses(void **state)
 {
 	(void)state;
 	for (int off = 0; off < 2; off++) {
@@ -422,7 +422,7 @@
 }
 
 /* Overloads a service whose routes differ in priority, with one slot and slow
- * answers. */
+ * responses. */
 static void overload_service(struct fixture *fixture)
 {
 	struct jt_director_event event = {.kind = JT_DIRECTOR_ROUTING};
@@ -494,7 +494,7 @@
 		cmocka_unit_test(test_probe_after_retransmission),
 		cmocka_unit_test(test_peer_suspicion),
 		cmocka_unit_test(test_outlier_detection),
-		cmocka_unit_test(test_short_answers),
+		cmocka_unit_test(test_short_responses),
 		cmocka_unit_test(test_connection_limit),
 		cmocka_unit_test(test_admission),
 		cmocka_unit_test(test_suspected_parts_are_avoided),
--- a/tests/test_flow_lookup.c
+++ b/tests/test_flow_lookup.c
@@ -66,9 +66,9 @@
 	return forward != NULL ? forward->endpoint_id : 0;
 }
 
-static void deliver_lookup_answer(struct fixture *fixture,
-				  const struct client_flow *flow,
-				  uint32_t label)
+static void deliver_lookup_response(struct fixture *fixture,
+				    const struct client_flow *flow,
+				    uint32_t label)
 {
 	struct jt_director_event event = {
 		.kind = JT_DIRECTOR_FLOW_LOOKUP_RESPONSE};
@@ -113,11 +113,11 @@
 		assert_int_equal(label, jt_flow_label(endpoint));
 		/* Other peers answer before and after, without knowing the
 		 * flow. */
-		deliver_lookup_answer(nodes[1], &flow, 0);
+		deliver_lookup_response(nodes[1], &flow, 0);
 		assert_int_equal(send_held_syn(nodes[1], &flow), 0);
-		deliver_lookup_answer(nodes[1], &flow, label);
+		deliver_lookup_response(nodes[1], &flow, label);
 		assert_int_equal(send_held_syn(nodes[1], &flow), endpoint);
-		deliver_lookup_answer(nodes[1], &flow, 0);
+		deliver_lookup_response(nodes[1], &flow, 0);
 		assert_int_equal(send_held_syn(nodes[1], &flow), endpoint);
 	}
 	nodes_free(nodes);
@@ -151,7 +151,7 @@
 	lookup_sent(nodes[1], &flow, PEERS);
 	for (int i = 0; i < PEERS; i++) {
 		assert_int_equal(send_held_syn(nodes[1], &flow), 0);
-		deliver_lookup_answer(nodes[1], &flow, 0);
+		deliver_lookup_response(nodes[1], &flow, 0);
 	}
 	assert_int_not_equal(send_held_syn(nodes[1], &flow), 0);
 	nodes_free(nodes);
@@ -206,8 +206,8 @@
 	nodes_free(nodes);
 }
 
-/* A lookup answer with an endpoint unknown to this node is ignored. */
-static void test_unusable_lookup_answers(void **state)
+/* A lookup response with an endpoint unknown to this node is ignored. */
+static void test_unusable_lookup_responses(void **state)
 {
 	struct fixture *nodes[2];
 	struct client_flow flow;
@@ -217,12 +217,12 @@
 	flow = flow_new(nodes[1], CLIENT_IP, BOARD_PORT);
 	assert_false(send_retransmitted_syn(nodes[1], &flow));
 	lookup_sent(nodes[1], &flow, 1);
-	deliver_lookup_answer(nodes[1], &flow, jt_flow_label(0x999));
+	deliver_lookup_response(nodes[1], &flow, jt_flow_label(0x999));
 	assert_int_not_equal(send_held_syn(nodes[1], &flow), 0);
-	/* Answers without a pending lookup are ignored. */
-	deliver_lookup_answer(nodes[1], &flow, jt_flow_label(0x101));
+	/* Responses without a pending lookup are ignored. */
+	deliver_lookup_response(nodes[1], &flow, jt_flow_label(0x101));
 	flow.key.source_port++;
-	deliver_lookup_answer(nodes[1], &flow, jt_flow_label(0x101));
+	deliver_lookup_response(nodes[1], &flow, jt_flow_label(0x101));
 	assert_int_equal(jt_director_flow_count(nodes[1]->director), 1);
 	nodes_free(nodes);
 }
@@ -291,7 +291,7 @@
 		cmocka_unit_test(test_lookup_times_out),
 		cmocka_unit_test(test_lookup_without_peers),
 		cmocka_unit_test(test_first_packet_starts_no_lookup),
-		cmocka_unit_test(test_unusable_lookup_answers),
+		cmocka_unit_test(test_unusable_lookup_responses),
 		cmocka_unit_test(test_earlier_flow_of_the_port_is_not_reported),
 		cmocka_unit_test(test_lookup_messages_are_bounded),
 		cmocka_unit_test(test_lookup_switched_off),
--- a/tests/test_follower.c
+++ b/tests/test_follower.c
@@ -105,7 +105,7 @@
 	assert_int_equal(jt_follower_next(&follower, 5000), JT_FOLLOWER_LIST);
 }
 
-static void test_lost_answer_resumes_at_same_revision(void **state)
+static void test_lost_response_resumes_at_same_revision(void **state)
 {
 	struct jt_follower follower = follower_listed(10, 0);
 
@@ -161,7 +161,7 @@
 	jt_follower_watched(&follower, JT_KV_OK, 11, true, 1000);
 	assert_int_equal(jt_follower_next(&follower, 1000), JT_FOLLOWER_WAIT);
 	assert_int_equal(jt_follower_next(&follower, 2000), JT_FOLLOWER_WATCH);
-	/* A late answer never decreases the revision. */
+	/* A late response never decreases the revision. */
 	jt_follower_watched(&follower, JT_KV_OK, 9, true, 2000);
 	assert_int_equal(follower.revision, 11);
 }
@@ -184,7 +184,7 @@
 		assert_int_equal(jt_follower_next(&follower, ASKED_MS),
 				 gives_up ? JT_FOLLOWER_WAIT
 					  : JT_FOLLOWER_LIST);
-		/* It asks again soon, and then waits for the answer. */
+		/* It asks again soon, and then waits for the response. */
 		assert_int_equal(jt_follower_next(&follower, ASKED_MS + 900),
 				 JT_FOLLOWER_LIST);
 		assert_false(
@@ -258,7 +258,7 @@
 	assert_false(jt_follower_record_watch_check(&follower, JT_KV_OK, 10, 0,
 						    700));
 	assert_int_equal(follower.as_of_ms, 700);
-	/* A stale answer reports no change. */
+	/* A stale response reports no change. */
 	assert_false(jt_follower_record_watch_check(&follower, JT_KV_OK, 8, 0,
 						    1200));
 	assert_int_equal(follower.as_of_ms, 1200);
@@ -299,7 +299,7 @@
 	assert_true(jt_follower_record_watch_check(&follower, JT_KV_LOST, 0, 0,
 						   700));
 	jt_follower_watched(&follower, JT_KV_LOST, 0, false, 700);
-	/* The next watch is short, so that an answer comes soon. */
+	/* The next watch is short, so that a response comes soon. */
 	assert_in_range(jt_follower_wait_ms(&follower), 100, 1000);
 	jt_follower_watched(&follower, JT_KV_OK, 10, false, 1500);
 	assert_in_range(jt_follower_wait_ms(&follower), 5000, 30000);
@@ -454,7 +454,7 @@
 		cmocka_unit_test(test_peer_snapshot_replaces_listing),
 		cmocka_unit_test(test_slow_first_page_delays_most_nodes),
 		cmocka_unit_test(test_failed_page_is_requested_again),
-		cmocka_unit_test(test_lost_answer_resumes_at_same_revision),
+		cmocka_unit_test(test_lost_response_resumes_at_same_revision),
 		cmocka_unit_test(test_compaction_leads_to_listing),
 		cmocka_unit_test(test_throttling_backs_off_with_jitter),
 		cmocka_unit_test(test_changes_are_batched),
--- a/tests/test_outlier.c
+++ b/tests/test_outlier.c
@@ -157,7 +157,7 @@
 	talloc_free(fixture);
 }
 
-/* An answer ends the wait; so does the end of the flow. */
+/* A response ends the wait; so does the end of the flow. */
 static void test_answered_request_is_not_overdue(void **state)
 {
 	struct fixture *fixture = fixture_with_endpoints(ENDPOINTS);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -395,7 +395,7 @@
 /* Malformed items of a page must not affect the other items or paging. */
 static void test_malformed_items_do_not_affect_others(void **state)
 {
-	struct jt_kv_response *answer =
+	struct jt_kv_response *response =
 		talloc_zero(NULL, struct jt_kv_response);
 	char *text = make_entry("", NULL), *body;
 	json_t *good = make_item("servers/i-2", text);
@@ -409,21 +409,24 @@
 	(void)state;
 	assert_non_null(page);
 	body = json_dumps(page, 0);
-	jt_platform_response_parse(answer, body);
-	assert_int_equal(answer->status, JT_KV_OK);
-	assert_int_equal(answer->revision, 500);
-	assert_true(answer->more);
-	assert_int_equal(answer->change_count, 3);
-	assert_int_equal(answer->changes[0].kind, JT_DIRECTORY_CHANGE_ENDPOINT);
-	assert_int_equal(answer->changes[1].kind, JT_DIRECTORY_CHANGE_INVALID);
-	assert_int_equal(answer->changes[1].revision, 413);
-	assert_int_equal(answer->changes[2].kind, JT_DIRECTORY_CHANGE_ENDPOINT);
-	assert_int_equal(answer->changes[2].endpoint.id, 4);
-	assert_string_equal(answer->last_key, "servers/i-4");
+	jt_platform_response_parse(response, body);
+	assert_int_equal(response->status, JT_KV_OK);
+	assert_int_equal(response->revision, 500);
+	assert_true(response->more);
+	assert_int_equal(response->change_count, 3);
+	assert_int_equal(response->changes[0].kind,
+			 JT_DIRECTORY_CHANGE_ENDPOINT);
+	assert_int_equal(response->changes[1].kind,
+			 JT_DIRECTORY_CHANGE_INVALID);
+	assert_int_equal(response->changes[1].revision, 413);
+	assert_int_equal(response->changes[2].kind,
+			 JT_DIRECTORY_CHANGE_ENDPOINT);
+	assert_int_equal(response->changes[2].endpoint.id, 4);
+	assert_string_equal(response->last_key, "servers/i-4");
 	free(body);
 	json_decref(page);
 	talloc_free(text);
-	talloc_free(answer);
+	talloc_free(response);
 }
 
 static void test_config(void **state)
--- a/tests/test_snapshot_fetch.c
+++ b/tests/test_snapshot_fetch.c
@@ -5,7 +5,7 @@
 #include "jt_snapshot_fetch.h"
 #include "jt_serve_budget.h"
 
-enum { NOW_MS = 100000, ANSWER_BYTES = 25000 };
+enum { NOW_MS = 100000, RESPONSE_BYTES = 25000 };
 
 static jt_wire_snapshot make_part(uint32_t slice, uint32_t next,
 				  uint64_t revision)
@@ -80,7 +80,7 @@
 	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).since, 40);
 }
 
-static void test_unexpected_answers_are_ignored(void **state)
+static void test_unexpected_responses_are_ignored(void **state)
 {
 	const struct jt_own_state own = {0};
 	struct jt_snapshot_fetch fetch = {0};
@@ -99,7 +99,7 @@
 	assert_int_equal(jt_snapshot_fetch_request(&fetch, &own).slice, 0);
 }
 
-/* Half of a 20 Mbit/s link is available: an answer takes 20 ms. */
+/* Half of a 20 Mbit/s link is available: a response takes 20 ms. */
 static void test_send_budget(void **state)
 {
 	struct jt_serve_budget budget = {0};
@@ -110,10 +110,11 @@
 	jt_serve_budget_init(&budget, 20);
 	for (; now_ms < NOW_MS + 1000; now_ms++) {
 		while (jt_serve_budget_allows(&budget, now_ms)) {
-			jt_serve_budget_consume(&budget, ANSWER_BYTES, now_ms);
+			jt_serve_budget_consume(&budget, RESPONSE_BYTES,
+						now_ms);
 			sent++;
 		}
-		/* Bounds the queueing delay of an answer. */
+		/* Bounds the queueing delay of a response. */
 		assert_in_range(budget.busy_until_ms, now_ms, now_ms + 120);
 	}
 	assert_in_range(sent, 50, 56);
@@ -125,7 +126,7 @@
 		cmocka_unit_test(test_fetch_continues_at_another_peer),
 		cmocka_unit_test(test_since_is_fixed_during_fetch),
 		cmocka_unit_test(test_outdated_fetch_restarts),
-		cmocka_unit_test(test_unexpected_answers_are_ignored),
+		cmocka_unit_test(test_unexpected_responses_are_ignored),
 		cmocka_unit_test(test_send_budget),
 	};
 
