--- a/tests/test_endpoint_health.c
+++ b/tests/test_endpoint_health.c
@@ -372,8 +372,7 @@
 }
 
 /* Where three in ten good responses are short, short responses are weak
- * evidence.
- */
+ * evidence. */
 static void test_short_responses_of_a_healthy_route(void **state)
 {
 	struct cluster *cluster = cluster_create(10, 30, 600);
