--- a/src/common/jt_feature.h
+++ b/src/common/jt_feature.h
@@ -59,7 +59,7 @@
 	JT_FEATURE_PARTIAL_SYNC = 1 << 22,
 	/* Overloaded services refuse flows by priority. */
 	JT_FEATURE_ADMISSION_CONTROL = 1 << 23,
-	/* Short answers may count as failures. */
+	/* Short responses may count as failures. */
 	JT_FEATURE_SHORT_RESPONSES = 1 << 24,
 	/* Uses slow endpoints only if the load requires it. */
 	JT_FEATURE_OPTIMAL_LOAD = 1 << 25,
