--- a/src/label/jt_answer_profile.c
+++ b/src/label/jt_response_profile.c
@@ -1,4 +1,4 @@
-#include "jt_answer_profile.h"
+#include "jt_response_profile.h"
 #include "jt_routing.h"
 
 #include <math.h>
@@ -30,27 +30,27 @@
 	FAST_FACTOR = 4,
 };
 
-static int profiles_destructor(struct jt_answer_profiles *profiles)
+static int profiles_destructor(struct jt_response_profiles *profiles)
 {
 	HASH_CLEAR(hh, profiles->profiles);
 	return 0;
 }
 
-struct jt_answer_profiles *jt_answer_profiles_create(TALLOC_CTX *mem_ctx)
+struct jt_response_profiles *jt_response_profiles_create(TALLOC_CTX *mem_ctx)
 {
-	struct jt_answer_profiles *profiles =
-		talloc_zero(mem_ctx, struct jt_answer_profiles);
+	struct jt_response_profiles *profiles =
+		talloc_zero(mem_ctx, struct jt_response_profiles);
 
 	if (profiles != NULL)
 		talloc_set_destructor(profiles, profiles_destructor);
 	return profiles;
 }
 
-struct jt_answer_profile *
-jt_answer_profiles_find(struct jt_answer_profiles *profiles,
-			const struct jt_route *route, uint32_t service_id)
+struct jt_response_profile *
+jt_response_profiles_find(struct jt_response_profiles *profiles,
+			  const struct jt_route *route, uint32_t service_id)
 {
-	struct jt_answer_profile *profile, wanted;
+	struct jt_response_profile *profile, wanted;
 
 	memset(&wanted, 0, sizeof(wanted));
 	wanted.key.address.ip = route->address.ip;
@@ -60,7 +60,7 @@
 		  profile);
 	if (profile != NULL)
 		return profile;
-	profile = talloc_zero(profiles, struct jt_answer_profile);
+	profile = talloc_zero(profiles, struct jt_response_profile);
 	if (profile == NULL)
 		return NULL;
 	memcpy(&profile->key, &wanted.key, sizeof(wanted.key));
@@ -68,10 +68,10 @@
 	return profile;
 }
 
-void jt_answer_profiles_prune(struct jt_answer_profiles *profiles,
-			      const struct jt_routing *routing)
+void jt_response_profiles_prune(struct jt_response_profiles *profiles,
+				const struct jt_routing *routing)
 {
-	struct jt_answer_profile *profile, *next;
+	struct jt_response_profile *profile, *next;
 
 	for (profile = profiles->profiles; profile != NULL; profile = next) {
 		struct jt_flow_key key = {
@@ -87,8 +87,8 @@
 	}
 }
 
-bool jt_answer_is_short(const struct jt_answer_profile *profile, uint32_t bytes,
-			uint64_t took_ms)
+bool jt_response_is_short(const struct jt_response_profile *profile,
+			  uint32_t bytes, uint64_t took_ms)
 {
 	double usual = exp(profile->log_bytes);
 
@@ -99,25 +99,25 @@
 }
 
 /* Returns the upper confidence bound of the short fraction. */
-static double short_fraction_bound(const struct jt_answer_profile *profile)
+static double short_fraction_bound(const struct jt_response_profile *profile)
 {
 	double part = profile->short_part;
 
-	return part + sqrt(part * (1 - part) / profile->answers);
+	return part + sqrt(part * (1 - part) / profile->responses);
 }
 
-double jt_answer_failure(const struct jt_answer_profile *profile)
+double jt_response_failure(const struct jt_response_profile *profile)
 {
 	double confidence;
 
-	if (profile->answers < DETECTION_MIN_RESPONSES)
+	if (profile->responses < DETECTION_MIN_RESPONSES)
 		return 0;
 	confidence = 1 - short_fraction_bound(profile) / SHORT_FRACTION_MAX;
 	return confidence > JT_FAILURE_UNSURE ? confidence : JT_FAILURE_UNSURE;
 }
 
 /* Returns the weight of the current response in slowly changing averages. */
-static double averaging_weight(const struct jt_answer_profile *profile,
+static double averaging_weight(const struct jt_response_profile *profile,
 			       uint64_t now_ms)
 {
 	double part =
@@ -128,14 +128,14 @@
 
 /* Updates the usual length. Short responses change it slowly, because the
  * route's responses may have become shorter permanently. */
-static void length_update(struct jt_answer_profile *profile, double log_bytes,
+static void length_update(struct jt_response_profile *profile, double log_bytes,
 			  bool is_short, double update_weight)
 {
 	if (is_short)
 		profile->log_bytes +=
 			(log_bytes - profile->log_bytes) * update_weight;
 	else if (log_bytes > profile->log_bytes &&
-		 profile->answers < INITIAL_RESPONSES)
+		 profile->responses < INITIAL_RESPONSES)
 		profile->log_bytes = log_bytes;
 	else if (log_bytes > profile->log_bytes)
 		profile->log_bytes += LENGTH_STEP * USUAL_QUANTILE;
@@ -143,20 +143,21 @@
 		profile->log_bytes -= LENGTH_STEP * (1 - USUAL_QUANTILE);
 }
 
-void jt_answer_profile_update(struct jt_answer_profile *profile, uint32_t bytes,
-			      uint64_t took_ms, uint64_t now_ms)
+void jt_response_profile_update(struct jt_response_profile *profile,
+				uint32_t bytes, uint64_t took_ms,
+				uint64_t now_ms)
 {
-	bool is_short = jt_answer_is_short(profile, bytes, took_ms);
+	bool is_short = jt_response_is_short(profile, bytes, took_ms);
 	double update_weight = averaging_weight(profile, now_ms), part;
 
 	profile->updated_ms = now_ms;
 	length_update(profile, log(bytes > 0 ? bytes : 1), is_short,
 		      update_weight);
-	if (profile->answers < AVERAGED_RESPONSES) {
-		profile->answers++;
-		update_weight = 1.0 / profile->answers;
+	if (profile->responses < AVERAGED_RESPONSES) {
+		profile->responses++;
+		update_weight = 1.0 / profile->responses;
 	}
-	part = is_short ? update_weight : 1.0 / profile->answers;
+	part = is_short ? update_weight : 1.0 / profile->responses;
 	profile->took_ms += ((double)took_ms - profile->took_ms) * part;
 	profile->short_part += (is_short - profile->short_part) * update_weight;
 }
