--- a/include/jaspertrack/director-t.h
+++ b/include/jaspertrack/director-t.h
@@ -444,7 +444,7 @@
 	uint64_t unreadable; /* entries that can no longer be decoded */
 	uint64_t suspicions;
 	uint64_t routing_refused; /* versions not above the one in force */
-	/* Entries older than the known one, or beyond the table limit. */
+	/* Endpoint entries and zone drains beyond a table limit. */
 	uint64_t entries_refused;
 	uint64_t resent;	    /* retransmitted packets */
 	uint64_t overdue;	    /* requests with overdue responses */
